--- a/benchmarks/closed_loop.py
+++ b/benchmarks/closed_loop.py
@@ -9,8 +9,10 @@
 
 from embersill.rig.standins import HOST
 
-HEAD = (b"%b /api?client=%016x HTTP/1.1\r\nHost: b\r\nX-Call-Id: %08x%08x\r\nX-Call-Class: %b\r\n"
-        b"Plan: free\r\nX-Budget: 5.000\r\n%bQuota-Info: units=1,spread=1,first=0\r\n\r\n%b")
+HEAD = (
+    b"%b /api?client=%016x HTTP/1.1\r\nHost: b\r\nX-Call-Id: %08x%08x\r\nX-Call-Class: %b\r\n"
+    b"Plan: free\r\nX-Budget: 5.000\r\n%bQuota-Info: units=1,spread=1,first=0\r\n\r\n%b"
+)
 
 
 class Asker(asyncio.Protocol):
@@ -34,9 +36,18 @@
         if load.klass == b"report":
             more += b"Idempotency-Key: k%08x%08x\r\n" % (self.number, self.count)
         self.asked_at = perf_counter()
-        self.transport.write(HEAD % (
-            load.method, 0xc000 + load.asked % load.customers, self.number, self.count, load.klass, more,
-            load.body))
+        self.transport.write(
+            HEAD
+            % (
+                load.method,
+                0xC000 + load.asked % load.customers,
+                self.number,
+                self.count,
+                load.klass,
+                more,
+                load.body,
+            )
+        )
 
     def data_received(self, data: bytes) -> None:
         self.buffer = self.buffer + data if self.buffer else data
@@ -56,8 +67,15 @@
 class ClosedLoop:
     """With more connections than `under_way`, those that have waited longest ask next."""
 
-    def __init__(self, connections: int, *, customers: int = 100, klass: str = "lookup", body: int = 0,
-                 under_way: int = 16) -> None:
+    def __init__(
+        self,
+        connections: int,
+        *,
+        customers: int = 100,
+        klass: str = "lookup",
+        body: int = 0,
+        under_way: int = 16,
+    ) -> None:
         self.under_way = min(under_way, connections)
         self.idle: deque[Asker] = deque()
         self.connections, self.customers, self.klass = connections, customers, klass.encode()
--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -63,8 +63,11 @@
         self.deployment: Deployment
 
     def troubles_in(self, epoch: int) -> list[str]:
-        return [what for what, begin, end in self.troubled
-                if begin <= (epoch + 1) * EPOCH and end + TOUCHES >= epoch * EPOCH]
+        return [
+            what
+            for what, begin, end in self.troubled
+            if begin <= (epoch + 1) * EPOCH and end + TOUCHES >= epoch * EPOCH
+        ]
 
     def trouble_now(self) -> str:
         now = time.time()
@@ -75,9 +78,17 @@
         self.counter = TroubledCounter(GATEWAYS)
         await self.counter.start()
         told = figures()
-        shape = Shape(fronts=len(GATEWAYS), planners=0, backends=4, rate=1.0, seed=self.seed, settings=told,
-                      customers=0, behaviour=Behaviour(0.005, 0.02),
-                      operator="[counting]\n" if self.keeper else "")
+        shape = Shape(
+            fronts=len(GATEWAYS),
+            planners=0,
+            backends=4,
+            rate=1.0,
+            seed=self.seed,
+            settings=told,
+            customers=0,
+            behaviour=Behaviour(0.005, 0.02),
+            operator="[counting]\n" if self.keeper else "",
+        )
         self.deployment = Deployment(shape)
         self.deployment.counter_of = self.counter.address
         await self.deployment.start()
@@ -87,13 +98,14 @@
         for number in range(self.customers):
             plan, width = plans[list(PLANS)[number % 3]], 2 + number % 3
             asks = ASKS[number % len(ASKS)] * plan.rate / ((1 + LARGEST) / 2)
-            clients.append(Client(0xc000 + number, plan.name, asks, rng.randrange(4), width))
+            clients.append(Client(0xC000 + number, plan.name, asks, rng.randrange(4), width))
             rate += asks
             case = Case(plan.rate, plan.burst, width, LARGEST, settings.counter_patience)
             name = f"{0xc000 + number:016x}"
             self.judge.add(name, Customer(case, plan.ceiling_rate, plan.ceiling_depth), time.time())
         self.deployment.traffic = traffic = Traffic(
-            settings, books, self.deployment.fronts, clients, rate, self.seed, uneven=0.6, turn_every=9.0)
+            settings, books, self.deployment.fronts, clients, rate, self.seed, uneven=0.6, turn_every=9.0
+        )
         traffic.most_units = LARGEST
         books.on_first = self.sent
         traffic.on_answer = self.answered
@@ -124,13 +136,17 @@
         worst = max(findings, key=lambda f: f.beyond / f.bound)
         kinds = sorted(key.partition(" ")[2] for key in judge.counts if key.startswith("asked "))
         return {
-            "overspend_units": round(sum(over), 1), "most_overspend_units": round(max(over), 1),
-            "stated_bound_units": round(worst.bound, 1), "worst_ratio_to_bound": round(ratios[-1], 3),
+            "overspend_units": round(sum(over), 1),
+            "most_overspend_units": round(max(over), 1),
+            "stated_bound_units": round(worst.bound, 1),
+            "worst_ratio_to_bound": round(ratios[-1], 3),
             "median_ratio_to_bound": round(ratios[len(ratios) // 2], 3),
-            "windows_over_bound": sum(ratio > 1.0 for ratio in ratios), "windows": len(ratios),
+            "windows_over_bound": sum(ratio > 1.0 for ratio in ratios),
+            "windows": len(ratios),
             "overspend_by_epoch": by_epoch,
             "beyond_quota_share": round(judge.beyond_units / max(judge.units, 1.0), 4),
-            "units_sent": judge.units, "ceiling_breaches": len(judge.breached_ceilings),
+            "units_sent": judge.units,
+            "ceiling_breaches": len(judge.breached_ceilings),
             "calls": self.counter.calls,
             "refused_with_room_share": {kind: round(judge.room_share(kind), 4) for kind in kinds},
         }
@@ -161,14 +177,22 @@
 
     others = frozenset({"g0", "g1"})
     kinds: list[Callable[[], Any]] = [
-        lambda: spell("split", lambda s: s.counter.machine.split_off(others),
-                      lambda s: s.counter.machine.meet(False), rng.uniform(15.0, 25.0)),
+        lambda: spell(
+            "split",
+            lambda s: s.counter.machine.split_off(others),
+            lambda s: s.counter.machine.meet(False),
+            rng.uniform(15.0, 25.0),
+        ),
         lambda: spell("silent", flag("lost", True), flag("lost", False), rng.uniform(4.0, 10.0)),
         lambda: spell("empty", lambda s: s.counter.machine.forget_all(), nothing, 0.1),
         lambda: spell("slow", flag("slow", 0.12), flag("slow", 0.0), rng.uniform(4.0, 8.0)),
         lambda: spell("stale", go_back(rng.choice((5.0, 15.0, 30.0))), nothing, 0.1),
-        lambda: spell("cut", lambda s: s.counter.cut.add("g2"), lambda s: s.counter.cut.discard("g2"),
-                      rng.uniform(5.0, 10.0)),
+        lambda: spell(
+            "cut",
+            lambda s: s.counter.cut.add("g2"),
+            lambda s: s.counter.cut.discard("g2"),
+            rng.uniform(5.0, 10.0),
+        ),
         lambda: spell("deaf", flag("deaf", True), flag("deaf", False), rng.uniform(2.0, 4.0)),
         lambda: spell("silent", flag("refused", True), flag("refused", False), rng.uniform(4.0, 8.0)),
     ]
@@ -188,8 +212,9 @@
     sides = [Side(True, customers, seed), Side(False, customers, seed)]
     try:
         await asyncio.gather(*(side.start() for side in sides))
-        await asyncio.gather(*(side.deployment.traffic.run(seconds) for side in sides),
-                             trouble_both(sides, seed, seconds))
+        await asyncio.gather(
+            *(side.deployment.traffic.run(seconds) for side in sides), trouble_both(sides, seed, seconds)
+        )
         await asyncio.gather(*(side.deployment.traffic.drained(13.0) for side in sides))
         ends = [await side.deployment.stop() for side in sides]
     finally:
@@ -201,9 +226,14 @@
         print(line, file=sys.stderr)
     books = sides[0].deployment.books.figures()
     return {
-        **kept, "seconds": seconds, "customers": customers, "troubles": len(sides[0].troubled),
+        **kept,
+        "seconds": seconds,
+        "customers": customers,
+        "troubles": len(sides[0].troubled),
         "calls_to_before": round(kept["calls"] / max(before["calls"], 1), 2),
-        "lost": books["answers_none"], "bad_ends": ends, "before": before,
+        "lost": books["answers_none"],
+        "bad_ends": ends,
+        "before": before,
     }
 
 
--- a/benchmarks/counts.py
+++ b/benchmarks/counts.py
@@ -59,7 +59,7 @@
     def run(times: int) -> None:
         for _ in range(times):
             asked = harness.request(klass, body)
-            pieces = [asked[i:i + piece] for i in range(0, len(asked), piece)] if piece else [asked]
+            pieces = [asked[i : i + piece] for i in range(0, len(asked), piece)] if piece else [asked]
             harness.one(pieces, text)
 
     was_enabled = gc.isenabled()
@@ -80,9 +80,20 @@
     told = {**calls, **harness.loop.counts}
     peak = peak_memory(lambda: run(1))
     harness.close()
-    per = {name: round(told.get(name, 0) / MEASURED, 3) for name in (
-        "python_calls", "c_calls", "objects_made", "timers_set", "timers_fired", "timers_cancelled", "writes",
-        "polls", "bytes_written")}
+    per = {
+        name: round(told.get(name, 0) / MEASURED, 3)
+        for name in (
+            "python_calls",
+            "c_calls",
+            "objects_made",
+            "timers_set",
+            "timers_fired",
+            "timers_cancelled",
+            "writes",
+            "polls",
+            "bytes_written",
+        )
+    }
     per["objects_in_cycles"] = round(cycles / MEASURED, 3)
     per["peak_kib"] = float(math.ceil(peak / 1024))
     per["blocks_kept"] = float(max(0, round(kept / MEASURED)))
--- a/benchmarks/judges.py
+++ b/benchmarks/judges.py
@@ -84,23 +84,34 @@
 
 
 WAYS: dict[str, Callable[[Sides], int | None]] = {
-    "fixed threshold": threshold, "CUSUM": cusum, "permutation": permuted, "sequential ratio": sequential}
+    "fixed threshold": threshold,
+    "CUSUM": cusum,
+    "permutation": permuted,
+    "sequential ratio": sequential,
+}
 
 
 def main() -> int:
     found = {}
     for name, way in WAYS.items():
         chance = random.Random(7)
-        ends = {case: [way(drawn(chance, harm, trouble)) for _ in range(RUNS)]
-                for case, harm, trouble in (("calm", False, False), ("trouble", False, True),
-                                            ("harm", True, False), ("harm in a trouble", True, True))}
+        ends = {
+            case: [way(drawn(chance, harm, trouble)) for _ in range(RUNS)]
+            for case, harm, trouble in (
+                ("calm", False, False),
+                ("trouble", False, True),
+                ("harm", True, False),
+                ("harm in a trouble", True, True),
+            )
+        }
         stops = sorted(end for end in ends["harm"] if end is not None)
         found[name] = {
             "false_alarms_calm": sum(end is not None for end in ends["calm"]) / RUNS,
             "false_alarms_trouble": sum(end is not None for end in ends["trouble"]) / RUNS,
             "missed": sum(end is None for end in ends["harm"]) / RUNS,
             "missed_in_a_trouble": sum(end is None for end in ends["harm in a trouble"]) / RUNS,
-            "s_to_halt_p50": stops[len(stops) // 2] if stops else None}
+            "s_to_halt_p50": stops[len(stops) // 2] if stops else None,
+        }
     wanted = {"false_alarms": FALSE_ALARM, "missed": MISSED}
     json.dump({"wanted": wanted, "ways": found}, sys.stdout, indent=1)
     print()
--- a/benchmarks/lapse.py
+++ b/benchmarks/lapse.py
@@ -61,44 +61,61 @@
         async with Hall(Path(folder), gateways, tenants=HALL_TENANTS) as hall:
             began = time.monotonic()
             until = began + HALL_CALM + HALL_STEP * len(HALL_SHARES)
-            calling = [asyncio.create_task(callers(hall, name, rate, until, book))
-                       for name, rate in HALL_ASKED.items()]
+            calling = [
+                asyncio.create_task(callers(hall, name, rate, until, book))
+                for name, rate in HALL_ASKED.items()
+            ]
             await asyncio.sleep(HALL_CALM)
             ladder = [{"share": share, "lasts_s": HALL_STEP} for share in HALL_SHARES]
             ordered_at = time.monotonic()
-            status, told = await hall.control(gateways - 1, "PUT", "/api/lapses/lapsed",
-                                              {"action": "start", "by": "benchmark", "ladder": ladder})
+            status, told = await hall.control(
+                gateways - 1,
+                "PUT",
+                "/api/lapses/lapsed",
+                {"action": "start", "by": "benchmark", "ladder": ladder},
+            )
             if status != 200:
                 raise RuntimeError(f"the order was answered {status}: {told}")
             await asyncio.gather(*calling)
             _, report = await hall.control(0, "GET", "/api/lapses/lapsed")
-            return {**hall_figures(book, ordered_at, gateways),
-                    "doubled": sum(count > 1 for count in hall.ran().values()), "report": report}
+            return {
+                **hall_figures(book, ordered_at, gateways),
+                "doubled": sum(count > 1 for count in hall.ran().values()),
+                "report": report,
+            }
 
 
 def hall_figures(book: list[Answered], ordered_at: float, gateways: int) -> dict[str, Any]:
     found: dict[str, Any] = {"lost": sum(one.status in (0, 502, 504) for one in book)}
     others = [one for one in book if one.tenant != "lapsed"]
-    for name, asked in (("before", [one for one in others if one.asked_at < ordered_at]),
-                        ("during", [one for one in others if one.asked_at >= ordered_at])):
+    for name, asked in (
+        ("before", [one for one in others if one.asked_at < ordered_at]),
+        ("during", [one for one in others if one.asked_at >= ordered_at]),
+    ):
         took = sorted(one.took for one in asked if one.status == 200)
         found[f"others_served_{name}"] = round(len(took) / max(len(asked), 1), 4)
         found[f"others_p99_ms_{name}"] = round(1000 * at_part(took, 0.99), 1)
     for step, share in enumerate(HALL_SHARES):
         since = ordered_at + step * HALL_STEP + HALL_SETTLES
-        asked = [one for one in book if one.tenant == "lapsed"
-                 and since <= one.asked_at < since + HALL_STEP - HALL_SETTLES - 0.5]
+        asked = [
+            one
+            for one in book
+            if one.tenant == "lapsed" and since <= one.asked_at < since + HALL_STEP - HALL_SETTLES - 0.5
+        ]
         by_gateway = [[one for one in asked if one.gateway == number] for number in range(gateways)]
-        parts = [(sum(one.status == 200 for one in part) / max(len(part), 1), len(part))
-                 for part in by_gateway]
+        parts = [
+            (sum(one.status == 200 for one in part) / max(len(part), 1), len(part)) for part in by_gateway
+        ]
         whole = sum(one.status == 200 for one in asked) / max(len(asked), 1)
         low, high = min(parts), max(parts)
         chance = 2 * math.sqrt(whole * (1 - whole)) * sum(1 / math.sqrt(max(n, 1)) for _, n in (low, high))
         found[f"step_{step}"] = {
-            "rate": HALL_TENANTS["lapsed"][0] * share, "served": round(whole, 4),
+            "rate": HALL_TENANTS["lapsed"][0] * share,
+            "served": round(whole, 4),
             "served_per_s": round(whole * len(asked) / (HALL_STEP - HALL_SETTLES - 0.5), 2),
             "evenness_raw": round(high[0] - low[0], 4),
-            "evenness": round(max(high[0] - low[0] - chance, 0.0), 4)}
+            "evenness": round(max(high[0] - low[0] - chance, 0.0), 4),
+        }
     return found
 
 
@@ -111,8 +128,12 @@
     parser.add_argument("--hall", type=int, default=5, help="gateways as processes; 0: none")
     parser.add_argument("--jobs", type=int, default=4)
     chosen = parser.parse_args()
-    jobs = [(count, trouble, WAYS[0], seed) for count in sorted(chosen.gateways, reverse=True)
-            for trouble in chosen.troubles for seed in range(1, chosen.seeds + 1)]
+    jobs = [
+        (count, trouble, WAYS[0], seed)
+        for count in sorted(chosen.gateways, reverse=True)
+        for trouble in chosen.troubles
+        for seed in range(1, chosen.seeds + 1)
+    ]
     jobs += [(chosen.ways, "calm", way, 1) for way in WAYS if chosen.ways]
     found: dict[str, Any] = {}
     if chosen.hall:
--- a/benchmarks/news.py
+++ b/benchmarks/news.py
@@ -14,10 +14,13 @@
 
 def growth(rows: list[dict[str, Any]]) -> list[float]:
     """Between neighbours, the power of gateways x backends that all bytes together grow with."""
-    whole = [(row["gateways"] * row["backends"], row["gateways"] * row["bytes_a_gateway_and_s"])
-             for row in rows]
-    return [round(math.log(more / less) / math.log(size / before), 3)
-            for (before, less), (size, more) in zip(whole, whole[1:], strict=False)]
+    whole = [
+        (row["gateways"] * row["backends"], row["gateways"] * row["bytes_a_gateway_and_s"]) for row in rows
+    ]
+    return [
+        round(math.log(more / less) / math.log(size / before), 3)
+        for (before, less), (size, more) in zip(whole, whole[1:], strict=False)
+    ]
 
 
 def main() -> int:
--- a/benchmarks/ordinary_path.py
+++ b/benchmarks/ordinary_path.py
@@ -37,7 +37,8 @@
     if strace is None:
         return 0.0
     tracer = await asyncio.create_subprocess_exec(
-        strace, "-f", "-c", "-p", str(pid), stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE)
+        strace, "-f", "-c", "-p", str(pid), stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE
+    )
     await asyncio.sleep(0.3)
     before = load.served
     await asyncio.sleep(seconds)
@@ -54,8 +55,16 @@
 
     def __init__(self, kind: str) -> None:
         self.kind = kind
-        self.deployment = Deployment(Shape(
-            fronts=1, planners=0, backends=4, behaviour=Behaviour(0.0, 0.0), status_every=0.0, sockets=4096))
+        self.deployment = Deployment(
+            Shape(
+                fronts=1,
+                planners=0,
+                backends=4,
+                behaviour=Behaviour(0.0, 0.0),
+                status_every=0.0,
+                sockets=4096,
+            )
+        )
         for backend in self.deployment.backends:
             backend.told = lambda arrival, runs: None
             backend.pad = b"a" * (ANSWER - 16)
@@ -73,7 +82,8 @@
         backend = self.deployment.backends[0]
         await backend.start()
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "benchmarks.passthrough", str(backend.port), stdout=asyncio.subprocess.PIPE)
+            sys.executable, "-m", "benchmarks.passthrough", str(backend.port), stdout=asyncio.subprocess.PIPE
+        )
         assert self.process.stdout is not None
         self.port, self.pid = int(await self.process.stdout.readline()), self.process.pid
 
@@ -83,8 +93,16 @@
         self.deployment.close()
 
 
-async def measure(kind: str, seconds: float, *, connections: int = 16, customers: int = 100,
-                  klass: str = "lookup", body: int = 0, trace: bool = False) -> dict[str, float]:
+async def measure(
+    kind: str,
+    seconds: float,
+    *,
+    connections: int = 16,
+    customers: int = 100,
+    klass: str = "lookup",
+    body: int = 0,
+    trace: bool = False,
+) -> dict[str, float]:
     target = Target(kind)
     try:
         await target.start()
@@ -96,10 +114,15 @@
         await asyncio.sleep(seconds)
         after = processor_time(target.pid)
         served = max(load.served, 1)
-        told = {"user_us": 1e6 * (after[0] - user) / served, "system_us": 1e6 * (after[1] - system) / served,
-                "per_second": load.served / seconds, "p50_us": load.quantile_us(0.5),
-                "p99_us": load.quantile_us(0.99), "memory_kb": float(resident_kb(target.pid)),
-                "not_served": float(load.other)}
+        told = {
+            "user_us": 1e6 * (after[0] - user) / served,
+            "system_us": 1e6 * (after[1] - system) / served,
+            "per_second": load.served / seconds,
+            "p50_us": load.quantile_us(0.5),
+            "p99_us": load.quantile_us(0.99),
+            "memory_kb": float(resident_kb(target.pid)),
+            "not_served": float(load.other),
+        }
         told["cpu_us"] = told["user_us"] + told["system_us"]
         if trace:
             told["system_calls"] = await system_calls(target.pid, load, 1.0)
@@ -109,15 +132,18 @@
     return told
 
 
-async def several(times: int, seconds: float, kinds: tuple[str, ...], **how: Any
-                  ) -> dict[str, dict[str, float]]:
+async def several(
+    times: int, seconds: float, kinds: tuple[str, ...], **how: Any
+) -> dict[str, dict[str, float]]:
     """The best of so many turns, each kind once a turn: whatever else the machine does only adds."""
     runs: dict[str, list[dict[str, float]]] = {kind: [] for kind in kinds}
     for _ in range(times):
         for kind in kinds:
             runs[kind].append(await measure(kind, seconds, **how))
-    return {kind: {name: round(value, 2) for name, value in min(made, key=lambda r: r["cpu_us"]).items()}
-            for kind, made in runs.items()}
+    return {
+        kind: {name: round(value, 2) for name, value in min(made, key=lambda r: r["cpu_us"]).items()}
+        for kind, made in runs.items()
+    }
 
 
 async def run(options: argparse.Namespace) -> dict[str, Any]:
@@ -128,8 +154,10 @@
         figures.update({f"{kind}_{name}": value for name, value in say(kind, means).items()})
     figures["cpu_vs_passthrough"] = round(told["gateway"]["cpu_us"] / told["passthrough"]["cpu_us"], 2)
     others: dict[str, dict[str, Any]] = {
-        "report": {"klass": "report", "body": 200}, "extract": {"klass": "extract", "body": 200},
-        "extract_16k": {"klass": "extract", "body": 16_384}}
+        "report": {"klass": "report", "body": 200},
+        "extract": {"klass": "extract", "body": 200},
+        "extract_16k": {"klass": "extract", "body": 16_384},
+    }
     for name, how in others.items():
         means = (await several(options.turns, seconds, ("gateway",), **how))["gateway"]
         figures[f"{name}_cpu_us"] = say(name, means)["cpu_us"]
@@ -149,23 +177,34 @@
 
 def chart(figures: dict[str, Any], path: Path) -> None:
     """Bars of processor time a request, as SVG."""
-    bars = [("pass-through", figures["passthrough_cpu_us"]), ("lookup", figures["gateway_cpu_us"]),
-            ("report", figures["report_cpu_us"]), ("extract", figures["extract_cpu_us"]),
-            ("extract, 16 KiB", figures["extract_16k_cpu_us"])]
-    bars += [(f"{k.split('_')[1]} {k.split('_')[0]}", v) for k, v in figures.items()
-             if k.endswith("_cpu_us") and k.startswith(("connections_", "customers_"))]
+    bars = [
+        ("pass-through", figures["passthrough_cpu_us"]),
+        ("lookup", figures["gateway_cpu_us"]),
+        ("report", figures["report_cpu_us"]),
+        ("extract", figures["extract_cpu_us"]),
+        ("extract, 16 KiB", figures["extract_16k_cpu_us"]),
+    ]
+    bars += [
+        (f"{k.split('_')[1]} {k.split('_')[0]}", v)
+        for k, v in figures.items()
+        if k.endswith("_cpu_us") and k.startswith(("connections_", "customers_"))
+    ]
     widest = max(value for _, value in bars)
     rows = []
     for n, (name, value) in enumerate(bars):
         y, wide = 30 + 24 * n, 360 * value / widest
-        rows.append(f'<text x="150" y="{y + 13}" text-anchor="end">{name}</text>'
-                    f'<rect x="160" y="{y}" width="{wide:.1f}" height="16" fill="#4878a8"/>'
-                    f'<text x="{166 + wide:.1f}" y="{y + 13}">{value:.0f}</text>')
+        rows.append(
+            f'<text x="150" y="{y + 13}" text-anchor="end">{name}</text>'
+            f'<rect x="160" y="{y}" width="{wide:.1f}" height="16" fill="#4878a8"/>'
+            f'<text x="{166 + wide:.1f}" y="{y + 13}">{value:.0f}</text>'
+        )
     high = 40 + 24 * len(bars)
     path.write_text(
         f'<svg xmlns="http://www.w3.org/2000/svg" width="600" height="{high}" font-family="sans-serif" '
         f'font-size="12"><text x="10" y="18">Processor time a request, microseconds</text>'
-        + "".join(rows) + "</svg>\n")
+        + "".join(rows)
+        + "</svg>\n"
+    )
 
 
 def numbers(text: str) -> list[int]:
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -29,20 +29,33 @@
 KILL_EVERY = 5.0
 MIX = [
     DrawnTable(["kill", "stop", "starve"], (3.0, 5.0), (0.3, 1.5), who=["@planner"]),
-    DrawnTable(["cut", "refuse", "swallow", "half", "delay", "narrow", "dribble"], (1.6, 2.6), (0.3, 1.5),
-               ways=["@planner>@planner", "@planner>billing"], part=0.3, direction="any", late=0.1,
-               jitter=0.5),
+    DrawnTable(
+        ["cut", "refuse", "swallow", "half", "delay", "narrow", "dribble"],
+        (1.6, 2.6),
+        (0.3, 1.5),
+        ways=["@planner>@planner", "@planner>billing"],
+        part=0.3,
+        direction="any",
+        late=0.1,
+        jitter=0.5,
+    ),
     DrawnTable(["clone"], (20.0, 30.0), (3.0, 3.0), who=["p4"]),
 ]
 
 
 def scenario(seconds: float, drawn: list[DrawnTable], seed: int) -> Scenario:
-    return Scenario("ownership", seed, seconds, 60.0, 0.0,
-                    ShapeTable(3, 5, 0, 6, 24, True, {}, RELAYED), [], drawn)
-
-
-async def play(seconds: float, drawn: list[DrawnTable], seed: int, kill_every: float = 0.0,
-               billing: BillingBehaviour | None = None) -> dict[str, Any]:
+    return Scenario(
+        "ownership", seed, seconds, 60.0, 0.0, ShapeTable(3, 5, 0, 6, 24, True, {}, RELAYED), [], drawn
+    )
+
+
+async def play(
+    seconds: float,
+    drawn: list[DrawnTable],
+    seed: int,
+    kill_every: float = 0.0,
+    billing: BillingBehaviour | None = None,
+) -> dict[str, Any]:
     made = scenario(seconds, drawn, seed)
     deployment = Deployment(shape_of(made, status_every=0.05))
     if billing is not None:
@@ -82,8 +95,11 @@
         except TimeoutError:
             told["not_booked"] = {m.name: m.status.get("export") for m in deployment.planners()}
         statuses = {m.name: m.status for m in deployment.planners()}
-        told["write_ms"] = [(s["council"]["write_ms_p50"], s["council"]["write_ms_p99"])
-                            for s in statuses.values() if s.get("council", {}).get("writes", 0) > 20]
+        told["write_ms"] = [
+            (s["council"]["write_ms_p50"], s["council"]["write_ms_p99"])
+            for s in statuses.values()
+            if s.get("council", {}).get("writes", 0) > 20
+        ]
         told["refused_effects"] = sum(s.get("refused_effects", 0) for s in statuses.values())
         told["unreported"] = sum(s["export"]["unreported"] for s in statuses.values() if "export" in s)
         return await deployment_stop()
@@ -104,9 +120,18 @@
 
 async def probing(forwarders: int, planners: int, seconds: float) -> float:
     """Probes a second of the whole fleet with one backend of six dead."""
-    deployment = Deployment(Shape(
-        fronts=forwarders, planners=planners, backends=6, customers=24, rate=100.0, status_every=0.2,
-        behaviour=Behaviour(0.01, 0.03), council_tables=COUNCIL))
+    deployment = Deployment(
+        Shape(
+            fronts=forwarders,
+            planners=planners,
+            backends=6,
+            customers=24,
+            rate=100.0,
+            status_every=0.2,
+            behaviour=Behaviour(0.01, 0.03),
+            council_tables=COUNCIL,
+        )
+    )
     try:
         await deployment.start()
         traffic = asyncio.create_task(deployment.traffic.run(seconds + 12.0))
@@ -134,8 +159,13 @@
 async def run(options: argparse.Namespace) -> dict[str, Any]:
     calm = await play(min(options.seconds, 30.0), [], options.seed)
     killed = await play(options.seconds, [], options.seed, KILL_EVERY)
-    mixed = await play(options.seconds, MIX, options.seed, 0.0,
-                       BillingBehaviour(silent=0.05, late=0.05, twice=0.05, busy=0.05))
+    mixed = await play(
+        options.seconds,
+        MIX,
+        options.seed,
+        0.0,
+        BillingBehaviour(silent=0.05, late=0.05, twice=0.05, busy=0.05),
+    )
     gaps = sorted(killed["gaps_ms"])
     handovers = [gap for gap in gaps if gap > 20]
     writes = sorted(p50 for p50, _ in calm["write_ms"]), sorted(p99 for _, p99 in calm["write_ms"])
@@ -157,7 +187,8 @@
         "write_ms_p99": writes[1][-1] if writes[1] else None,
         "rule_breaches": sum(p["rule_breaches"] for p in plays),
         "served_share_vs_calm": round(
-            min(p["served_share"] for p in (killed, mixed)) / calm["served_share"], 4),
+            min(p["served_share"] for p in (killed, mixed)) / calm["served_share"], 4
+        ),
         "faults": sum(p["faults"] for p in plays),
         "plays": {"calm": calm, "killed": killed, "mixed": mixed},
     }
--- a/benchmarks/partition.py
+++ b/benchmarks/partition.py
@@ -46,25 +46,40 @@
     """The rows: a name, faults with their times, and faults that the seed draws."""
     names = [f"p{n}" for n in range(planners)]
     yield "calm", [], []
-    yield "stopped by turns", [], [DrawnTable(["stop"], (2.0, 3.0), (0.3, 2.0), who=["@planner"], part=0.5,
-                                              begin=WARM)]
+    yield (
+        "stopped by turns",
+        [],
+        [DrawnTable(["stop"], (2.0, 3.0), (0.3, 2.0), who=["@planner"], part=0.5, begin=WARM)],
+    )
     one_each = [f"g{n}>{p}" for n in range(FORWARDERS) for p in names if p != names[n % planners]]
     yield "one planner each", turns(seconds, 3.0, FaultTable("cut", seconds=2.0), [one_each]), []
-    yield "one way swallowed", [], [DrawnTable(["swallow"], (1.6, 2.4), (0.4, 2.0), ways=LINKS, part=0.5,
-                                               direction="any", begin=WARM)]
+    yield (
+        "one way swallowed",
+        [],
+        [DrawnTable(["swallow"], (1.6, 2.4), (0.4, 2.0), ways=LINKS, part=0.5, direction="any", begin=WARM)],
+    )
     yield "half cut", [], [DrawnTable(["cut"], (1.0, 1.6), (0.2, 1.5), ways=LINKS, part=0.5, begin=WARM)]
     late = FaultTable("delay", seconds=2.0, jitter=0.5)
     yield "one planner late", turns(seconds, 2.0, late, [[f"@forwarder>{p}"] for p in names]), []
     yield "all cut", turns(seconds, 3.0, FaultTable("cut", seconds=2.0), [LINKS]), []
     # three more: a cable of one forwarder that comes and goes; planners that do not hear each other; all slow
     yield "every second second", turns(seconds, 2.0, FaultTable("swallow", seconds=1.0), [["g0>*"]]), []
-    yield "planners apart", turns(seconds, 3.0, FaultTable("cut", seconds=2.0),
-                                  [["@planner>@planner", f"g0>{names[0]}", f"g1>{names[0]}"]]), []
+    yield (
+        "planners apart",
+        turns(
+            seconds,
+            3.0,
+            FaultTable("cut", seconds=2.0),
+            [["@planner>@planner", f"g0>{names[0]}", f"g1>{names[0]}"]],
+        ),
+        [],
+    )
     yield "200 ms late", [FaultTable("delay", WARM, seconds - WARM - 1.0, ways=LINKS, late=0.1)], []
 
 
-async def play(row: str, faults: list[FaultTable], drawn: list[DrawnTable], planners: int, seconds: float,
-               seed: int) -> dict[str, Any]:
+async def play(
+    row: str, faults: list[FaultTable], drawn: list[DrawnTable], planners: int, seconds: float, seed: int
+) -> dict[str, Any]:
     shape = ShapeTable(FORWARDERS, planners, 0, 6, CUSTOMERS, False, {}, RELAYED)
     made = Scenario(row, seed, seconds, 200.0, 0.0, shape, faults, drawn)
     deployment = Deployment(shape_of(made, status_every=0.1, tell_refusals=True, helpers=2))
@@ -116,25 +131,34 @@
 async def hops(seconds: float) -> dict[str, float]:
     """What one hop more adds; about half of all requests go over it, so the whole is twice the difference."""
     direct, carried = await hop(False, seconds), await hop(True, seconds)
-    return {"direct_median_ms": direct["median_ms"],
-            "hop_ms": round(2 * (carried["median_ms"] - direct["median_ms"]), 3),
-            "hop_cpu_ms": round(2 * (carried["cpu_ms_a_try"] - direct["cpu_ms_a_try"]), 3)}
+    return {
+        "direct_median_ms": direct["median_ms"],
+        "hop_ms": round(2 * (carried["median_ms"] - direct["median_ms"]), 3),
+        "hop_cpu_ms": round(2 * (carried["cpu_ms_a_try"] - direct["cpu_ms_a_try"]), 3),
+    }
 
 
 async def measure(options: argparse.Namespace) -> dict[str, Any]:
     gate = asyncio.Semaphore(options.beside)
     found: dict[str, Any] = {}
 
-    async def one(planners: int, seed: int, row: str, faults: list[FaultTable], drawn: list[DrawnTable]
-                  ) -> None:
+    async def one(
+        planners: int, seed: int, row: str, faults: list[FaultTable], drawn: list[DrawnTable]
+    ) -> None:
         async with gate:
             told = await play(row, faults, drawn, planners, options.seconds, seed)
         found[f"{planners} planners, seed {seed}, {row}"] = told
         print(f"{planners} planners, seed {seed}, {row}: {told['served']} {told['pro']}", file=sys.stderr)
 
-    await asyncio.gather(*(
-        one(planners, seed, row, faults, drawn) for planners in options.planners for seed in options.seeds
-        for row, faults, drawn in rows(options.seconds, planners) if not options.rows or row in options.rows))
+    await asyncio.gather(
+        *(
+            one(planners, seed, row, faults, drawn)
+            for planners in options.planners
+            for seed in options.seeds
+            for row, faults, drawn in rows(options.seconds, planners)
+            if not options.rows or row in options.rows
+        )
+    )
     told: dict[str, Any] = {"plays": found, "rows": against_calm(found)}
     if options.hops:
         told["hops"] = await hops(options.seconds / 2)
@@ -155,8 +179,10 @@
         moved = play["moved"] - calm["moved"]
         sums["moves_per_fault"].append(moved / (FORWARDERS * PARTS * max(play["faults"], 1)))
         sums["rules"].append(sum(play["rules"].values()))
-    return {row: {name: round(sum(values) / len(values), 4) for name, values in sums.items()}
-            for row, sums in told.items()}
+    return {
+        row: {name: round(sum(values) / len(values), 4) for name, values in sums.items()}
+        for row, sums in told.items()
+    }
 
 
 def main() -> None:
--- a/benchmarks/planner_load.py
+++ b/benchmarks/planner_load.py
@@ -26,8 +26,9 @@
 class Load:
     """One named forwarder that lends all parts to one planner and keeps so many requests open there."""
 
-    def __init__(self, name: str, names: list[str], planner: str, port: int, secret: bytes, parts: int,
-                 most_open: int) -> None:
+    def __init__(
+        self, name: str, names: list[str], planner: str, port: int, secret: bytes, parts: int, most_open: int
+    ) -> None:
         self.name, self.parts, self.most_open = name, parts, most_open
         self.secret = Secret(secret, digest(names, parts, Terms()))
         self.most_frame, self.most_unsent = 1 << 20, 64 << 20
@@ -46,8 +47,9 @@
         self.loop.call_later(0.05, self.tick)
 
     def link_up(self, planner: str, incarnation: str, now: float) -> None:
-        self.line.trunk.say([
-            Lend(list(range(self.parts)), 60.0, 0.0), *(self.ask() for _ in range(self.most_open))])
+        self.line.trunk.say(
+            [Lend(list(range(self.parts)), 60.0, 0.0), *(self.ask() for _ in range(self.most_open))]
+        )
 
     def link_lost(self, planner: str, now: float) -> None: ...
 
--- a/benchmarks/ratelimit.py
+++ b/benchmarks/ratelimit.py
@@ -30,7 +30,8 @@
 
 async def one_server(kind: str, streams: int, seconds: float) -> dict[str, float]:
     server = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "benchmarks.ratelimit_server", kind, stdout=asyncio.subprocess.PIPE)
+        sys.executable, "-m", "benchmarks.ratelimit_server", kind, stdout=asyncio.subprocess.PIPE
+    )
     assert server.stdout is not None
     try:
         port = int(await server.stdout.readline())
@@ -40,9 +41,18 @@
             os.sched_setaffinity(int(thread), cores[:1])
         count = min(CLIENTS, streams)
         before = sum(processor_time(server.pid))
-        clients = [await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "benchmarks.ratelimit_load", str(port), str(streams // count), str(seconds),
-            stdout=asyncio.subprocess.PIPE) for _ in range(count)]
+        clients = [
+            await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "benchmarks.ratelimit_load",
+                str(port),
+                str(streams // count),
+                str(seconds),
+                stdout=asyncio.subprocess.PIPE,
+            )
+            for _ in range(count)
+        ]
         for client in clients:
             os.sched_setaffinity(client.pid, cores[1:] or cores)
         answered, latencies = 0, list[float]()
@@ -53,10 +63,13 @@
             latencies += told["latencies"]
         latencies.sort()
         spent = sum(processor_time(server.pid)) - before
-        return {"per_second": answered / seconds, "cpu_us": 1e6 * spent / answered,
-                "p50_ms": 1000 * latencies[len(latencies) // 2],
-                "p99_ms": 1000 * latencies[int(0.99 * (len(latencies) - 1))],
-                "memory_mb": resident_kb(server.pid) / 1024}
+        return {
+            "per_second": answered / seconds,
+            "cpu_us": 1e6 * spent / answered,
+            "p50_ms": 1000 * latencies[len(latencies) // 2],
+            "p99_ms": 1000 * latencies[int(0.99 * (len(latencies) - 1))],
+            "memory_mb": resident_kb(server.pid) / 1024,
+        }
     finally:
         server.kill()
         await server.wait()
@@ -80,8 +93,9 @@
 
 
 async def loaded(text: str, connections: int, seconds: float) -> dict[str, float]:
-    deployment = Deployment(Shape(fronts=1, planners=0, backends=4, behaviour=Behaviour(0.0, 0.0),
-                                  operator=text))
+    deployment = Deployment(
+        Shape(fronts=1, planners=0, backends=4, behaviour=Behaviour(0.0, 0.0), operator=text)
+    )
     for backend in deployment.backends:
         backend.told = lambda arrival, runs: None
     try:
@@ -97,16 +111,22 @@
         load.stop()
     finally:
         deployment.close()
-    return {"cpu_us": 1e6 * spent / max(served, 1), "median_us": load.quantile_us(0.5),
-            "p99_us": load.quantile_us(0.99), "served": served}
+    return {
+        "cpu_us": 1e6 * spent / max(served, 1),
+        "median_us": load.quantile_us(0.5),
+        "p99_us": load.quantile_us(0.99),
+        "served": served,
+    }
 
 
 async def asking(seconds: float) -> dict[str, Any]:
     limiter = Limiter({"free": (1e9, 1e9)}, asyncio.get_running_loop().time)
     limiter.keep_asked = False
     await limiter.start()
-    text = (f'[ratelimit.ask]\nservices = ["{limiter.address}"]\ndomain = "lookup"\nplans = ["free"]\n'
-            'timeout = 1.0\nwithin = 1.0\nwithin_part = 0.5\n')
+    text = (
+        f'[ratelimit.ask]\nservices = ["{limiter.address}"]\ndomain = "lookup"\nplans = ["free"]\n'
+        "timeout = 1.0\nwithin = 1.0\nwithin_part = 0.5\n"
+    )
     runs: dict[str, list[dict[str, float]]] = {"plain": [], "asking": []}
     for _ in range(2):
         runs["plain"].append(await loaded("", 1, seconds))
--- a/benchmarks/ratelimit_server.py
+++ b/benchmarks/ratelimit_server.py
@@ -19,10 +19,17 @@
 from embersill.ratelimit.server import RateLimitServer, RateLimitServicer
 from embersill.ratelimit.settings import RateLimitTable
 
-RULES = [{"domain": "other", "match": {}, "customer": "account", "plan": "pro"},
-         {"domain": "lookup", "match": {"settle": "*"}, "customer": "account", "plan_from": "plan",
-          "mode": "settle"},
-         {"domain": "lookup", "match": {}, "customer": "account", "plan_from": "plan"}]
+RULES = [
+    {"domain": "other", "match": {}, "customer": "account", "plan": "pro"},
+    {
+        "domain": "lookup",
+        "match": {"settle": "*"},
+        "customer": "account",
+        "plan_from": "plan",
+        "mode": "settle",
+    },
+    {"domain": "lookup", "match": {}, "customer": "account", "plan_from": "plan"},
+]
 
 
 class Bare(rls_pb2_grpc.RateLimitServiceServicer):  # type: ignore[misc]
@@ -41,11 +48,13 @@
         actions = gateway.handle(question, time.monotonic())
         return next(a for a in actions if isinstance(a, Verdict))
 
-    table = msgspec.convert({"answer": {
-        "listen": "127.0.0.1:0", "rules": RULES, "most_streams": 1024}}, RateLimitTable).answer
+    table = msgspec.convert(
+        {"answer": {"listen": "127.0.0.1:0", "rules": RULES, "most_streams": 1024}}, RateLimitTable
+    ).answer
     assert table is not None
-    server = RateLimitServer(table, Answering(table, settings, decide),
-                             Bare if kind == "bare" else RateLimitServicer)
+    server = RateLimitServer(
+        table, Answering(table, settings, decide), Bare if kind == "bare" else RateLimitServicer
+    )
     await server.start()
     print(server.port, flush=True)
     await asyncio.Event().wait()
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -31,6 +31,7 @@
         kernel.at(at, town.cut, {town.machines[chance.randrange(3)].name})
         kernel.at(at + 3.0, town.heal)
     elif trouble:
+
         def kill() -> None:
             holders = [rollouts_of(m.node.state)["holder"] for m in town.machines if m.node is not None]
             named = max(holders, default="") if trouble == "holder killed" else town.machines[-1].name
@@ -68,29 +69,41 @@
     after = [o for o in town.book if back_at <= o.asked_at < town.kernel.now - 2.5]
     marked = [o for o in town.book if o.caller == "c" and start <= o.asked_at < town.kernel.now - 2.5]
     before = [o for o in town.book if o.caller == "c" and o.asked_at < start]
-    return {"gateways": gateways, "harm": harm, "trouble": trouble, "seed": seed,
-            "how": past.get("how", "open"), "step": past.get("step", -1), "why": past.get("why", ""),
-            "reached": reached,
-            "s_to_halt": round(over_at - bound_at, 2) if bound_at else 0.0,
-            "s_to_back": round(back_at - over_at, 2), "doubled_after": sum(o.runs > 1 for o in after),
-            "lost_after": sum(not o.end for o in after),
-            "marked_ratio": round(worth(marked) / max(worth(before), 1e-9), 4)}
+    return {
+        "gateways": gateways,
+        "harm": harm,
+        "trouble": trouble,
+        "seed": seed,
+        "how": past.get("how", "open"),
+        "step": past.get("step", -1),
+        "why": past.get("why", ""),
+        "reached": reached,
+        "s_to_halt": round(over_at - bound_at, 2) if bound_at else 0.0,
+        "s_to_back": round(back_at - over_at, 2),
+        "doubled_after": sum(o.runs > 1 for o in after),
+        "lost_after": sum(not o.end for o in after),
+        "marked_ratio": round(worth(marked) / max(worth(before), 1e-9), 4),
+    }
 
 
 def summed(rows: list[dict[str, Any]]) -> dict[str, Any]:
     bad, good = [r for r in rows if r["harm"]], [r for r in rows if not r["harm"]]
     halted = sorted(r["s_to_halt"] for r in bad if r["how"] == "halted")
     return {
-        "runs": len(rows), "marked_traffic": MARKED,
+        "runs": len(rows),
+        "marked_traffic": MARKED,
         "bad_stopped_at_first_step": round(
-            sum(r["how"] == "halted" and len(r["reached"]) <= 1 for r in bad) / max(len(bad), 1), 4),
+            sum(r["how"] == "halted" and len(r["reached"]) <= 1 for r in bad) / max(len(bad), 1), 4
+        ),
         "bad_reached_last_sites": sum("c" in r["reached"] for r in bad),
         "good_halted": round(sum(r["how"] != "done" for r in good) / max(len(good), 1), 4),
         "doubled_after_halt": sum(r["doubled_after"] for r in rows),
         "lost_after_halt": sum(r["lost_after"] for r in rows),
-        "s_to_halt_p50": at_part(halted, 0.5), "s_to_halt_p99": at_part(halted, 0.99),
+        "s_to_halt_p50": at_part(halted, 0.5),
+        "s_to_halt_p99": at_part(halted, 0.99),
         "s_to_back_p99": at_part(sorted(r["s_to_back"] for r in bad), 0.99),
-        "marked_traffic_worth_ratio": min((r["marked_ratio"] for r in rows if not r["trouble"]), default=1.0)}
+        "marked_traffic_worth_ratio": min((r["marked_ratio"] for r in rows if not r["trouble"]), default=1.0),
+    }
 
 
 def main() -> int:
@@ -101,12 +114,16 @@
     parser.add_argument("--jobs", type=int, default=4)
     chosen = parser.parse_args()
     kinds = ["", *HARMS]
-    jobs = [(count, kinds[n % len(kinds)], chosen.seed + n) for count in chosen.gateways
-            for n in range(chosen.runs)]
+    jobs = [
+        (count, kinds[n % len(kinds)], chosen.seed + n)
+        for count in chosen.gateways
+        for n in range(chosen.runs)
+    ]
     with ProcessPoolExecutor(chosen.jobs) as pool:
         rows = list(pool.map(one, jobs))
-    told = {str(count): summed([row for row in rows if row["gateways"] == count])
-            for count in chosen.gateways}
+    told = {
+        str(count): summed([row for row in rows if row["gateways"] == count]) for count in chosen.gateways
+    }
     json.dump({"summed": told, "rows": rows}, sys.stdout, indent=1)
     print()
     return 0
--- a/benchmarks/scarce_counter.py
+++ b/benchmarks/scarce_counter.py
@@ -25,8 +25,11 @@
 from embersill.settings import read_settings
 
 # plans as the site states them: units a second, seconds' worth at once, worth, of what is beyond, its cost
-PLANS = {"basis": ((1.2, 2.1), (3.0, 5.2), 0.88, 0.0, 1.0), "plus": ((2.3, 4.0), (3.3, 5.7), 1.3, 0.3, 0.0),
-         "pro": ((9.1, 16.0), (1.1, 2.8), 1.4, 0.0, 0.8)}
+PLANS = {
+    "basis": ((1.2, 2.1), (3.0, 5.2), 0.88, 0.0, 1.0),
+    "plus": ((2.3, 4.0), (3.3, 5.7), 1.3, 0.3, 0.0),
+    "pro": ((9.1, 16.0), (1.1, 2.8), 1.4, 0.0, 0.8),
+}
 SHARES = {"basis": 0.35, "plus": 0.30, "pro": 0.35}
 LARGEST = 8  # units of a request: the stores hold some of these at the least
 CEILING = (1.7, 2.6)
@@ -41,10 +44,19 @@
         rate = chance.uniform(*rates)
         burst = max(rate * chance.uniform(*bursts), LARGEST * (4 if name == "pro" else 2))
         ceiling = chance.uniform(*CEILING) if name == "pro" else 0.0
-        packages.append({
-            "name": name, "units_per_s": rate, "peak_units": burst, "concurrency": 0,
-            "hard_rate": rate * ceiling, "cap_depth": burst * ceiling, "value_factor": worth,
-            "extra_worth": beyond, "overrun_cost": cost})
+        packages.append(
+            {
+                "name": name,
+                "units_per_s": rate,
+                "peak_units": burst,
+                "concurrency": 0,
+                "hard_rate": rate * ceiling,
+                "cap_depth": burst * ceiling,
+                "value_factor": worth,
+                "extra_worth": beyond,
+                "overrun_cost": cost,
+            }
+        )
     told["packages"] = packages
     for service, worth in zip(told["services"], (3.0, 3.0, 9.0), strict=True):
         service["credit"] = worth
@@ -66,8 +78,11 @@
     out: dict[str, Any] = {"plans": {}}
     for name, t in sorted(ledger.tallies.items()):
         out["plans"][name] = {
-            "gained": t.gained / t.offered, "with_room": t.refused_with_room / t.asked,
-            "beyond": t.beyond / max(t.inside + t.beyond, 1e-9), "asked": t.asked / t.offered}
+            "gained": t.gained / t.offered,
+            "with_room": t.refused_with_room / t.asked,
+            "beyond": t.beyond / max(t.inside + t.beyond, 1e-9),
+            "asked": t.asked / t.offered,
+        }
     tallies = ledger.tallies.values()
     out["gained"] = sum(t.gained for t in tallies) / sum(t.offered for t in tallies)
     out["refused_with_room_share"] = sum(t.refused_with_room for t in tallies) / sum(t.asked for t in tallies)
--- a/benchmarks/tiers.py
+++ b/benchmarks/tiers.py
@@ -21,8 +21,17 @@
 from embersill.rig.settings import settings_object
 from embersill.rig.standins import Behaviour
 
-RULES = ("answers_none", "answers_two", "answers_wrong", "unsafe_twice", "keyed_twice", "refused_after_run",
-         "unknown_sent", "late_drain_sends", "ceiling_over_slack")
+RULES = (
+    "answers_none",
+    "answers_two",
+    "answers_wrong",
+    "unsafe_twice",
+    "keyed_twice",
+    "refused_after_run",
+    "unknown_sent",
+    "late_drain_sends",
+    "ceiling_over_slack",
+)
 
 
 def say(title: str, figures: dict[str, Any]) -> dict[str, Any]:
@@ -40,28 +49,42 @@
     settings["packages"][1].update(units_per_s=12.0, peak_units=24.0, hard_rate=14.0, cap_depth=28.0)
     told = {}
     for name, every in (("troubled", 3.0), ("calm", 0.0)):
-        deployment = Deployment(Shape(
-            fronts=5, planners=2, rate=rate, settings=settings, customers=60,
-            behaviour=Behaviour(0.01, 0.04, errors=0.005, resets=0.005, turned_away=0.01)))
+        deployment = Deployment(
+            Shape(
+                fronts=5,
+                planners=2,
+                rate=rate,
+                settings=settings,
+                customers=60,
+                behaviour=Behaviour(0.01, 0.04, errors=0.005, resets=0.005, turned_away=0.01),
+            )
+        )
         told[name] = say(name, await play(deployment, seconds, trouble_every=every, drain_every=2.0))
     shares = {name: figures["served"] / figures["tries"] for name, figures in told.items()}
     figures = {rule: told["troubled"][rule] + told["calm"][rule] for rule in RULES}
-    return say("trouble", {
-        "tries": told["troubled"]["tries"], **figures,
-        "served_share": round(shares["troubled"], 4), "served_share_calm": round(shares["calm"], 4),
-        "served_share_vs_calm": round(shares["troubled"] / shares["calm"], 4),
-        "beyond_quota_share": told["troubled"]["beyond_quota_share"],
-        "beyond_quota_share_calm": told["calm"]["beyond_quota_share"],
-        "planner_kills": told["troubled"].get("planner_kills", 0),
-        "planner_pauses": told["troubled"].get("planner_pauses", 0),
-        "p99_ms": told["troubled"]["p99_ms"], "p99_ms_calm": told["calm"]["p99_ms"],
-    })
+    return say(
+        "trouble",
+        {
+            "tries": told["troubled"]["tries"],
+            **figures,
+            "served_share": round(shares["troubled"], 4),
+            "served_share_calm": round(shares["calm"], 4),
+            "served_share_vs_calm": round(shares["troubled"] / shares["calm"], 4),
+            "beyond_quota_share": told["troubled"]["beyond_quota_share"],
+            "beyond_quota_share_calm": told["calm"]["beyond_quota_share"],
+            "planner_kills": told["troubled"].get("planner_kills", 0),
+            "planner_pauses": told["troubled"].get("planner_pauses", 0),
+            "p99_ms": told["troubled"]["p99_ms"],
+            "p99_ms_calm": told["calm"]["p99_ms"],
+        },
+    )
 
 
 async def loaded(planners: int, connections: int, seconds: float) -> dict[str, Any]:
     """One front machine under a closed load of unlimited lookups to backends that answer at once."""
-    deployment = Deployment(Shape(
-        fronts=1, planners=planners, backends=4, behaviour=Behaviour(0.0, 0.0), status_every=0.0))
+    deployment = Deployment(
+        Shape(fronts=1, planners=planners, backends=4, behaviour=Behaviour(0.0, 0.0), status_every=0.0)
+    )
     deployment.arrived = lambda arrival, runs: None  # type: ignore[method-assign]
     for backend in deployment.backends:
         backend.told = lambda arrival, runs: None
@@ -81,10 +104,13 @@
         deployment.close()
     front = deployment.fronts[0].name
     return {
-        "served": served, "other": other, "per_second": round(served / seconds),
+        "served": served,
+        "other": other,
+        "per_second": round(served / seconds),
         "front_us": round(1e6 * spent.pop(front) / max(served, 1), 1),
         "planners_us": round(1e6 * sum(spent.values()) / max(served, 1), 1),
-        "median_us": load.quantile_us(0.5), "p99_us": load.quantile_us(0.99),
+        "median_us": load.quantile_us(0.5),
+        "p99_us": load.quantile_us(0.99),
     }
 
 
@@ -100,17 +126,20 @@
     def mean(kind: str, figure: str) -> float:
         return float(sum(run[figure] for run in runs[kind]) / len(runs[kind]))
 
-    return say("cost", {
-        "gateway_cpu_us": round(mean("one", "front_us"), 1),
-        "forwarder_cpu_us": round(mean("two", "front_us"), 1),
-        "planner_cpu_us": round(mean("two", "planners_us"), 1),
-        "forwarder_vs_gateway": round(mean("two", "front_us") / mean("one", "front_us"), 3),
-        "hop_median_us": round(mean("two_idle", "median_us") - mean("one_idle", "median_us"), 1),
-        "hop_p99_us": round(mean("two_idle", "p99_us") - mean("one_idle", "p99_us"), 1),
-        "gateway_per_second": round(mean("one", "per_second")),
-        "forwarder_per_second": round(mean("two", "per_second")),
-        "not_served": sum(run["other"] for kind in runs.values() for run in kind),
-    })
+    return say(
+        "cost",
+        {
+            "gateway_cpu_us": round(mean("one", "front_us"), 1),
+            "forwarder_cpu_us": round(mean("two", "front_us"), 1),
+            "planner_cpu_us": round(mean("two", "planners_us"), 1),
+            "forwarder_vs_gateway": round(mean("two", "front_us") / mean("one", "front_us"), 3),
+            "hop_median_us": round(mean("two_idle", "median_us") - mean("one_idle", "median_us"), 1),
+            "hop_p99_us": round(mean("two_idle", "p99_us") - mean("one_idle", "p99_us"), 1),
+            "gateway_per_second": round(mean("one", "per_second")),
+            "forwarder_per_second": round(mean("two", "per_second")),
+            "not_served": sum(run["other"] for kind in runs.values() for run in kind),
+        },
+    )
 
 
 async def decisions(count: int, seconds: float) -> dict[str, float]:
@@ -121,10 +150,20 @@
         for n, backend in enumerate(deployment.backends):
             deployment.discovery.entries[backend.name] = deployment.discovery.entry(backend, n % 2)
         ports = await deployment.start_planners(["l0", "l1"])
-        loads = [await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "benchmarks.planner_load", str(port), name,
-            f"{deployment.folder.name}/secret", "l0,l1", str(seconds), stdout=asyncio.subprocess.PIPE)
-            for name, port in ports.items()]
+        loads = [
+            await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                "benchmarks.planner_load",
+                str(port),
+                name,
+                f"{deployment.folder.name}/secret",
+                "l0,l1",
+                str(seconds),
+                stdout=asyncio.subprocess.PIPE,
+            )
+            for name, port in ports.items()
+        ]
         for load in loads:
             assert load.stdout is not None
             await load.stdout.readline()
@@ -157,8 +196,15 @@
     figures: dict[str, Any] = {}
     for name, count in (("one", 0), ("two", 2)):
         settings = settings_object(4)
-        shape = Shape(fronts=4, planners=count, rate=rate, settings=settings, customers=48,
-                      plans=("basis", "pro"), seed=3)
+        shape = Shape(
+            fronts=4,
+            planners=count,
+            rate=rate,
+            settings=settings,
+            customers=48,
+            plans=("basis", "pro"),
+            seed=3,
+        )
         deployment = Deployment(shape)
         told = say(f"{name} level", await play(deployment, seconds, restart_front_every=4.0))
         figures[f"refused_with_quota_left_{name}"] = told["refused_with_quota_left"]
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -41,14 +41,22 @@
 
 def old_turn(folder: Path, first: int) -> float:
     command = [sys.executable, "-c", OLD, str(first), str(first + A_TURN)]
-    ran = subprocess.run(command, cwd=folder, env={**os.environ, "PYTHONPATH": str(folder)},
-                         capture_output=True, text=True, check=True)
+    ran = subprocess.run(
+        command,
+        cwd=folder,
+        env={**os.environ, "PYTHONPATH": str(folder)},
+        capture_output=True,
+        text=True,
+        check=True,
+    )
     return A_TURN / float(ran.stdout)
 
 
 def new_turn(first: int) -> float:
-    schedules = [generate(seed, forwarders=FORWARDERS, planners=PLANNERS, seconds=SECONDS, rate=RATE)
-                 for seed in range(first, first + A_TURN)]
+    schedules = [
+        generate(seed, forwarders=FORWARDERS, planners=PLANNERS, seconds=SECONDS, rate=RATE)
+        for seed in range(first, first + A_TURN)
+    ]
     began = time.process_time()
     for schedule in schedules:
         play(schedule)
@@ -82,9 +90,13 @@
     print(told, flush=True)
     results = list(hunt_all(options.first, options.seeds, cores))
     played = sorted(result["played"] for result in results)
-    told |= {"fences": len(results), "fences_found": sum(result["found"] for result in results),
-             "median_seeds_to_find": statistics.median(played), "most_seeds_to_find": played[-1],
-             "slowest_fences": [r["fence"] for r in sorted(results, key=lambda r: -r["played"])[:3]]}
+    told |= {
+        "fences": len(results),
+        "fences_found": sum(result["found"] for result in results),
+        "median_seeds_to_find": statistics.median(played),
+        "most_seeds_to_find": played[-1],
+        "slowest_fences": [r["fence"] for r in sorted(results, key=lambda r: -r["played"])[:3]],
+    }
     print(told, flush=True)
     searched = search(options.depth, 2_000_000, cores)
     told |= {key: searched[key] for key in ("states_explored", "steps", "depth", "search_complete", "broken")}
--- a/embersill/__main__.py
+++ b/embersill/__main__.py
@@ -19,11 +19,18 @@
     if not arguments:
         return told
     import argparse  # a tenth of what a gateway's start costs, where a whole fleet starts at once
+
     parser = argparse.ArgumentParser(
-        prog="embersill", description="A quota-keeping gateway.",
-        epilog="embersill counting bound: how far quotas can be passed while the counter is in trouble")
-    parser.add_argument("--operator", metavar="FILE", default=told,
-                        help="operator file (TOML) that gives this process its role")
+        prog="embersill",
+        description="A quota-keeping gateway.",
+        epilog="embersill counting bound: how far quotas can be passed while the counter is in trouble",
+    )
+    parser.add_argument(
+        "--operator",
+        metavar="FILE",
+        default=told,
+        help="operator file (TOML) that gives this process its role",
+    )
     return str(parser.parse_args(arguments).operator)
 
 
@@ -32,6 +39,7 @@
         return await Program(told).run()
     # imported here: without an operator file nothing of what it describes, nor a library for it, is loaded
     from embersill.operated import run_operated
+
     return await run_operated(told, operator)
 
 
@@ -39,6 +47,7 @@
     logging.basicConfig(format="%(name)s: %(message)s", level=logging.WARNING)
     if sys.argv[1:2] == ["counting"]:
         from embersill.counting.command import main as counting  # with libraries that a gateway does without
+
         return counting(sys.argv[2:])
     operator = read_arguments(sys.argv[1:])
     # left to itself it ends the process; one that comes early waits: the file may have been read by then
--- a/embersill/adapter.py
+++ b/embersill/adapter.py
@@ -9,17 +9,45 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, AttemptEnded, Backend, BackendList, Cancel, ClientLeft, Count, Counted, Event, Fail, ListKind,
-    Outcome, Probed, Refuse, Request, Send, SetTimer, StreamBegun, Subscribe, TimerDue,
+    Action,
+    AttemptEnded,
+    Backend,
+    BackendList,
+    Cancel,
+    ClientLeft,
+    Count,
+    Counted,
+    Event,
+    Fail,
+    ListKind,
+    Outcome,
+    Probed,
+    Refuse,
+    Request,
+    Send,
+    SetTimer,
+    StreamBegun,
+    Subscribe,
+    TimerDue,
 )
 from embersill.settings import STATUSES, read_settings
 
 OUTCOMES = {
-    "GOOD": Outcome.SERVED, "BAD": Outcome.ERROR, "FULL": Outcome.TURNED_AWAY, "LATE": Outcome.TIMED_OUT,
-    "NOCONN": Outcome.NO_CONNECTION, "RST": Outcome.BROKEN, "CXL": Outcome.CANCELLED, "NOP": Outcome.NOT_SENT,
+    "GOOD": Outcome.SERVED,
+    "BAD": Outcome.ERROR,
+    "FULL": Outcome.TURNED_AWAY,
+    "LATE": Outcome.TIMED_OUT,
+    "NOCONN": Outcome.NO_CONNECTION,
+    "RST": Outcome.BROKEN,
+    "CXL": Outcome.CANCELLED,
+    "NOP": Outcome.NOT_SENT,
+}
+KINDS = {
+    "Partial": ListKind.CHANGES,
+    "Complete": ListKind.WHOLE,
+    "Persisted": ListKind.REMEMBERED,
+    "Error": ListKind.FAILED,
 }
-KINDS = {"Partial": ListKind.CHANGES, "Complete": ListKind.WHOLE, "Persisted": ListKind.REMEMBERED,
-         "Error": ListKind.FAILED}
 
 
 class Malformed(Exception):
@@ -36,8 +64,15 @@
     if len(parts) < 8 or parts[0] != "backend":
         raise Malformed("expected a backend line")
     started = 0.0 if parts[7] == "-" else float(parts[7]) / 1000.0
-    return Backend(parts[1], parts[2], parts[3], int(parts[4]), pick(STATUSES, parts[5]), float(parts[6]),
-                   started if started else None)
+    return Backend(
+        parts[1],
+        parts[2],
+        parts[3],
+        int(parts[4]),
+        pick(STATUSES, parts[5]),
+        float(parts[6]),
+        started if started else None,
+    )
 
 
 def read_load(parts: list[str], at: int) -> tuple[float, ...]:
@@ -54,16 +89,26 @@
     what = parts[0]
     if what == "job_in":
         return Request(
-            id=int(parts[1]), klass=parts[2], plan=value(parts, 3, ""), customer=value(parts, 4, ""),
-            deadline=float(parts[5]) / 1000.0, units=float(value(parts, 6, "1")),
+            id=int(parts[1]),
+            klass=parts[2],
+            plan=value(parts, 3, ""),
+            customer=value(parts, 4, ""),
+            deadline=float(parts[5]) / 1000.0,
+            units=float(value(parts, 6, "1")),
             width=int(value(parts, 7, "0")),
-            first_gateway=int(value(parts, 8, "0")), repeat=bool(int(value(parts, 9, "0")) & 2),
+            first_gateway=int(value(parts, 8, "0")),
+            repeat=bool(int(value(parts, 9, "0")) & 2),
         )
     if what == "result":
         return AttemptEnded(
-            request=int(parts[1]), attempt=int(parts[2]), backend=parts[3], outcome=pick(OUTCOMES, parts[4]),
-            elapsed=float(parts[5]) / 1000.0, over=value(parts, 6, "0") == "1",
-            true_units=float(value(parts, 8, "0")), load=read_load(parts, 9),
+            request=int(parts[1]),
+            attempt=int(parts[2]),
+            backend=parts[3],
+            outcome=pick(OUTCOMES, parts[4]),
+            elapsed=float(parts[5]) / 1000.0,
+            over=value(parts, 6, "0") == "1",
+            true_units=float(value(parts, 8, "0")),
+            load=read_load(parts, 9),
         )
     if what == "deadline_hit":
         return TimerDue(parts[1])
@@ -127,7 +172,7 @@
                     count = int(parts[2])
                     if count < 0 or at + count > len(lines):
                         raise Malformed("a page with too few entries")
-                    rows = lines[at:at + count]
+                    rows = lines[at : at + count]
                     self.lists[int(parts[1])] = tuple(read_backend(r.split("\t")) for r in rows)
                     at += count
                     continue
--- a/embersill/configuration/operator.py
+++ b/embersill/configuration/operator.py
@@ -152,16 +152,21 @@
             raise ValueError(f"tiers.planners.{name}: {error}") from error
     if len(set(planners.values())) != len(planners):
         raise ValueError("tiers.planners: an address stands twice")
-    bounds = {"parts": (table.parts, 1, 4096), "most_frame_bytes": (table.most_frame_bytes, 1 << 18, 1 << 26),
-              "most_unsent_bytes": (table.most_unsent_bytes, 1 << 18, 1 << 30),
-              "most_customers": (table.most_customers, 1, 10_000_000),
-              "most_open": (table.most_open, 1, 10_000_000), "helpers": (table.helpers, 0, 8)}
+    bounds = {
+        "parts": (table.parts, 1, 4096),
+        "most_frame_bytes": (table.most_frame_bytes, 1 << 18, 1 << 26),
+        "most_unsent_bytes": (table.most_unsent_bytes, 1 << 18, 1 << 30),
+        "most_customers": (table.most_customers, 1, 10_000_000),
+        "most_open": (table.most_open, 1, 10_000_000),
+        "helpers": (table.helpers, 0, 8),
+    }
     for key, (value, least, most) in bounds.items():
         if not least <= value <= most:
             raise ValueError(f"tiers.{key}: {value} is not from {least} to {most}")
     if table.most_unsent_bytes < REPORT_BYTES * table.most_customers:
         raise ValueError(
-            f"tiers.most_unsent_bytes: a report on most_customers takes up to {REPORT_BYTES} bytes each")
+            f"tiers.most_unsent_bytes: a report on most_customers takes up to {REPORT_BYTES} bytes each"
+        )
     if not 0 <= table.status_every <= 3600:
         raise ValueError("tiers.status_every: must be from 0 to 3600 s")
     try:
@@ -172,6 +177,16 @@
     if len(secret) < LEAST_SECRET:
         raise ValueError(f"tiers.secret_file: {table.secret_file} has fewer than {LEAST_SECRET} bytes")
     return Tiers(
-        planners, tuple(table.forwarders), secret, table.parts, table.most_frame_bytes,
-        table.most_unsent_bytes, table.most_customers, table.most_open, table.status_every,
-        table.helpers, table.tell_refusals, table.terms)
+        planners,
+        tuple(table.forwarders),
+        secret,
+        table.parts,
+        table.most_frame_bytes,
+        table.most_unsent_bytes,
+        table.most_customers,
+        table.most_open,
+        table.status_every,
+        table.helpers,
+        table.tell_refusals,
+        table.terms,
+    )
--- a/embersill/counting/accounts.py
+++ b/embersill/counting/accounts.py
@@ -22,8 +22,20 @@
 class Account:
     """One name's. Units may be below nought: what was told too much is taken back."""
 
-    __slots__ = ("blurred", "epoch", "high", "lower", "maybe", "owed", "owed_right", "provisional",
-                 "righting", "since", "spells", "unrighted")
+    __slots__ = (
+        "blurred",
+        "epoch",
+        "high",
+        "lower",
+        "maybe",
+        "owed",
+        "owed_right",
+        "provisional",
+        "righting",
+        "since",
+        "spells",
+        "unrighted",
+    )
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
--- a/embersill/counting/bound.py
+++ b/embersill/counting/bound.py
@@ -95,8 +95,12 @@
 def table(settings: Settings, terms: Terms) -> list[dict[str, float | str]]:
     """A row for each plan with a quota, width and trouble, with its excess in units."""
     return [
-        {"plan": plan.name, "width": width, "trouble": trouble,
-         "excess_units": round(excess(trouble, case_of(plan, settings, width), terms), 2)}
+        {
+            "plan": plan.name,
+            "width": width,
+            "trouble": trouble,
+            "excess_units": round(excess(trouble, case_of(plan, settings, width), terms), 2),
+        }
         for plan in settings.plans
         if plan.rate > 0
         for width in range(2, min(settings.gateways, 4) + 1)
--- a/embersill/counting/command.py
+++ b/embersill/counting/command.py
@@ -36,8 +36,12 @@
         lines.append(f"{key[0]:<12} {key[1]:>5}" + "".join(f" {found[kind]:>9}" for kind in kinds))
     return [
         "Units that a window may have beyond burst + rate * length, within one epoch of 60 s:",
-        "the ordinary ones, and those of each trouble that touches the epoch.", "", *lines, "",
-        *(f"{kind:<9} {text}" for kind, text in TROUBLES.items()), "",
+        "the ordinary ones, and those of each trouble that touches the epoch.",
+        "",
+        *lines,
+        "",
+        *(f"{kind:<9} {text}" for kind, text in TROUBLES.items()),
+        "",
         "Ceilings are not passed in any of these: each gateway has a fixed part, which no counter moves.",
     ]
 
@@ -45,7 +49,8 @@
 def main(arguments: list[str]) -> int:
     parser = argparse.ArgumentParser(prog="embersill counting", description=__doc__)
     bound = parser.add_subparsers(required=True, metavar="bound").add_parser(
-        "bound", help="units by which a quota can be passed, by plan, width and trouble")
+        "bound", help="units by which a quota can be passed, by plan, width and trouble"
+    )
     bound.add_argument("--settings", required=True, metavar="FILE", help="a gateway's RELAY_CONFIG file")
     bound.add_argument("--operator", metavar="FILE", default="", help="operator file with [counting.terms]")
     bound.add_argument("--json", action="store_true", help="a list of objects in place of the table")
--- a/embersill/counting/keeper.py
+++ b/embersill/counting/keeper.py
@@ -43,8 +43,18 @@
     """A call that is out, and what it is for."""
 
     __slots__ = (
-        "action", "amount", "beat", "corrects", "kind", "moves", "name", "owed", "owed_right", "place",
-        "second", "sent",
+        "action",
+        "amount",
+        "beat",
+        "corrects",
+        "kind",
+        "moves",
+        "name",
+        "owed",
+        "owed_right",
+        "place",
+        "second",
+        "sent",
     )
 
     def __init__(self, kind: str, place: Place, name: str, amount: float, sent: float) -> None:
@@ -174,8 +184,7 @@
             return self.check(place, now)
         return [self.use(place, action, now)]
 
-    def answered(self, number: int, outcome: Outcome, elapsed: float, total: float, now: float
-                 ) -> list[Step]:
+    def answered(self, number: int, outcome: Outcome, elapsed: float, total: float, now: float) -> list[Step]:
         """A call has ended: once each, by its caller's patience at the latest."""
         out = self.out.pop(number, None)
         if out is None:
@@ -352,8 +361,9 @@
             wait = self.terms.back_off * 2.0 ** min(place.fails - 1, 16)
             place.quiet_until = now + min(wait, self.terms.most_back_off)
 
-    def added(self, number: int, out: Out, outcome: Outcome, elapsed: float, total: float, now: float
-              ) -> list[Step]:
+    def added(
+        self, number: int, out: Out, outcome: Outcome, elapsed: float, total: float, now: float
+    ) -> list[Step]:
         place, action = out.place, out.action
         account = place.accounts.get(out.name)
         if account is not None and out.corrects > 0:
@@ -407,8 +417,9 @@
         told = Outcome.NO_CONNECTION if proven else Outcome.TIMED_OUT
         return [Counted(out.action.name, told, elapsed, 0.0, True, out.action.call)]
 
-    def believe(self, place: Place, account: Account | None, action: Count, total: float, now: float
-                ) -> float:
+    def believe(
+        self, place: Place, account: Account | None, action: Count, total: float, now: float
+    ) -> float:
         """The sum as the module is to take it: never below what this gateway can know it to be."""
         if not action.running:  # one second's demand: those heard stand for those that are cut off
             return total / place.presence.heard_part(action.first, action.width, now)
--- a/embersill/counting/lines.py
+++ b/embersill/counting/lines.py
@@ -15,8 +15,7 @@
     """The connections to one counter; ends of calls go to the keeper by their numbers."""
 
     def __init__(self, counting: Counting, address: tuple[str, int]) -> None:
-        super().__init__(
-            counting.clock, address, counting.patience, counting.dial_timeout, counting.told)
+        super().__init__(counting.clock, address, counting.patience, counting.dial_timeout, counting.told)
         self.counting = counting
 
     def answered(self, call: CounterCall, outcome: Outcome, total: float) -> None:
@@ -34,7 +33,11 @@
     """Stands where a gateway's one counter stands: the module's calls go through a keeper to the counters."""
 
     def __init__(
-        self, keeper: Keeper, clock: Callable[[], float], patience: float, dial_timeout: float,
+        self,
+        keeper: Keeper,
+        clock: Callable[[], float],
+        patience: float,
+        dial_timeout: float,
         told: Callable[[Counted], None],
     ) -> None:
         self.keeper, self.clock, self.told = keeper, clock, told
--- a/embersill/counting/presence.py
+++ b/embersill/counting/presence.py
@@ -112,7 +112,8 @@
         """Whether any gateway may be at another half: absent, or not heard yet since this one started."""
         return any(
             not known.ever and gateway != self.me or self.state(gateway, now) == ABSENT
-            for gateway, known in self.seen.items())
+            for gateway, known in self.seen.items()
+        )
 
     def state(self, gateway: int, now: float, read_at: float | None = None) -> str:
         known = self.seen.get(gateway)
--- a/embersill/emulator/counter.py
+++ b/embersill/emulator/counter.py
@@ -52,8 +52,15 @@
             self.kernel.at(now + self.patience, told, Outcome.TIMED_OUT, 0.0, self.patience)
         return self.kernel.at(done, self.add, name, amount, life, None if late else told, now, back)
 
-    def add(self, name: str, amount: float, life: float, told: Callable[[Outcome, float, float], None] | None,
-            began: float, back: float) -> None:
+    def add(
+        self,
+        name: str,
+        amount: float,
+        life: float,
+        told: Callable[[Outcome, float, float], None] | None,
+        began: float,
+        back: float,
+    ) -> None:
         now = self.kernel.now
         total, until = self.sums.get(name, (0.0, 0.0))
         if until <= now:
--- a/embersill/emulator/demand.py
+++ b/embersill/emulator/demand.py
@@ -62,8 +62,9 @@
     widths: tuple[int, int]
 
 
-def draw_customers(chance: random.Random, mixes: list[Mix], gateways: int, units_a_second: float,
-                   seconds: float) -> list[Customer]:
+def draw_customers(
+    chance: random.Random, mixes: list[Mix], gateways: int, units_a_second: float, seconds: float
+) -> list[Customer]:
     """Customers who together ask for about so many units a second inside their quotas."""
     made: list[Customer] = []
     calm = chance.uniform(*CALM_USE)
@@ -114,8 +115,9 @@
     return calm, [(0.0, seconds, calm)]
 
 
-def draw_tries(chance: random.Random, customers: list[Customer], classes: list[tuple[str, float]],
-               guess_cv: float) -> list[Try]:
+def draw_tries(
+    chance: random.Random, customers: list[Customer], classes: list[tuple[str, float]], guess_cv: float
+) -> list[Try]:
     """All first tries in order of time: Poisson within each spell."""
     sigma = math.sqrt(math.log(1.0 + guess_cv**2))
     names, parts = [name for name, _ in classes], [part for _, part in classes]
--- a/embersill/emulator/fleet.py
+++ b/embersill/emulator/fleet.py
@@ -11,8 +11,24 @@
 from embersill.emulator.demand import Try
 from embersill.emulator.stores import Ledger
 from embersill.interface import (
-    Action, AttemptEnded, Backend, BackendList, Cancel, Count, Counted, Event, Fail, ListKind, Outcome,
-    Refuse, Request, Send, SetTimer, Settings, Status, TimerDue,
+    Action,
+    AttemptEnded,
+    Backend,
+    BackendList,
+    Cancel,
+    Count,
+    Counted,
+    Event,
+    Fail,
+    ListKind,
+    Outcome,
+    Refuse,
+    Request,
+    Send,
+    SetTimer,
+    Settings,
+    Status,
+    TimerDue,
 )
 from embersill.world.kernel import Kernel, Node
 
@@ -93,8 +109,19 @@
         self.asked[self.count] = Asked(one, again)
         klass = self.gateway.classes[one.klass]
         who = one.customer
-        self.tell(Request(self.count, one.klass, who.plan.name, who.name, self.clock() + klass.deadline,
-                          one.units, who.width, who.first, again > 0))
+        self.tell(
+            Request(
+                self.count,
+                one.klass,
+                who.plan.name,
+                who.name,
+                self.clock() + klass.deadline,
+                one.units,
+                who.width,
+                who.first,
+                again > 0,
+            )
+        )
 
 
 class Fleet:
@@ -104,11 +131,13 @@
         self.site, self.tries = site, tries
         self.kernel = Kernel(seed, most_events=20_000_000)
         self.counter = CrowdedCounter(
-            self.kernel, site.calls_a_second, site.parts, site.work, site.settings.counter_patience)
+            self.kernel, site.calls_a_second, site.parts, site.work, site.settings.counter_patience
+        )
         self.counter.down = site.down
         self.backends = tuple(
             Backend(f"b{n}", site.settings.zone, KINDS[n % 2], n // 4, Status.SERVING, 1.0, None)
-            for n in range(site.backends))
+            for n in range(site.backends)
+        )
         self.ledger = Ledger({c.name: c.worth for c in site.settings.classes})
         self.chance: random.Random = self.kernel.stream("day")
         self.nodes = [FleetNode(self, n) for n in range(site.settings.gateways)]
@@ -147,8 +176,18 @@
         if asked.inside:
             self.ledger.settled(asked.one, self.kernel.now)
         node.asked.pop(action.request, None)
-        node.tell(AttemptEnded(action.request, asked.sends - 1, action.backend, Outcome.SERVED, took, True,
-                               asked.one.true_units, ()))
+        node.tell(
+            AttemptEnded(
+                action.request,
+                asked.sends - 1,
+                action.backend,
+                Outcome.SERVED,
+                took,
+                True,
+                asked.one.true_units,
+                (),
+            )
+        )
 
     def turned_away(self, node: FleetNode, request: int) -> None:
         asked = node.asked.pop(request)
--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -318,8 +318,24 @@
 
 
 Event = (
-    Request | BackendList | ClientLeft | StreamBegun | AttemptEnded | Counted | Probed | TimerDue | Allotted
-    | Inherited | Question | Ruled | Held | Shared | Configured | Lent | Sliced | Others
+    Request
+    | BackendList
+    | ClientLeft
+    | StreamBegun
+    | AttemptEnded
+    | Counted
+    | Probed
+    | TimerDue
+    | Allotted
+    | Inherited
+    | Question
+    | Ruled
+    | Held
+    | Shared
+    | Configured
+    | Lent
+    | Sliced
+    | Others
 )
 
 
--- a/embersill/lab/__main__.py
+++ b/embersill/lab/__main__.py
@@ -20,8 +20,16 @@
 from embersill.lab.fuzzing import command as fuzzing
 
 REFRESH = 0.5  # seconds between looks at the figures
-RULES = ("answers_none", "answers_two", "answers_wrong", "unsafe_twice", "keyed_twice", "refused_after_run",
-         "late_drain_sends", "ceiling_over_slack")
+RULES = (
+    "answers_none",
+    "answers_two",
+    "answers_wrong",
+    "unsafe_twice",
+    "keyed_twice",
+    "refused_after_run",
+    "late_drain_sends",
+    "ceiling_over_slack",
+)
 
 
 def table(deployment: Deployment, began: float, before: dict[str, float]) -> Table:
@@ -46,19 +54,33 @@
     shown.caption = (
         f"{rate:.0f} tries/s; {figures['tries']:.0f} asked, {figures['served']:.0f} served, "
         f"{figures['refused']:.0f} refused, {figures['failed']:.0f} failed; "
-        f"median {figures['median_ms']} ms, p99 {figures['p99_ms']} ms; rules broken: {broken or 'none'}")
+        f"median {figures['median_ms']} ms, p99 {figures['p99_ms']} ms; rules broken: {broken or 'none'}"
+    )
     shown.caption_justify = "left"
     return shown
 
 
 async def run_deployment(options: argparse.Namespace) -> dict[str, Any]:
     fronts = options.gateways or options.forwarders
-    deployment = Deployment(Shape(
-        fronts=fronts, planners=0 if options.gateways else options.planners, backends=options.backends,
-        rate=options.rate, seed=options.seed, customers=options.customers))
-    playing = asyncio.create_task(play(
-        deployment, options.seconds, trouble_every=options.trouble_every, drain_every=options.drain_every,
-        restart_front_every=options.restart_front_every))
+    deployment = Deployment(
+        Shape(
+            fronts=fronts,
+            planners=0 if options.gateways else options.planners,
+            backends=options.backends,
+            rate=options.rate,
+            seed=options.seed,
+            customers=options.customers,
+        )
+    )
+    playing = asyncio.create_task(
+        play(
+            deployment,
+            options.seconds,
+            trouble_every=options.trouble_every,
+            drain_every=options.drain_every,
+            restart_front_every=options.restart_front_every,
+        )
+    )
     began, before = time.monotonic(), dict[str, float]()
     console = Console(stderr=not sys.stdout.isatty())
     with Live(console=console, auto_refresh=False, transient=False) as live:
@@ -84,12 +106,27 @@
     parser.add_argument("--customers", type=int, default=60)
     parser.add_argument("--rate", type=float, default=200.0, help="tries a second")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--trouble-every", type=float, default=3.0, metavar="S",
-                        help="kill or pause a planner every S seconds; 0: never")
-    parser.add_argument("--drain-every", type=float, default=2.0, metavar="S",
-                        help="drain a backend, or bring it back, every S seconds; 0: never")
-    parser.add_argument("--restart-front-every", type=float, default=0.0, metavar="S",
-                        help="kill and restart a front machine every S seconds; 0: never")
+    parser.add_argument(
+        "--trouble-every",
+        type=float,
+        default=3.0,
+        metavar="S",
+        help="kill or pause a planner every S seconds; 0: never",
+    )
+    parser.add_argument(
+        "--drain-every",
+        type=float,
+        default=2.0,
+        metavar="S",
+        help="drain a backend, or bring it back, every S seconds; 0: never",
+    )
+    parser.add_argument(
+        "--restart-front-every",
+        type=float,
+        default=0.0,
+        metavar="S",
+        help="kill and restart a front machine every S seconds; 0: never",
+    )
     others = parser.add_subparsers(title="other commands")
     commands.add_to(others)
     fuzzing.add_to(others)
--- a/embersill/lab/agreement.py
+++ b/embersill/lab/agreement.py
@@ -44,8 +44,14 @@
 BEGIN = 1000.0  # of the sequence's clock: long after the gateways' start, so that all ceilings are full
 AT_ONCE = 1e-7  # seconds that a try may be held: an answer by the protocol can't be
 RULES = [
-    {"domain": "lookup", "match": {"settle": "*"}, "customer": "customer", "plan_from": "plan",
-     "mode": "settle", "spread": 1},
+    {
+        "domain": "lookup",
+        "match": {"settle": "*"},
+        "customer": "customer",
+        "plan_from": "plan",
+        "mode": "settle",
+        "spread": 1,
+    },
     {"domain": "lookup", "match": {}, "customer": "customer", "plan_from": "plan", "spread": 1},
 ]
 
@@ -79,8 +85,11 @@
     """One gateway; `pro` has a ceiling that binds in bursts, the others quotas that bind all the time."""
     made = lab_settings(1)
     basis, pro = made.plans[0], made.plans[1]
-    plans = (basis, replace(basis, name="plus", rate=9.0, burst=27.0),
-             replace(pro, rate=40.0, burst=400.0, ceiling_rate=14.0, ceiling_depth=30.0))
+    plans = (
+        basis,
+        replace(basis, name="plus", rate=9.0, burst=27.0),
+        replace(pro, rate=40.0, burst=400.0, ceiling_rate=14.0, ceiling_depth=30.0),
+    )
     return replace(made, plans=plans, counter=False)
 
 
@@ -95,8 +104,13 @@
         self.settings = agreement_settings()
         self.now = BEGIN
         self.gateway = Gateway(self.settings, 1, 0.0)
-        self.gateway.handle(BackendList(ListKind.WHOLE, tuple(
-            Backend(f"b{n}", "z", "k", 0, Status.SERVING, 1.0, None) for n in range(4))), 0.0)
+        self.gateway.handle(
+            BackendList(
+                ListKind.WHOLE,
+                tuple(Backend(f"b{n}", "z", "k", 0, Status.SERVING, 1.0, None) for n in range(4)),
+            ),
+            0.0,
+        )
 
     async def start(self) -> None: ...
 
@@ -109,8 +123,9 @@
 class OwnThrottle(Door):
     async def passes(self, number: int, one: Try) -> bool:
         self.now = one.at
-        asked = Request(number, "lookup", one.plan, one.customer, one.at + AT_ONCE, float(one.units), 1, 0,
-                        False)
+        asked = Request(
+            number, "lookup", one.plan, one.customer, one.at + AT_ONCE, float(one.units), 1, 0, False
+        )
         sent = [a for a in self.gateway.handle(asked, one.at) if isinstance(a, Send)]
         if sent:
             self.gateway.handle(served(number, sent[0], one), one.at)
@@ -123,9 +138,21 @@
         self.limiter = Limiter(limits, lambda: self.now)
         self.limiter.keep_asked = False
         await self.limiter.start()
-        table = msgspec.convert({"ask": {
-            "services": [self.limiter.address], "domain": "lookup", "plans": list(limits), "settle": "ask",
-            "timeout": 5.0, "within": 5.0, "within_part": 0.5, "late": 10.0}}, RateLimitTable).ask
+        table = msgspec.convert(
+            {
+                "ask": {
+                    "services": [self.limiter.address],
+                    "domain": "lookup",
+                    "plans": list(limits),
+                    "settle": "ask",
+                    "timeout": 5.0,
+                    "within": 5.0,
+                    "within_part": 0.5,
+                    "late": 10.0,
+                }
+            },
+            RateLimitTable,
+        ).ask
         assert table is not None
         self.asking = AskingGateway(self.gateway, table, lambda: self.now)
         self.asking.perform = self.perform
@@ -155,8 +182,7 @@
 
 class AskedByOther(Door):
     async def start(self) -> None:
-        table = msgspec.convert(
-            {"answer": {"listen": f"{HOST}:0", "rules": RULES}}, RateLimitTable).answer
+        table = msgspec.convert({"answer": {"listen": f"{HOST}:0", "rules": RULES}}, RateLimitTable).answer
         assert table is not None
         self.server = RateLimitServer(table, Answering(table, self.settings, self.decide))
         await self.server.start()
--- a/embersill/lab/council/generate.py
+++ b/embersill/lab/council/generate.py
@@ -9,9 +9,32 @@
 from embersill.world.schedules import Schedule, Step
 from embersill.world.swarm import log_uniform, some_of
 
-KINDS = ("cut", "one way", "hold", "part", "chain", "kill", "power", "lost disk", "old disk", "pause",
-         "clone", "forge", "billing", "all killed", "full", "leave", "owner by turns", "slow renewal",
-         "slow taking", "forgetful", "power in the middle", "owner cut off", "forged vacancy", "ill use")
+KINDS = (
+    "cut",
+    "one way",
+    "hold",
+    "part",
+    "chain",
+    "kill",
+    "power",
+    "lost disk",
+    "old disk",
+    "pause",
+    "clone",
+    "forge",
+    "billing",
+    "all killed",
+    "full",
+    "leave",
+    "owner by turns",
+    "slow renewal",
+    "slow taking",
+    "forgetful",
+    "power in the middle",
+    "owner cut off",
+    "forged vacancy",
+    "ill use",
+)
 BEGIN = 1.5  # seconds: all have founded, and hold something
 SECONDS = 6.0
 
@@ -20,19 +43,26 @@
     members = chance.choice((3, 3, 3, 5, 5, 2, 1))
     weather: dict[str, float] = {}
     if chance.random() < 0.5:
-        weather = {"lost": round(log_uniform(chance, 0.005, 0.2), 3),
-                   "doubled": round(log_uniform(chance, 0.005, 0.2), 3),
-                   "reordered": round(log_uniform(chance, 0.01, 0.5), 3),
-                   "most": chance.choice((0.004, 0.04))}
+        weather = {
+            "lost": round(log_uniform(chance, 0.005, 0.2), 3),
+            "doubled": round(log_uniform(chance, 0.005, 0.2), 3),
+            "reordered": round(log_uniform(chance, 0.01, 0.5), 3),
+            "most": chance.choice((0.004, 0.04)),
+        }
     if chance.random() < 0.3:
         stall = round(log_uniform(chance, 0.01, 0.1), 3)
         weather |= {"stall": stall, "stall_most": chance.choice((0.3, 2.0))}
     drifts = [round(chance.uniform(-0.024, 0.024), 4) for _ in range(members)]
     if chance.random() < 0.4:
         drifts = [chance.choice((-0.024, 0.024)) for _ in range(members)]
-    shape: dict[str, Any] = {"members": members, "weather": weather, "drifts": drifts, "seconds": SECONDS,
-                             "late_effects": chance.choice((0.0, 0.05, 0.3)),
-                             "bad": [f"b{n}" for n in range(12) if chance.random() < 0.15]}
+    shape: dict[str, Any] = {
+        "members": members,
+        "weather": weather,
+        "drifts": drifts,
+        "seconds": SECONDS,
+        "late_effects": chance.choice((0.0, 0.05, 0.3)),
+        "bad": [f"b{n}" for n in range(12) if chance.random() < 0.15],
+    }
     draw = chance.random()
     if draw < 0.25:
         shape["terms"] = {"lease": 0.3, "renew_every": 0.08, "attempt": 0.1, "stagger": 0.0}
@@ -73,8 +103,9 @@
         self.steps.sort(key=lambda step: step.at)
         return Schedule(self.seed, self.shape, self.steps)
 
-    def add(self, what: str, at: float, who: str = "", to: str = "", seconds: float = 0.0,
-            **args: Any) -> None:
+    def add(
+        self, what: str, at: float, who: str = "", to: str = "", seconds: float = 0.0, **args: Any
+    ) -> None:
         self.steps.append(Step(what, round(at, 3), who=who, to=to, seconds=round(seconds, 3), args=args))
 
     def trouble(self, kind: str, at: float) -> None:
@@ -124,14 +155,24 @@
             for name in names:  # what was used and closed is with the process alone, which then dies
                 begin = chance.uniform(BEGIN, SECONDS - 2.0)
                 self.add("full", begin, name, seconds=2.0, only="use")
-                self.add("kill", begin + chance.uniform(0.5, 1.8), name, seconds=0.2,
-                         disk=chance.choice(("keep", "keep", "power")))
+                self.add(
+                    "kill",
+                    begin + chance.uniform(0.5, 1.8),
+                    name,
+                    seconds=0.2,
+                    disk=chance.choice(("keep", "keep", "power")),
+                )
         elif kind == "billing":
             self.add("billing", at, seconds=seconds, how=chance.choice(("silent", "late", "busy")))
         elif kind == "all killed":
             for name in names:
-                self.add("kill", at + chance.uniform(0.0, 0.05), name, seconds=seconds * chance.random(),
-                         disk=chance.choice(("keep", "power")))
+                self.add(
+                    "kill",
+                    at + chance.uniform(0.0, 0.05),
+                    name,
+                    seconds=seconds * chance.random(),
+                    disk=chance.choice(("keep", "power")),
+                )
         elif kind == "full":
             self.add("full", at, who, seconds=seconds)
         elif kind == "leave":
@@ -154,16 +195,24 @@
             most = sorted(set(names) - set(few))
             self.add("part", at, seconds=1.0, groups=[few, most])
             self.add("kill", at + 0.95, who, seconds=0.06, disk="empty")
-            self.add("part", at + 1.0, seconds=1.5,
-                     groups=[sorted([*few, who]), sorted(set(most) - {who})])
+            self.add("part", at + 1.0, seconds=1.5, groups=[sorted([*few, who]), sorted(set(most) - {who})])
         elif kind == "power in the middle":
             for name in names:
-                self.add("kill", at + chance.uniform(0.0, 0.004), name, seconds=chance.uniform(0.05, 0.4),
-                         disk="power")
+                self.add(
+                    "kill",
+                    at + chance.uniform(0.0, 0.004),
+                    name,
+                    seconds=chance.uniform(0.05, 0.4),
+                    disk="power",
+                )
         elif kind == "owner by turns":
             for n, name in enumerate(chance.sample(names, len(names))):
-                self.add(chance.choice(("pause", "kill")), at + n * chance.uniform(0.2, 0.8), name,
-                         seconds=chance.uniform(0.3, 1.2))
+                self.add(
+                    chance.choice(("pause", "kill")),
+                    at + n * chance.uniform(0.2, 0.8),
+                    name,
+                    seconds=chance.uniform(0.3, 1.2),
+                )
 
 
 def generate(seed: int, focus: Sequence[str] = ()) -> Schedule:
--- a/embersill/lab/council/model.py
+++ b/embersill/lab/council/model.py
@@ -11,7 +11,6 @@
 from embersill.world.oracles import Broken
 
 
-
 class WorldFiles:
     """A world's disk as the journal wants it. A file that is copied is another."""
 
@@ -83,8 +82,11 @@
 
     def came(self, effect: Effect, now: float) -> None:
         if self.owners.setdefault(effect.number, effect.owner) != effect.owner:
-            raise Broken("one owner", now, f"number {effect.number} is both {effect.owner}'s and "
-                                           f"{self.owners[effect.number]}'s")
+            raise Broken(
+                "one owner",
+                now,
+                f"number {effect.number} is both {effect.owner}'s and " f"{self.owners[effect.number]}'s",
+            )
         if (effect.number, effect.sequence) <= self.highest:
             self.late += effect.number < self.highest[0]
             return
@@ -124,16 +126,24 @@
             for batch in booked.body["batches"]:
                 stream, number = batch["stream"], batch["number"]
                 if number != last.get(stream, 0) + 1:
-                    raise Broken("each unit once", now, f"batch {number} of {stream} after "
-                                                        f"{last.get(stream, 0)}")
+                    raise Broken(
+                        "each unit once", now, f"batch {number} of {stream} after " f"{last.get(stream, 0)}"
+                    )
                 last[stream] = number
                 units[stream] = units.get(stream, 0.0) + sum(u for _, _, u in batch["uses"])
         for stream, found in units.items():
             if found > self.high.get(stream, 0.0) + 1e-6:
-                raise Broken("each unit once", now, f"{found:g} units of {stream} where "
-                                                    f"{self.high.get(stream, 0.0):g} at most were noted")
+                raise Broken(
+                    "each unit once",
+                    now,
+                    f"{found:g} units of {stream} where "
+                    f"{self.high.get(stream, 0.0):g} at most were noted",
+                )
         for stream in alive:
             least = sum(kind.get(stream, 0.0) for kind in (self.low, self.pending, self.unwritten))
             if units.get(stream, 0.0) < least - 1e-6:
-                raise Broken("each unit once", now, f"{units.get(stream, 0.0):g} units of {stream} where "
-                                                    f"{least:g} were noted")
+                raise Broken(
+                    "each unit once",
+                    now,
+                    f"{units.get(stream, 0.0):g} units of {stream} where " f"{least:g} were noted",
+                )
--- a/embersill/lab/council/search.py
+++ b/embersill/lab/council/search.py
@@ -24,9 +24,34 @@
 
 NAMES = ("m0", "m1", "m2")
 KEY = "k"
-SKIPPED = frozenset({"chance", "counts", "took", "writes_took", "done", "change", "on_entry", "on_learned",
-                     "on_retired", "terms", "born", "hello_at", "peers", "began", "until", "phase_until",
-                     "now", "records", "marks", "mark", "safe", "life_mark", "outbox", "steps"})
+SKIPPED = frozenset(
+    {
+        "chance",
+        "counts",
+        "took",
+        "writes_took",
+        "done",
+        "change",
+        "on_entry",
+        "on_learned",
+        "on_retired",
+        "terms",
+        "born",
+        "hello_at",
+        "peers",
+        "began",
+        "until",
+        "phase_until",
+        "now",
+        "records",
+        "marks",
+        "mark",
+        "safe",
+        "life_mark",
+        "outbox",
+        "steps",
+    }
+)
 
 
 @dataclass(frozen=True)
@@ -77,10 +102,14 @@
         steps += [f"bring {n}" for n in range(len(self.messages))]
         if self.lates < bounds.lates:
             steps += [f"late {n}" for n, message in enumerate(self.messages) if isinstance(message.what, Ask)]
-        steps += [f"again {name}" for name, member in self.members.items()
-                  if member.operations and self.agains[name] < bounds.agains]
-        steps += [f"forget {name}" for name in bounds.forgets if name not in self.forgot
-                  and name not in self.open]
+        steps += [
+            f"again {name}"
+            for name, member in self.members.items()
+            if member.operations and self.agains[name] < bounds.agains
+        ]
+        steps += [
+            f"forget {name}" for name in bounds.forgets if name not in self.forgot and name not in self.open
+        ]
         return steps
 
     def step(self, name: str) -> None:
@@ -159,8 +188,11 @@
             self.history.append(Op(began, self.steps, found))
 
     def judge(self) -> None:
-        unsure = [Op(began, math.inf, before, value, sure=False)
-                  for began, tried in self.open.values() for before, value in tried]
+        unsure = [
+            Op(began, math.inf, before, value, sure=False)
+            for began, tried in self.open.values()
+            for before, value in tried
+        ]
         if not is_linearizable([*self.history, *unsure]):
             raise Broken("register", self.steps, f"no order explains {self.history}")
 
@@ -171,10 +203,20 @@
         history = [(rank[op.began], rank[op.ended], op.found, op.value, op.sure) for op in self.history]
         opened = sorted((who, rank[began], tuple(tried)) for who, (began, tried) in self.open.items())
         messages = sorted(repr((m.sender, m.to, m.number, m.what)) for m in self.messages)
-        members = {name: (member.register, member.operations, member.ready, member.highest)
-                   for name, member in self.members.items()}
-        state = (members, messages, history, opened, sorted(self.begun), self.agains, self.lates,
-                 sorted(self.forgot))
+        members = {
+            name: (member.register, member.operations, member.ready, member.highest)
+            for name, member in self.members.items()
+        }
+        state = (
+            members,
+            messages,
+            history,
+            opened,
+            sorted(self.begun),
+            self.agains,
+            self.lates,
+            sorted(self.forgot),
+        )
         return digest_of(state, SKIPPED, ({},))
 
 
@@ -191,6 +233,12 @@
 def search(depth: int, most_states: int, processes: int, bounds: Bounds | None = None) -> dict[str, Any]:
     """The search's figures; `way` is the shortest way to a breach, if there is one."""
     found = searching.search(partial(make, bounds or Bounds()), depth, most_states, processes)
-    return {"states_explored": found.states, "steps": found.steps, "depth": found.depth,
-            "search_complete": found.complete, "widths": found.widths, "broken": found.broken,
-            "way": found.way}
+    return {
+        "states_explored": found.states,
+        "steps": found.steps,
+        "depth": found.depth,
+        "search_complete": found.complete,
+        "widths": found.widths,
+        "broken": found.broken,
+        "way": found.way,
+    }
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -87,8 +87,9 @@
         self.uses.open(f"{me}.{self.chance.getrandbits(32):08x}")
         self.tally = self.uses.tally
         register.begin(f"{self.chance.getrandbits(64):016x}")
-        self.seat = Seat(register, world.terms, self.chance, now, tally=self.tally,
-                         probes=ProbeSettings(), others=(WORK,))
+        self.seat = Seat(
+            register, world.terms, self.chance, now, tally=self.tally, probes=ProbeSettings(), others=(WORK,)
+        )
         for post in self.seat.posts.values():
             post.on_change = self.changed
         register.on_entry = self.entry_seen
@@ -160,7 +161,8 @@
                 self.desk.handle(ask, self.local(number), self.clock())
             else:
                 self.world.datagrams.send(
-                    self, self.world.nodes[to], self.world.asked, self, self.life, number, ask, to)
+                    self, self.world.nodes[to], self.world.asked, self, self.life, number, ask, to
+                )
         self.flush()
 
     def local(self, number: int) -> Callable[[Answer], None]:  # type: ignore[override]
@@ -304,10 +306,15 @@
         key = post.office, post.mine.number
         mine = f"{node.name}/{node.life}"
         if self.takes.setdefault(key, mine) != mine:
-            raise Broken("number grows", self.kernel.now, f"{post.office} no. {post.mine.number} is taken by "
-                                                          f"{mine} and was by {self.takes[key]}")
-        before = max((number for office, number in self.takes if office == post.office
-                      and number != post.mine.number), default=0)
+            raise Broken(
+                "number grows",
+                self.kernel.now,
+                f"{post.office} no. {post.mine.number} is taken by " f"{mine} and was by {self.takes[key]}",
+            )
+        before = max(
+            (number for office, number in self.takes if office == post.office and number != post.mine.number),
+            default=0,
+        )
         if post.mine.number < before:
             text = f"{post.office} no. {post.mine.number} after {before}"
             raise Broken("number grows", self.kernel.now, text)
@@ -316,8 +323,12 @@
     def entry_seen(self, node: MemberNode, key: str, entry: Entry) -> None:
         """A member has accepted an entry: whoever is watched for as it takes the work hears of it late."""
         held = read_held(entry)
-        if self.kernel.now < self.watching and key == PREFIX + WORK and held.holder not in (
-                "", node.member_name) and not held.beat:
+        if (
+            self.kernel.now < self.watching
+            and key == PREFIX + WORK
+            and held.holder not in ("", node.member_name)
+            and not held.beat
+        ):
             self.watching = -1.0
             for name in self.names:
                 self.network.hold_for(name, held.holder, 0.12)
@@ -326,8 +337,11 @@
     def look(self) -> None:
         """At every moment at most one process takes itself to hold an office."""
         for office in OFFICES:
-            holders = [node.name for node in self.all_nodes()
-                       if node.alive and node.life and node.seat.posts[office].held(node.clock())]
+            holders = [
+                node.name
+                for node in self.all_nodes()
+                if node.alive and node.life and node.seat.posts[office].held(node.clock())
+            ]
             if holders:
                 self.held_at[office] = self.kernel.now
             if len(holders) > 1:
@@ -346,8 +360,12 @@
             seen = node.seat.posts[act.office].seen
             owner = seen.held.holder if seen is not None and seen.held.number == act.number else ""
         if owner.partition("/")[0].partition("+")[0] != ask.origin.name:
-            raise Broken("fence", self.kernel.now, f"{node.name} takes no. {act.number} of {act.office} from "
-                                                   f"{ask.origin.name}, and it is {owner or 'nobody'}'s")
+            raise Broken(
+                "fence",
+                self.kernel.now,
+                f"{node.name} takes no. {act.number} of {act.office} from "
+                f"{ask.origin.name}, and it is {owner or 'nobody'}'s",
+            )
         key = act.office, node.life, node.name
         if (act.number, act.sequence) <= self.taken.get(key, (0, 0)):
             raise Broken("fence", self.kernel.now, f"{node.name} takes {act} after {self.taken[key]}")
@@ -412,8 +430,11 @@
     # billing
 
     def call_billing(self, node: MemberNode, call: Call, come: Callable[[Answered], None]) -> None:
-        headers = {"office-number": str(call.permit.act.number), "office-holder": f"{node.name}/{node.life}",
-                   "if-position": str(call.position)}
+        headers = {
+            "office-number": str(call.permit.act.number),
+            "office-holder": f"{node.name}/{node.life}",
+            "if-position": str(call.position),
+        }
         body = b"" if call.body is None else json.dumps(call.body).encode()
         way = self.kernel.now + node.chance.uniform(0.001, 0.01)
         if node.chance.random() < self.late_effects:
@@ -421,8 +442,14 @@
         method = "PUT" if call.body is None else "POST"
         self.kernel.at(way, self.billing_came, node, method, headers, body, come)
 
-    def billing_came(self, node: MemberNode, method: str, headers: dict[str, str], body: bytes,
-                     come: Callable[[Answered], None]) -> None:
+    def billing_came(
+        self,
+        node: MemberNode,
+        method: str,
+        headers: dict[str, str],
+        body: bytes,
+        come: Callable[[Answered], None],
+    ) -> None:
         now = self.kernel.now
         if now < self.billing_until.get("busy", 0.0):
             return None
@@ -446,8 +473,14 @@
     def do(self, step: Step) -> None:
         now = self.kernel.now
         if step.who.startswith("@"):  # whoever holds that office now
-            holder = next((node.name for node in self.nodes.values() if node.alive and
-                           node.seat.posts[step.who[1:]].held(node.clock())), "")
+            holder = next(
+                (
+                    node.name
+                    for node in self.nodes.values()
+                    if node.alive and node.seat.posts[step.who[1:]].held(node.clock())
+                ),
+                "",
+            )
             if not holder:
                 return
             step = msgspec.structs.replace(step, who=holder)
@@ -508,8 +541,10 @@
 
     def may_lose(self, node: MemberNode) -> bool:
         """Whether a majority would still have its memory: with fewer the council stands still, as it says."""
-        have = sum(other is not node and other.life > 0 and other.seat.register.votes
-                   for other in self.nodes.values())
+        have = sum(
+            other is not node and other.life > 0 and other.seat.register.votes
+            for other in self.nodes.values()
+        )
         return have >= majority(len(self.names))
 
     def die(self, node: MemberNode, power: bool = False) -> None:
@@ -621,8 +656,12 @@
             return
         votes = [node for node in self.nodes.values() if node.seat.register.votes]
         if len(votes) < majority(len(self.names)):
-            raise Broken("all heals", now, f"only {len(votes)} of {len(self.names)} members vote: "
-                         + "; ".join(node.seat.member.why for node in self.nodes.values()))
+            raise Broken(
+                "all heals",
+                now,
+                f"only {len(votes)} of {len(self.names)} members vote: "
+                + "; ".join(node.seat.member.why for node in self.nodes.values()),
+            )
         for office in OFFICES:
             if self.held_at.get(office, 0.0) < now - EMPTY_AT_MOST:
                 raise Broken("all heals", now, f"nobody holds {office}")
--- a/embersill/lab/counting/judge.py
+++ b/embersill/lab/counting/judge.py
@@ -83,8 +83,10 @@
         self.beyond_units += max(units - room, 0.0)
         customer.room, customer.room_at = max(room - units, 0.0), now
         if customer.ceiling_rate > 0:
-            level = min(customer.ceiling_depth,
-                        customer.cap + customer.ceiling_rate * (now - customer.cap_at)) - units
+            level = (
+                min(customer.ceiling_depth, customer.cap + customer.ceiling_rate * (now - customer.cap_at))
+                - units
+            )
             customer.cap, customer.cap_at = level, now
             self.lowest_cap = min(self.lowest_cap, level)
             if level < -self.slack - EPS:
--- a/embersill/lab/counting/world.py
+++ b/embersill/lab/counting/world.py
@@ -83,7 +83,8 @@
         seed = world.kernel.stream(f"{self.name} {self.life}").getrandbits(32)
         kept: bool = shape.get("keeper", True)
         self.gateway = Gateway(
-            replace(world.settings, me=self.number), seed, now - world.settled_before(self), repays=kept)
+            replace(world.settings, me=self.number), seed, now - world.settled_before(self), repays=kept
+        )
         self.told, self.leaving = {}, False
         self.keeper = Keeper(world.terms, self.number, world.gateways, world.counting) if kept else None
         self.tell(BackendList(ListKind.WHOLE, BACKENDS))
@@ -148,11 +149,24 @@
             self.perform(keeper.answered(call.id, outcome, took, total, self.clock()))
 
         counter = next(c for c in self.world.counters if c.name == call.place)
-        self.make_call(counter, call.name, call.amount, call.forget_after, ended,
-                       lambda: keeper.late(call.id, self.clock()))
-
-    def make_call(self, counter: ModelCounter, name: str, amount: float, life: float,
-                  ended: Callable[[Outcome, float, float], None], late: Callable[[], None] | None) -> None:
+        self.make_call(
+            counter,
+            call.name,
+            call.amount,
+            call.forget_after,
+            ended,
+            lambda: keeper.late(call.id, self.clock()),
+        )
+
+    def make_call(
+        self,
+        counter: ModelCounter,
+        name: str,
+        amount: float,
+        life: float,
+        ended: Callable[[Outcome, float, float], None],
+        late: Callable[[], None] | None,
+    ) -> None:
         patience = self.world.settings.counter_patience
         over, number = [False], self.life
 
@@ -229,8 +243,11 @@
     # troubles
 
     def troubles_in(self, epoch: int) -> list[str]:
-        return [what for what, begin, end in self.troubled
-                if begin <= (epoch + 1) * EPOCH and end + TOUCHES >= epoch * EPOCH]
+        return [
+            what
+            for what, begin, end in self.troubled
+            if begin <= (epoch + 1) * EPOCH and end + TOUCHES >= epoch * EPOCH
+        ]
 
     def trouble(self, what: str, seconds: float = 0.0) -> None:
         self.troubled.append((what, self.now(), self.now() + seconds))
@@ -324,8 +341,19 @@
         self.asked[self.requests] = name, units, 0
         self.counts["tries"] += 1
         self.judge.asked(self.trouble_now())
-        node.tell(Request(self.requests, "lookup", told["plan"], name, node.clock() + 8.0, units, width,
-                          told["first"], False))
+        node.tell(
+            Request(
+                self.requests,
+                "lookup",
+                told["plan"],
+                name,
+                node.clock() + 8.0,
+                units,
+                width,
+                told["first"],
+                False,
+            )
+        )
 
     def sent(self, node: GatewayNode, action: Send) -> None:
         name, units, attempts = self.asked[action.request]
@@ -340,8 +368,11 @@
             if self.judge.breached_ceilings:
                 raise Broken("ceiling", self.kernel.now, f"{self.judge.breached_ceilings[0]}")
         took = 0.02 + 0.06 * node.world.customers[name]["chance"].random()
-        node.after(took, node.tell, AttemptEnded(
-            action.request, attempts, action.backend, Outcome.SERVED, took, True, 0.0, ()))
+        node.after(
+            took,
+            node.tell,
+            AttemptEnded(action.request, attempts, action.backend, Outcome.SERVED, took, True, 0.0, ()),
+        )
 
     def turned_away(self, request: int) -> None:
         name, units, attempts = self.asked[request]
@@ -353,15 +384,21 @@
         self.counts["with_room"] += had
         told = self.customers[name]
         if had and told["asks"] <= STEADY and self.calm():
-            raise Broken("starved", self.kernel.now,
-                         f"{name} asks for {told['asks']:.2f} of its quota and is refused in calm")
+            raise Broken(
+                "starved",
+                self.kernel.now,
+                f"{name} asks for {told['asks']:.2f} of its quota and is refused in calm",
+            )
 
     def calm(self) -> bool:
         """No trouble for long, nor in this epoch: nothing that was unsure is left."""
         now = self.now()
         last = max((end for _, _, end in self.troubled), default=-math.inf)
-        return self.kernel.now > CALM_AFTER and now > max(
-            last + CALM_AFTER, math.floor(now / EPOCH) * EPOCH + TOUCHES) and last < now // EPOCH * EPOCH
+        return (
+            self.kernel.now > CALM_AFTER
+            and now > max(last + CALM_AFTER, math.floor(now / EPOCH) * EPOCH + TOUCHES)
+            and last < now // EPOCH * EPOCH
+        )
 
     # a run
 
@@ -373,8 +410,12 @@
             width = min(told["width"], self.gateways)
             mean = (1 + told["units"]) / 2
             self.customers[name] = {
-                **told, "number": number, "width": width, "chance": self.kernel.stream(f"customer {name}"),
-                "asks": told["tries"] * mean / plan.rate}
+                **told,
+                "number": number,
+                "width": width,
+                "chance": self.kernel.stream(f"customer {name}"),
+                "asks": told["tries"] * mean / plan.rate,
+            }
             case: Case = case_of(plan, self.settings, width)
             self.judge.add(name, Customer(case, plan.ceiling_rate, plan.ceiling_depth), self.now())
         for node in self.nodes:
@@ -394,14 +435,21 @@
             over = max(over, finding.beyond - self.judge.customers[finding.customer].case.burst)
             if finding.beyond > finding.bound + 1e-6:
                 raise Broken(
-                    "quota", self.kernel.now,
+                    "quota",
+                    self.kernel.now,
                     f"{finding.customer} had {finding.beyond:.1f} units beyond rate * time in one window of "
                     f"epoch {finding.epoch}, {finding.bound:.1f} are stated "
-                    f"({', '.join(self.troubles_in(finding.epoch)) or 'no trouble'})")
+                    f"({', '.join(self.troubles_in(finding.epoch)) or 'no trouble'})",
+                )
         return {
-            "tries": self.counts["tries"], "events": self.kernel.events, "lowest": self.judge.lowest_cap,
-            "worst": worst, "over": over, "with_room": self.counts["with_room"],
-            "calls": sum(c.calls for c in self.counters)}
+            "tries": self.counts["tries"],
+            "events": self.kernel.events,
+            "lowest": self.judge.lowest_cap,
+            "worst": worst,
+            "over": over,
+            "with_room": self.counts["with_room"],
+            "calls": sum(c.calls for c in self.counters),
+        }
 
     def in_quiet(self) -> bool:
         """All troubles are over, and whoever owes had the time to tell it."""
@@ -445,7 +493,8 @@
                     continue
                 place = node.keeper.place_for(f"{name}.{epoch}")
                 total = next(c for c in self.counters if c.name == place.name).machine.sums.names.get(
-                    f"{name}.{epoch}", (0.0, 0.0))[0]
+                    f"{name}.{epoch}", (0.0, 0.0)
+                )[0]
                 action = Count(f"{name}.{epoch}", 0.0, EPOCH, told["first"], told["width"], case.rate, True)
                 believed = node.keeper.believe(place, place.accounts.get(action.name), action, total, now)
                 room = min(case.burst, case.burst + case.rate * (now - begin) - believed)
@@ -454,9 +503,12 @@
                 allowed += case.untrimmed + case.rate * FRESH + self.settings.most_units
                 allowed += self.compounded(case)
                 if room > case.burst - max(debt, 0.0) + allowed + 1e-6:
-                    raise Broken("told", self.kernel.now,
-                                 f"{node.name} believes that {name} has {room:.1f} units left; it has "
-                                 f"{case.burst - max(debt, 0.0):.1f}, and {allowed:.1f} may be unknown")
+                    raise Broken(
+                        "told",
+                        self.kernel.now,
+                        f"{node.name} believes that {name} has {room:.1f} units left; it has "
+                        f"{case.burst - max(debt, 0.0):.1f}, and {allowed:.1f} may be unknown",
+                    )
 
     def check_charges(self) -> None:
         """No sum stands far above what was passed on: nothing lost was told twice.
@@ -477,8 +529,10 @@
                 allowed += self.compounded(case)
                 if above > allowed:
                     raise Broken(
-                        "charge", self.kernel.now,
-                        f"{name} is charged {above:.1f} units more than it used; {allowed:.1f} may be")
+                        "charge",
+                        self.kernel.now,
+                        f"{name} is charged {above:.1f} units more than it used; {allowed:.1f} may be",
+                    )
 
     def unrepaid(self, name: str) -> float:
         """Units beyond the quota that were passed on and are rightly paid back."""
--- a/embersill/lab/faults.py
+++ b/embersill/lab/faults.py
@@ -42,8 +42,10 @@
         shown.add_row("", "fault", fault.told())
     broken = {rule: int(figures[rule]) for rule in RULES if figures[rule]}
     asked, served, refused, failed = (int(figures[k]) for k in ("tries", "served", "refused", "failed"))
-    shown.caption = (f"{asked} asked, {served} served, {refused} refused, {failed} failed; "
-                     f"rules broken: {broken or 'none'}")
+    shown.caption = (
+        f"{asked} asked, {served} served, {refused} refused, {failed} failed; "
+        f"rules broken: {broken or 'none'}"
+    )
     shown.caption_justify = "left"
     return shown
 
--- a/embersill/lab/fuzzing/targets.py
+++ b/embersill/lab/fuzzing/targets.py
@@ -87,8 +87,9 @@
     def __init__(self) -> None:
         self.answers: list[Answer] = []
 
-    def attempt_began(self, attempt: Attempt, headers: bytes, length: int | None,
-                      source: BackendConnection) -> None:
+    def attempt_began(
+        self, attempt: Attempt, headers: bytes, length: int | None, source: BackendConnection
+    ) -> None:
         """Long answers are not passed on here: none is wanted."""
 
     def attempt_ended(self, attempt: Attempt, answer: Answer) -> None:
--- a/embersill/lab/levels/fences.py
+++ b/embersill/lab/levels/fences.py
@@ -121,7 +121,7 @@
         "reserve-told",
         FORWARDER,
         "a new planner does not hear what is held",
-        "out.append(Holds(holds[start:start + REPORTED]))",
+        "out.append(Holds(holds[start : start + REPORTED]))",
         "pass",
     ),
     Fence(
@@ -185,8 +185,8 @@
         "usable",
         PLANNER,
         "a lender is counted for ever",
-        "if lender.free_at <= self.now < lender.until and self.is_proven(part, lender)]",
-        "if lender.free_at <= self.now and self.is_proven(part, lender)]",
+        "if lender.free_at <= self.now < lender.until and self.is_proven(part, lender)",
+        "if lender.free_at <= self.now and self.is_proven(part, lender)",
     ),
     Fence(
         "free-at",
@@ -213,7 +213,7 @@
         "at-one-moment",
         PLANNER,
         "a part is whole though one forwarder may have left before the last came",
-        "                    shown_at(lender.session) >= part.changed_at\n                    and self",
+        "shown_at(lender.session) >= part.changed_at and self",
         "self",
     ),
     Fence(
--- a/embersill/lab/levels/generate.py
+++ b/embersill/lab/levels/generate.py
@@ -9,10 +9,31 @@
 from embersill.world.schedules import Schedule, Step
 from embersill.world.swarm import log_uniform, some_of
 
-FORWARDER_SAYS = ("Ask", "Open", "Echo", "Lend", "Recall", "Ended", "Left", "Spent", "Bequeath",
-                  "Holds", "Used", "Yielded")
-PLANNER_SAYS = ("Grant", "Beat", "Returned", "Refused", "Failed", "Cancelled", "Withdrawn", "Leaving",
-                "Reserve")
+FORWARDER_SAYS = (
+    "Ask",
+    "Open",
+    "Echo",
+    "Lend",
+    "Recall",
+    "Ended",
+    "Left",
+    "Spent",
+    "Bequeath",
+    "Holds",
+    "Used",
+    "Yielded",
+)
+PLANNER_SAYS = (
+    "Grant",
+    "Beat",
+    "Returned",
+    "Refused",
+    "Failed",
+    "Cancelled",
+    "Withdrawn",
+    "Leaving",
+    "Reserve",
+)
 OFTEN = ("Grant", "Echo", "Lend", "Recall", "Ask", "Ended", "Open", "Returned")  # the aim of two in three
 KINDS = (
     "kill planner",
@@ -135,10 +156,21 @@
             who = (first if at < moved else moves)[customer]
             if chance.random() < spread or (at >= rise and chance.random() < 0.6):
                 who = chance.choice(self.forwarders)
-            self.steps.append(Step("ask", at, who=who, args={
-                "klass": "lookup", "plan": "pro", "customer": customer,
-                "units": 2.0 if at < rise else chance.choice(units), "budget": 2.0,
-                "fates": [self.fate([], 0.0, 0.0, 0.0) for _ in range(3)]}))
+            self.steps.append(
+                Step(
+                    "ask",
+                    at,
+                    who=who,
+                    args={
+                        "klass": "lookup",
+                        "plan": "pro",
+                        "customer": customer,
+                        "units": 2.0 if at < rise else chance.choice(units),
+                        "budget": 2.0,
+                        "fates": [self.fate([], 0.0, 0.0, 0.0) for _ in range(3)],
+                    },
+                )
+            )
         faults, at = chance.randint(1, 4), rise + chance.uniform(-0.6, 1.2)
         for _ in range(faults):
             self.steps += self.parting(at)
@@ -153,11 +185,22 @@
         if kind in ("kill", "leave", "pause"):
             return [Step(kind, at, who=chance.choice(self.planners), seconds=took)]
         if kind == "cut":
-            return [Step("cut", at, who=chance.choice(self.forwarders), to=chance.choice(self.planners),
-                         seconds=took, args={"both": True})]
+            return [
+                Step(
+                    "cut",
+                    at,
+                    who=chance.choice(self.forwarders),
+                    to=chance.choice(self.planners),
+                    seconds=took,
+                    args={"both": True},
+                )
+            ]
         alone = self.forwarders if kind == "all alone" else [chance.choice(self.forwarders)]
-        return [Step("cut", at, who=name, to=planner, seconds=took, args={"both": True})
-                for name in alone for planner in self.planners]
+        return [
+            Step("cut", at, who=name, to=planner, seconds=took, args={"both": True})
+            for name in alone
+            for planner in self.planners
+        ]
 
     # traffic
 
--- a/embersill/lab/levels/paths.py
+++ b/embersill/lab/levels/paths.py
@@ -177,8 +177,13 @@
         assert isinstance(planner, PathedPlanner)
         line = self.lines[planner.name]
         proof = Proof(MAGIC, 0, self.name, b"n" * NONCE, "", b"", f"{self.life}", line.number, via)
-        if any(network.is_cut(a.name, b.name) or network.is_cut(b.name, a.name) or not b.runs
-               for a, b in hops) or planner.leaving:
+        if (
+            any(
+                network.is_cut(a.name, b.name) or network.is_cut(b.name, a.name) or not b.runs
+                for a, b in hops
+            )
+            or planner.leaving
+        ):
             return self.dial_path(planner, via)
         try:
             trunk = planner.trunks().trunk_of(proof)
--- a/embersill/lab/levels/search.py
+++ b/embersill/lab/levels/search.py
@@ -169,7 +169,8 @@
         steps = [
             f"deliver {sender} {to}"
             for (sender, to), queue in sorted(self.queues.items())
-            if queue and (self.is_open(sender, to) or to in self.planners)
+            if queue
+            and (self.is_open(sender, to) or to in self.planners)
             and not self.lost & {(sender, to), (to, sender)}
         ]
         steps += [f"tick {name}" for name in (*FORWARDERS, *PLANNERS) if name not in self.ticked]
--- a/embersill/lab/limiter.py
+++ b/embersill/lab/limiter.py
@@ -87,7 +87,8 @@
             own = descriptor.HasField("hits_addend")
             hits = descriptor.hits_addend.value if own else (request.hits_addend or 1)
             ok, left, wait = self.buckets.hit(
-                entries["plan"], entries["customer"], float(hits), "settle" in entries)
+                entries["plan"], entries["customer"], float(hits), "settle" in entries
+            )
             status = told.statuses.add(code=codes.OK if ok else codes.OVER_LIMIT, limit_remaining=int(left))
             status.duration_until_reset.seconds = int(wait)
             status.duration_until_reset.nanos = int((wait % 1.0) * 1e9)
--- a/embersill/lab/losses.py
+++ b/embersill/lab/losses.py
@@ -59,7 +59,8 @@
             klass, plan, units = words[1], words[2], float(words[4])
             worth = float(self.classes[klass][3]) * float(self.plans[plan][1]) * units
             self.tries[self.key(gateway, words[0])] = Try(
-                at, klass, plan, units, worth, float(self.classes[klass][1]))
+                at, klass, plan, units, worth, float(self.classes[klass][1])
+            )
         elif kind in ("send", "ended", "refuse", "fail"):
             found = self.tries.get(self.key(gateway, words[0]))
             if found is not None:
@@ -125,9 +126,11 @@
         times.sort()
         key = second, kind, grown
         ends = ", ".join(f"{outcome} {number}" for outcome, number in ended[key].items())
-        yield (f"{4 * second:>4}  {kind:8} {grown:8}{len(places[key]):>8}{len(times):>9}"
-               f"{len(times) / 4 / len(places[key]):>10.1f} {times[len(times) // 2]:>9.2f}"
-               f"{times[len(times) * 9 // 10]:>7.2f}  {ends}")
+        yield (
+            f"{4 * second:>4}  {kind:8} {grown:8}{len(places[key]):>8}{len(times):>9}"
+            f"{len(times) / 4 / len(places[key]):>10.1f} {times[len(times) // 2]:>9.2f}"
+            f"{times[len(times) * 9 // 10]:>7.2f}  {ends}"
+        )
 
 
 def main(paths: list[str]) -> int:
--- a/embersill/lab/shortening.py
+++ b/embersill/lab/shortening.py
@@ -62,8 +62,9 @@
         """The rule that a schedule breaks, if it breaks one."""
         return breaks_in(self.world.play, schedule)
 
-    def shorten(self, schedule: Schedule, broken: Broken, fence: str = "", most_runs: int = 200
-                ) -> tuple[Kept, int]:
+    def shorten(
+        self, schedule: Schedule, broken: Broken, fence: str = "", most_runs: int = 200
+    ) -> tuple[Kept, int]:
         """The shortest schedule found that breaks the same rule, with its story, and in how many runs."""
         shrinker = shrinker_of(self.world.play, broken, most_runs)
         short = shrinker.shrink(schedule, broken.at)
--- a/embersill/lab/still.py
+++ b/embersill/lab/still.py
@@ -23,9 +23,11 @@
 
 STEP = 0.001  # seconds by which the clock moves with each request
 BACKENDS, CONNECTIONS = 4, 16  # enough that one has rested whenever it is wanted
-HEAD = ("{method} /api?client={customer:016x} HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: {number:016x}\r\n"
-        "X-Call-Class: {klass}\r\nPlan: free\r\nX-Budget: 5.000\r\n{more}"
-        "Quota-Info: units=2,spread=2,first=0\r\n\r\n")
+HEAD = (
+    "{method} /api?client={customer:016x} HTTP/1.1\r\nHost: backend.local\r\nX-Call-Id: {number:016x}\r\n"
+    "X-Call-Class: {klass}\r\nPlan: free\r\nX-Budget: 5.000\r\n{more}"
+    "Quota-Info: units=2,spread=2,first=0\r\n\r\n"
+)
 
 
 class CountingHandle:
@@ -153,8 +155,13 @@
         more = "" if get else f"Content-Length: {body}\r\n"
         if klass == "report":
             more += f"Idempotency-Key: k{self.number:031x}\r\n"
-        head = HEAD.format(method="GET" if get else "POST", customer=0xc000 + self.number % 100,
-                           number=self.number, klass=klass, more=more)
+        head = HEAD.format(
+            method="GET" if get else "POST",
+            customer=0xC000 + self.number % 100,
+            number=self.number,
+            klass=klass,
+            more=more,
+        )
         return head.encode() + (b"" if get else b"b" * body)
 
     def one(self, pieces: list[bytes], answered: bytes) -> None:
--- a/embersill/lab/tracing.py
+++ b/embersill/lab/tracing.py
@@ -16,7 +16,17 @@
 from embersill.configuration.platform import read_configuration
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, AttemptEnded, BackendList, Cancel, Counted, Event, Fail, Outcome, Refuse, Request, Send,
+    Action,
+    AttemptEnded,
+    BackendList,
+    Cancel,
+    Counted,
+    Event,
+    Fail,
+    Outcome,
+    Refuse,
+    Request,
+    Send,
 )
 from embersill.roles import Program, start_clock
 
@@ -35,11 +45,20 @@
         self.flushed = 0.0
         self.open: dict[int, Request] = {}  # what may still be refused
         for c in self.settings.classes:
-            self.note(gateway.turn.now, "class", c.name, c.aim, c.deadline, c.worth, c.late_share,
-                      c.repeats.value)
+            self.note(
+                gateway.turn.now, "class", c.name, c.aim, c.deadline, c.worth, c.late_share, c.repeats.value
+            )
         for p in self.settings.plans:
-            self.note(gateway.turn.now, "plan", p.name, p.worth_factor, p.rate, p.burst, p.ceiling_rate,
-                      p.ceiling_depth)
+            self.note(
+                gateway.turn.now,
+                "plan",
+                p.name,
+                p.worth_factor,
+                p.rate,
+                p.burst,
+                p.ceiling_rate,
+                p.ceiling_depth,
+            )
 
     def handle(self, event: Event, now: float) -> list[Action]:
         actions = self.gateway.handle(event, now)
@@ -63,13 +82,30 @@
     def told(self, event: Event, now: float) -> None:
         if isinstance(event, Request):
             self.open[event.id] = event
-            self.note(now, "request", event.id, event.klass, event.plan, event.customer, f"{event.units:g}",
-                      int(event.repeat), f"{event.deadline:.4f}", event.width)
+            self.note(
+                now,
+                "request",
+                event.id,
+                event.klass,
+                event.plan,
+                event.customer,
+                f"{event.units:g}",
+                int(event.repeat),
+                f"{event.deadline:.4f}",
+                event.width,
+            )
         elif isinstance(event, AttemptEnded):
             if event.over:
                 self.open.pop(event.request, None)
-            self.note(now, "ended", event.request, event.attempt, event.backend, event.outcome.name,
-                      f"{event.elapsed:.4f}")
+            self.note(
+                now,
+                "ended",
+                event.request,
+                event.attempt,
+                event.backend,
+                event.outcome.name,
+                f"{event.elapsed:.4f}",
+            )
         elif isinstance(event, Counted) and event.outcome is not Outcome.SERVED:
             self.note(now, "uncounted", event.outcome.name, f"{event.elapsed:.4f}")
         elif isinstance(event, BackendList):
@@ -81,9 +117,16 @@
             server = self.gateway.servers.get(action.backend)
             if server is not None:
                 started = server.backend.started
-                self.note(now, "send", action.request, action.backend, server.backend.kind,
-                          f"{now - started:.2f}" if started is not None else "-", server.flight,
-                          f"{server.limit:.1f}")
+                self.note(
+                    now,
+                    "send",
+                    action.request,
+                    action.backend,
+                    server.backend.kind,
+                    f"{now - started:.2f}" if started is not None else "-",
+                    server.flight,
+                    f"{server.limit:.1f}",
+                )
         elif isinstance(action, Refuse):
             request = self.open.pop(action.request, None)
             self.note(now, "refuse", action.request, self.reason(request) if request else "-", *self.state())
--- a/embersill/net/backends.py
+++ b/embersill/net/backends.py
@@ -76,8 +76,9 @@
 class Owner(Protocol):
     """Who wants to know how an attempt ended."""
 
-    def attempt_began(self, attempt: Attempt, headers: bytes, length: int | None,
-                      source: BackendConnection) -> Sink | None:
+    def attempt_began(
+        self, attempt: Attempt, headers: bytes, length: int | None, source: BackendConnection
+    ) -> Sink | None:
         """An answer of more than 64 KiB begins; None if nobody wants it any more."""
         ...
 
@@ -88,12 +89,31 @@
     """One attempt: what to write, where to, and what became of it. Its owner hears of the end just once."""
 
     __slots__ = (
-        "backend", "began_at", "body", "connection", "dial", "head", "id", "owner", "place", "rest",
-        "sent_at", "timer", "until", "write_by",
+        "backend",
+        "began_at",
+        "body",
+        "connection",
+        "dial",
+        "head",
+        "id",
+        "owner",
+        "place",
+        "rest",
+        "sent_at",
+        "timer",
+        "until",
+        "write_by",
     )
 
     def __init__(
-        self, backend: str, head: bytes, body: bytes, sent_at: float, until: float, place: int, owner: Owner,
+        self,
+        backend: str,
+        head: bytes,
+        body: bytes,
+        sent_at: float,
+        until: float,
+        place: int,
+        owner: Owner,
         write_by: float = math.inf,
     ) -> None:
         self.backend, self.head, self.body = backend, head, body
@@ -348,7 +368,7 @@
                 return self.parser.feed_data(data)
             except httptools.HttpParserUpgrade as upgrade:
                 # a 101 that nobody asked for: the real answer comes behind it, for a parser of its own
-                self.parser, data = httptools.HttpResponseParser(self), data[upgrade.args[0]:]
+                self.parser, data = httptools.HttpResponseParser(self), data[upgrade.args[0] :]
             except httptools.HttpParserError:
                 self.garbled = True
                 return
@@ -451,7 +471,11 @@
     """All connections to backends, at most `most` of them with the dials under way."""
 
     def __init__(
-        self, clock: Callable[[], float], dial_timeout: float, keepalive: float, most: int,
+        self,
+        clock: Callable[[], float],
+        dial_timeout: float,
+        keepalive: float,
+        most: int,
         dialect: Dialect | None = None,
     ) -> None:
         self.clock, self.dial_timeout, self.most = clock, dial_timeout, most
@@ -556,8 +580,11 @@
         """True if one more may be dialled; an idle connection makes way where the bound is reached."""
         if len(self.connections) + len(self.dialling) < self.most:
             return True
-        oldest = min((line.idle[0] for line in self.lines.values() if line.idle), default=None,
-                     key=lambda c: c.idle_since)
+        oldest = min(
+            (line.idle[0] for line in self.lines.values() if line.idle),
+            default=None,
+            key=lambda c: c.idle_since,
+        )
         if oldest is None:
             return False
         oldest.line.idle.remove(oldest)
--- a/embersill/net/calls.py
+++ b/embersill/net/calls.py
@@ -56,8 +56,16 @@
         self.plans = {p.name for p in settings.plans}
         self.gateways, self.most_units = settings.gateways, settings.most_units
 
-    def read(self, received: float, method: bytes, target: bytes, headers: dict[bytes, bytes],
-             body: bytes, rest: list[bytes] | None = None, size: int = 0) -> Call:
+    def read(
+        self,
+        received: float,
+        method: bytes,
+        target: bytes,
+        headers: dict[bytes, bytes],
+        body: bytes,
+        rest: list[bytes] | None = None,
+        size: int = 0,
+    ) -> Call:
         """`rest` holds a body of `size` bytes that is too long to be made one piece."""
         customer = self.customer(target)
         klass = self.classes.get((headers.get(b"x-call-class") or b"").decode("latin-1"))
@@ -81,15 +89,38 @@
             raise BadRequest(400, "X-Budget is nought, or longer than the class's deadline")
         call_id = self.matched(headers, b"x-call-id", CALL_ID)
         return Call(
-            call_id, received, budget, klass.name, plan, customer, units, width, first,
+            call_id,
+            received,
+            budget,
+            klass.name,
+            plan,
+            customer,
+            units,
+            width,
+            first,
             headers.get(b"x-again") == b"1",
-            self.head(method, target, call_id, headers, klass.repeats, body, size), body, rest=rest)
-
-    def head(self, method: bytes, target: bytes, call_id: bytes, headers: dict[bytes, bytes],
-             repeats: Repeats, body: bytes, size: int) -> bytes:
+            self.head(method, target, call_id, headers, klass.repeats, body, size),
+            body,
+            rest=rest,
+        )
+
+    def head(
+        self,
+        method: bytes,
+        target: bytes,
+        call_id: bytes,
+        headers: dict[bytes, bytes],
+        repeats: Repeats,
+        body: bytes,
+        size: int,
+    ) -> bytes:
         """What goes on to a backend, unchanged; the budget is the gateway's own and comes last."""
         head = b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Call-Id: %b\r\n" % (
-            method, target, headers.get(b"host", b"backend.local"), call_id)
+            method,
+            target,
+            headers.get(b"host", b"backend.local"),
+            call_id,
+        )
         if repeats is Repeats.BY_KEY:
             head += b"Idempotency-Key: %b\r\n" % self.matched(headers, b"idempotency-key", KEY)
         elif b"idempotency-key" in headers:
--- a/embersill/net/clients.py
+++ b/embersill/net/clients.py
@@ -45,13 +45,34 @@
 LEAVE_IDLE = 0.4  # seconds unused from which a connection is closed while the gateway is emptied
 ACCEPTS = 64  # connections taken in at one go, so that those at hand get their turn
 
-SINGLE = frozenset((b"x-call-id", b"x-call-class", b"plan", b"x-budget", b"idempotency-key", b"quota-info",
-                    b"x-again", b"content-length", b"host", b"x-attempt-id", b"x-key",
-                    b"x-deadline-remaining-ms"))
+SINGLE = frozenset(
+    (
+        b"x-call-id",
+        b"x-call-class",
+        b"plan",
+        b"x-budget",
+        b"idempotency-key",
+        b"quota-info",
+        b"x-again",
+        b"content-length",
+        b"host",
+        b"x-attempt-id",
+        b"x-key",
+        b"x-deadline-remaining-ms",
+    )
+)
 REASONS = {
-    200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
-    408: b"Request Timeout", 409: b"Conflict", 413: b"Content Too Large", 429: b"Too Many Requests",
-    431: b"Request Header Fields Too Large", 502: b"Bad Gateway", 503: b"Service Unavailable",
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
 
@@ -97,8 +118,13 @@
             return
         self.keep = self.keep and not self.connection.ends_with(self)
         self.text = b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n%b" % (
-            status, REASONS.get(status, b"Status"), headers, b"" if self.keep else b"Connection: close\r\n",
-            len(body), body)
+            status,
+            REASONS.get(status, b"Status"),
+            headers,
+            b"" if self.keep else b"Connection: close\r\n",
+            len(body),
+            body,
+        )
         self.connection.flush()
 
 
@@ -186,8 +212,13 @@
             self.reserved += size
             return True
         fits = self.reserved + size <= self.front.room_in_all
-        self.bad = BadRequest(503, "too many long bodies at a time") if fits else BadRequest(
-            413, "the body is over 64 KiB" if not self.front.room_in_all else "the body is too long")
+        self.bad = (
+            BadRequest(503, "too many long bodies at a time")
+            if fits
+            else BadRequest(
+                413, "the body is over 64 KiB" if not self.front.room_in_all else "the body is too long"
+            )
+        )
         self.body.clear()
         return False
 
@@ -237,7 +268,7 @@
             piece = self.unread
             if len(piece) > PIECE:
                 piece = piece[:PIECE]
-            self.unread = self.unread[len(piece):]
+            self.unread = self.unread[len(piece) :]
             self.parse(piece)
         self.pace()
 
@@ -460,8 +491,8 @@
             if connection.body_size > MOST_BODY:
                 body, rest, size = [], connection.body, connection.body_size
             call = self.reader.read(
-                connection.received, method, connection.target, connection.headers, b"".join(body), rest,
-                size)
+                connection.received, method, connection.target, connection.headers, b"".join(body), rest, size
+            )
             if driver.is_open(call.id):  # an answer to the one would end the other
                 raise BadRequest(409, "a request with this X-Call-Id is open")
             exchange.number = driver.take(call, exchange)
@@ -480,8 +511,15 @@
     would close them, and a request that was written to one of them would be lost.
     """
 
-    def __init__(self, driver: Driver, settings: Settings, clock: Callable[[], float], most: int,
-                 is_ready: Callable[[], bool], desk: Desk | None = None) -> None:
+    def __init__(
+        self,
+        driver: Driver,
+        settings: Settings,
+        clock: Callable[[], float],
+        most: int,
+        is_ready: Callable[[], bool],
+        desk: Desk | None = None,
+    ) -> None:
         """`desk`: takes the requests, where they are not calls of the protocol in service."""
         self.driver, self.clock, self.most = driver, clock, most
         self.desk: Desk = desk or CallDesk(self, settings)
--- a/embersill/net/counter.py
+++ b/embersill/net/counter.py
@@ -154,7 +154,11 @@
     """The calls of one gateway. `told` hears of each exactly once, at its patience's end at the latest."""
 
     def __init__(
-        self, clock: Callable[[], float], address: tuple[str, int], patience: float, dial_timeout: float,
+        self,
+        clock: Callable[[], float],
+        address: tuple[str, int],
+        patience: float,
+        dial_timeout: float,
         told: Callable[[Counted], None],
     ) -> None:
         self.clock, self.address, self.patience, self.told = clock, address, patience, told
--- a/embersill/net/discovery.py
+++ b/embersill/net/discovery.py
@@ -58,9 +58,13 @@
     started = float(entry.get("startedAtMs") or 0.0) / 1000.0
     status = STATUSES[entry["lifecycle"]]
     backend = Backend(
-        address=str(entry["instanceId"]), zone=str(entry.get("zone", "")),
-        kind=str(entry.get("machineType", "")), cell=int(entry.get("cell", 0)), status=status,
-        rating=float(entry.get("weight", 1.0)), started=started or None,
+        address=str(entry["instanceId"]),
+        zone=str(entry.get("zone", "")),
+        kind=str(entry.get("machineType", "")),
+        cell=int(entry.get("cell", 0)),
+        status=status,
+        rating=float(entry.get("weight", 1.0)),
+        started=started or None,
     )
     if not (math.isfinite(started) and math.isfinite(backend.rating) and backend.rating >= 0):
         raise ValueError("a start or a weight that is no number")  # JSON's readers take NaN and 1e999
@@ -134,8 +138,12 @@
     """Follows the list at one address until it is stopped, and tells every answer in order."""
 
     def __init__(
-        self, address: tuple[str, int], dial_timeout: float, told: Callable[[Agent, Listing], None],
-        pace: Pace, generation: int | None = None,
+        self,
+        address: tuple[str, int],
+        dial_timeout: float,
+        told: Callable[[Agent, Listing], None],
+        pace: Pace,
+        generation: int | None = None,
     ) -> None:
         """`generation`: of a list that the gateway has already, where asking for it again costs others."""
         self.address, self.dial_timeout, self.told, self.pace = address, dial_timeout, told, pace
@@ -197,8 +205,12 @@
     """The list as told by one agent after another: an old one serves until the new one has told it whole."""
 
     def __init__(
-        self, address: tuple[str, int], dial_timeout: float, told: Callable[[Listing], None],
-        pace: Pace | None = None, known: int | None = None,
+        self,
+        address: tuple[str, int],
+        dial_timeout: float,
+        told: Callable[[Listing], None],
+        pace: Pace | None = None,
+        known: int | None = None,
     ) -> None:
         """`known`: the generation of the remembered list. It is asked from where each call costs others."""
         self.address, self.dial_timeout, self.told = address, dial_timeout, told
@@ -220,7 +232,7 @@
             self.start()
 
     def agent_told(self, agent: Agent, listing: Listing) -> None:
-        for old in self.agents[:self.agents.index(agent)]:
+        for old in self.agents[: self.agents.index(agent)]:
             old.stop()  # what it would still tell is older
             self.agents.remove(old)
         self.heard.set()
--- a/embersill/net/driver.py
+++ b/embersill/net/driver.py
@@ -14,8 +14,28 @@
 from typing import TYPE_CHECKING, Protocol
 
 from embersill.interface import (
-    Action, AttemptEnded, Backend, BackendList, Borrow, Cancel, ClientLeft, Count, Counted, Event, Fail, Held,
-    Lent, Outcome, Refuse, Request, Send, SetTimer, Settings, Status, StreamBegun, TimerDue,
+    Action,
+    AttemptEnded,
+    Backend,
+    BackendList,
+    Borrow,
+    Cancel,
+    ClientLeft,
+    Count,
+    Counted,
+    Event,
+    Fail,
+    Held,
+    Lent,
+    Outcome,
+    Refuse,
+    Request,
+    Send,
+    SetTimer,
+    Settings,
+    Status,
+    StreamBegun,
+    TimerDue,
 )
 from embersill.net.backends import Answer, Attempt, BackendConnection, Pool, Sink
 from embersill.net.deadlines import Deadline
@@ -71,8 +91,18 @@
     """A request that was taken, until it has its answer and the last of its attempts has ended."""
 
     __slots__ = (
-        "attempts", "call", "driver", "end", "error", "exchange", "guard", "left_at", "number", "out",
-        "over", "streamed",
+        "attempts",
+        "call",
+        "driver",
+        "end",
+        "error",
+        "exchange",
+        "guard",
+        "left_at",
+        "number",
+        "out",
+        "over",
+        "streamed",
     )
 
     def __init__(self, driver: Driver, number: int, call: Call, exchange: Exchange) -> None:
@@ -86,8 +116,9 @@
         self.streamed: Attempt | None = None  # the one whose answer is being passed on
         self.left_at = 0.0  # when its client was seen to have left without an answer; 0: it has not
 
-    def attempt_began(self, attempt: Attempt, headers: bytes, length: int | None,
-                      source: BackendConnection) -> Sink | None:
+    def attempt_began(
+        self, attempt: Attempt, headers: bytes, length: int | None, source: BackendConnection
+    ) -> Sink | None:
         return self.driver.attempt_began(self, attempt, headers, length, source)
 
     def attempt_ended(self, attempt: Attempt, answer: Answer) -> None:
@@ -136,8 +167,13 @@
         self.events: deque[tuple[Event, float]] = deque()
         self.handling = False
         self.carry: dict[type, Callable[..., None]] = {
-            Send: self.send, SetTimer: self.set_timer, Refuse: self.refuse, Fail: self.fail,
-            Cancel: self.cancel, Count: self.count, Borrow: self.borrow,
+            Send: self.send,
+            SetTimer: self.set_timer,
+            Refuse: self.refuse,
+            Fail: self.fail,
+            Cancel: self.cancel,
+            Count: self.count,
+            Borrow: self.borrow,
         }
 
     # what happened
@@ -151,10 +187,20 @@
         self.unanswered += 1
         end = call.received + call.budget - min(GUARD, SCANT * call.budget / 2)
         pending.guard = self.deadlines.at(end, self.rescue, pending)
-        self.post(Request(
-            pending.number, call.klass, call.plan, call.customer, pending.end, call.units, call.width,
-            call.first_gateway, call.repeat, call.service,
-        ))
+        self.post(
+            Request(
+                pending.number,
+                call.klass,
+                call.plan,
+                call.customer,
+                pending.end,
+                call.units,
+                call.width,
+                call.first_gateway,
+                call.repeat,
+                call.service,
+            )
+        )
         return pending.number
 
     def is_open(self, call_id: bytes) -> bool:
@@ -210,8 +256,14 @@
         # the loop counts whole milliseconds and may come early: for the module a timer is never early
         self.post(TimerDue(key), due)
 
-    def attempt_began(self, pending: Pending, attempt: Attempt, headers: bytes, length: int | None,
-                      source: BackendConnection) -> Sink | None:
+    def attempt_began(
+        self,
+        pending: Pending,
+        attempt: Attempt,
+        headers: bytes,
+        length: int | None,
+        source: BackendConnection,
+    ) -> Sink | None:
         """From the first byte that is passed on this attempt's answer is the request's, whole or not."""
         exchange = pending.exchange
         if pending.over or exchange is None or pending.streamed is not None:
@@ -226,8 +278,10 @@
         pending.out -= 1
         if pending.left_at:
             self.disconnects.attempt_ended(
-                self.clock() - pending.left_at, written=not answer.outcome.came_nowhere,
-                cancelled=answer.outcome is Outcome.CANCELLED)
+                self.clock() - pending.left_at,
+                written=not answer.outcome.came_nowhere,
+                cancelled=answer.outcome is Outcome.CANCELLED,
+            )
         if pending.streamed is attempt and not pending.over:
             self.finish(pending, 200 if answer.outcome is Outcome.SERVED else 502)
         elif answer.outcome is Outcome.SERVED and not pending.over:
@@ -237,9 +291,18 @@
         elapsed = (attempt.began_at or self.clock()) - attempt.sent_at
         over = pending.over
         units = answer.units if answer.units <= self.most_units else 0.0  # no request takes as much
-        self.post(AttemptEnded(
-            pending.number, attempt.place, attempt.backend, answer.outcome, elapsed, over, units,
-            answer.load))
+        self.post(
+            AttemptEnded(
+                pending.number,
+                attempt.place,
+                attempt.backend,
+                answer.outcome,
+                elapsed,
+                over,
+                units,
+                answer.load,
+            )
+        )
         self.forget(pending)
 
     # the module
@@ -290,8 +353,8 @@
         now, place = self.clock(), len(pending.attempts)
         until = pending.end if action.timeout <= 0 else min(pending.end, now + action.timeout)
         attempt = Attempt(
-            action.backend, pending.call.head, pending.call.body, now, until, place, pending,
-            action.write_by)
+            action.backend, pending.call.head, pending.call.body, now, until, place, pending, action.write_by
+        )
         attempt.rest, attempt.id = pending.call.rest, pending.call.id
         pending.attempts.append(attempt)
         pending.out += 1
--- a/embersill/net/operators.py
+++ b/embersill/net/operators.py
@@ -61,7 +61,8 @@
         body = text.encode()
         self.transport.write(
             b"HTTP/1.1 %d %b\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n"
-            b"Connection: close\r\n\r\n%b" % (status, REASONS[status], len(body), body))
+            b"Connection: close\r\n\r\n%b" % (status, REASONS[status], len(body), body)
+        )
         self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/embersill/operated.py
+++ b/embersill/operated.py
@@ -24,9 +24,13 @@
 log = logging.getLogger("embersill")
 
 
-def decide_at(handle: Callable[[Event, float], list[Action]], clock: Callable[[], float],
-              perform: Callable[[list[Action]], None]) -> Callable[[Question], Verdict]:
+def decide_at(
+    handle: Callable[[Event, float], list[Action]],
+    clock: Callable[[], float],
+    perform: Callable[[list[Action]], None],
+) -> Callable[[Question], Verdict]:
     """Puts questions to whoever decides; what else is to be done is done at once."""
+
     def decide(question: Question) -> Verdict:
         actions = handle(question, clock())
         verdicts = [a for a in actions if isinstance(a, Verdict)]
@@ -49,16 +53,22 @@
         if self.table is None or self.table.ask is None:
             return gateway
         from embersill.ratelimit.client import AskingGateway
+
         self.asked = AskingGateway(gateway, self.table.ask, clock)
         return self.asked
 
-    async def start(self, program: Program | PlannerProgram, decide: Callable[[Question], Verdict],
-                    perform: Callable[[list[Action]], None]) -> None:
+    async def start(
+        self,
+        program: Program | PlannerProgram,
+        decide: Callable[[Question], Verdict],
+        perform: Callable[[list[Action]], None],
+    ) -> None:
         if self.asked is not None:
             self.asked.perform = perform
         if self.table is not None and self.table.answer is not None:
             from embersill.ratelimit.answering import Answering
             from embersill.ratelimit.server import RateLimitServer
+
             answering = Answering(self.table.answer, program.settings, decide)
             self.server = RateLimitServer(self.table.answer, answering)
             await self.server.start()
@@ -90,8 +100,12 @@
             places = operator.counting.counters or [f"{told.counter[0]}:{told.counter[1]}"]
             keeper = Keeper(operator.counting.terms, told.settings.me, told.settings.gateways, places)
             self.counting = self.driver.counter = Counting(
-                keeper, clock, told.settings.counter_patience, told.limits.dial_timeout,
-                self.driver.counter_told)
+                keeper,
+                clock,
+                told.settings.counter_patience,
+                told.limits.dial_timeout,
+                self.driver.counter_told,
+            )
 
     async def start(self) -> None:
         if self.counting is not None:
@@ -132,6 +146,7 @@
         self.core.gateway = self.limits.in_front_of(self.core.gateway, self.clock)
         if operator.council is not None:
             from embersill.council.chair import Chair  # with libraries that a planner does without
+
             self.chair = chair = Chair(operator.council, told.name, operator.tiers.secret, self.clock)
             chair.places, chair.leave_out = lambda: self.places, self.leave_out
             self.core.on_use, self.core.on_outcome = chair.used, chair.outcome
@@ -149,6 +164,7 @@
 
     def decide(self, question: Question) -> Verdict:
         from embersill.ratelimit.server import Unavailable
+
         verdict = self.core.question(question, self.clock())
         if verdict is None:
             raise Unavailable("this planner does not lead the customer's part")
@@ -184,7 +200,8 @@
         assert operator.tiers is not None
         if told.name not in operator.tiers.forwarders:
             raise BadConfiguration(
-                f"{path}: tiers.forwarders: this forwarder, {json.dumps(told.name)}, is not among them")
+                f"{path}: tiers.forwarders: this forwarder, {json.dumps(told.name)}, is not among them"
+            )
         program = ForwarderProgram(told, operator.tiers)
     elif operator.ratelimit is not None or operator.counting is not None:
         program = GatewayProgram(told, operator, path)
--- a/embersill/ratelimit/answering.py
+++ b/embersill/ratelimit/answering.py
@@ -63,8 +63,7 @@
 class Answering:
     """Answers questions by rules and by whoever decides."""
 
-    def __init__(self, table: AnswerTable, settings: Settings,
-                 decide: Callable[[Question], Verdict]) -> None:
+    def __init__(self, table: AnswerTable, settings: Settings, decide: Callable[[Question], Verdict]) -> None:
         self.table, self.decide = table, decide
         self.plans = {p.name: p for p in settings.plans}
         self.gateways = settings.gateways
@@ -93,9 +92,15 @@
         self.counts["granted" if ok else "refused"] += 1
         states = iter(verdict.states)
         placed = iter(takes)
-        return Answer(ok, tuple(
-            Status(take is None) if not isinstance(take, Take) else self.status(next(placed), next(states))
-            for take in found))
+        return Answer(
+            ok,
+            tuple(
+                Status(take is None)
+                if not isinstance(take, Take)
+                else self.status(next(placed), next(states))
+                for take in found
+            ),
+        )
 
     def check(self, domain: str, descriptors: Sequence[Descriptor]) -> None:
         if not domain or len(domain) > MOST_TEXT:
@@ -125,8 +130,14 @@
                 raise BadQuestion("this rule takes no limit from a descriptor")
             plan, customer = self.overridden(descriptor.override, customer)
         own = hits if descriptor.hits is None else descriptor.hits
-        return Take(customer, plan, own * rule.units, rule.spread or self.gateways,
-                    rule.mode == "shadow", rule.mode == "settle")
+        return Take(
+            customer,
+            plan,
+            own * rule.units,
+            rule.spread or self.gateways,
+            rule.mode == "shadow",
+            rule.mode == "settle",
+        )
 
     def overridden(self, override: Override, customer: str) -> tuple[Plan, str]:
         """A plan, and a throttle, of a descriptor's own: it says nothing of the customer's quota."""
--- a/embersill/ratelimit/asking.py
+++ b/embersill/ratelimit/asking.py
@@ -21,7 +21,17 @@
 from dataclasses import dataclass, field
 
 from embersill.interface import (
-    Action, AttemptEnded, ClientLeft, Event, Fail, Outcome, Refuse, Request, Ruled, Send, Settings,
+    Action,
+    AttemptEnded,
+    ClientLeft,
+    Event,
+    Fail,
+    Outcome,
+    Refuse,
+    Request,
+    Ruled,
+    Send,
+    Settings,
 )
 from embersill.ratelimit.settings import AskTable
 
@@ -91,8 +101,9 @@
 class Asking:
     """Stands in front of a decider, as one."""
 
-    def __init__(self, table: AskTable, settings: Settings, inner: Callable[[Event, float], list[Action]],
-                 now: float) -> None:
+    def __init__(
+        self, table: AskTable, settings: Settings, inner: Callable[[Event, float], list[Action]], now: float
+    ) -> None:
         self.table, self.settings, self.inner = table, settings, inner
         self.plans, self.klasses = frozenset(table.plans), frozenset(table.classes)
         self.bursts = {p.name: p.burst for p in settings.plans}
@@ -183,8 +194,9 @@
         waiting.calls.add(number)
         return True
 
-    def call(self, service: Service, entries: tuple[tuple[str, str], ...], units: float,
-             waiting: Waiting | None) -> int:
+    def call(
+        self, service: Service, entries: tuple[tuple[str, str], ...], units: float, waiting: Waiting | None
+    ) -> int:
         self.last += 1
         hits = min(round(units), MOST_HITS)
         self.calls[self.last], self.asked_of[self.last] = waiting, (service, float(hits))
@@ -318,8 +330,12 @@
         if service is None or len(self.calls) >= self.table.most_open:
             return self.owe(request, units)
         self.counts["reports"] += 1
-        entries = (("plan", request.plan), ("class", request.klass), ("customer", request.customer),
-                   (SETTLE_KEY, "1"))
+        entries = (
+            ("plan", request.plan),
+            ("class", request.klass),
+            ("customer", request.customer),
+            (SETTLE_KEY, "1"),
+        )
         self.call(service, entries, units, None)
         return None
 
--- a/embersill/ratelimit/client.py
+++ b/embersill/ratelimit/client.py
@@ -19,9 +19,12 @@
 
 MOST_ANSWER = 65_536  # bytes
 OPTIONS = [
-    ("grpc.enable_retries", 0), ("grpc.max_receive_message_length", MOST_ANSWER),
-    ("grpc.initial_reconnect_backoff_ms", 100), ("grpc.min_reconnect_backoff_ms", 100),
-    ("grpc.max_reconnect_backoff_ms", 2000), ("grpc.use_local_subchannel_pool", 1),
+    ("grpc.enable_retries", 0),
+    ("grpc.max_receive_message_length", MOST_ANSWER),
+    ("grpc.initial_reconnect_backoff_ms", 100),
+    ("grpc.min_reconnect_backoff_ms", 100),
+    ("grpc.max_reconnect_backoff_ms", 2000),
+    ("grpc.use_local_subchannel_pool", 1),
     ("grpc.enable_http_proxy", 0),
 ]
 
@@ -33,8 +36,11 @@
         return None
     if answer.statuses and len(answer.statuses) != asked:
         return None
-    resets = [s.duration_until_reset.seconds + s.duration_until_reset.nanos / 1e9
-              for s in answer.statuses if s.code == codes.OVER_LIMIT]
+    resets = [
+        s.duration_until_reset.seconds + s.duration_until_reset.nanos / 1e9
+        for s in answer.statuses
+        if s.code == codes.OVER_LIMIT
+    ]
     ok = answer.overall_code == codes.OK
     if ok and resets:
         return None  # it says both
@@ -63,7 +69,8 @@
         """The verdict of one call; None where none came within `left` seconds, or it was none."""
         try:
             answer = await self.stubs[call.service].ShouldRateLimit(
-                write_question(self.table.domain, call), timeout=max(left, 0.001))
+                write_question(self.table.domain, call), timeout=max(left, 0.001)
+            )
         except grpc.RpcError:  # an error status, a deadline, a connection that broke or says GOAWAY
             return None
         return read_ruling(answer, 1)
--- a/embersill/ratelimit/server.py
+++ b/embersill/ratelimit/server.py
@@ -36,7 +36,8 @@
     async def ShouldRateLimit(self, request: Any, context: Any) -> Any:  # noqa: N802 - the protocol's name
         try:
             answer = self.answering.answer(
-                request.domain, [read_descriptor(d) for d in request.descriptors], request.hits_addend)
+                request.domain, [read_descriptor(d) for d in request.descriptors], request.hits_addend
+            )
         except BadQuestion as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
         except Unavailable as error:
@@ -74,8 +75,12 @@
 class RateLimitServer:
     """Starts and stops the listener; questions are answered in the process's own loop."""
 
-    def __init__(self, table: AnswerTable, answering: Answering,
-                 servicer: Callable[[Answering], Any] = RateLimitServicer) -> None:
+    def __init__(
+        self,
+        table: AnswerTable,
+        answering: Answering,
+        servicer: Callable[[Answering], Any] = RateLimitServicer,
+    ) -> None:
         self.table, self.answering = table, answering
         self.server = grpc.aio.server(
             maximum_concurrent_rpcs=table.most_open,
@@ -87,7 +92,8 @@
                 ("grpc.keepalive_time_ms", PING_MS),
                 ("grpc.http2.max_pings_without_data", 0),
                 ("grpc.so_reuseport", 0),
-            ])
+            ],
+        )
         rls_pb2_grpc.add_RateLimitServiceServicer_to_server(servicer(answering), self.server)
         self.health = health.aio.HealthServicer()
         health_pb2_grpc.add_HealthServicer_to_server(self.health, self.server)
--- a/embersill/ratelimit/settings.py
+++ b/embersill/ratelimit/settings.py
@@ -91,10 +91,11 @@
                 if earlier.domain == rule.domain and wider and needed:
                     raise ValueError(f"{where} is never reached: an earlier rule takes all that it would")
         for key, value, most in (
-                ("most_descriptors", answer.most_descriptors, 10_000),
-                ("most_open", answer.most_open, 100_000),
-                ("most_message_bytes", answer.most_message_bytes, 1 << 24),
-                ("most_streams", answer.most_streams, 100_000)):
+            ("most_descriptors", answer.most_descriptors, 10_000),
+            ("most_open", answer.most_open, 100_000),
+            ("most_message_bytes", answer.most_message_bytes, 1 << 24),
+            ("most_streams", answer.most_streams, 100_000),
+        ):
             if not 0 < value <= most:
                 raise ValueError(f"ratelimit.answer.{key}: {value} is not from 1 to {most}")
     if table.ask is not None:
@@ -104,12 +105,14 @@
         if not ask.domain or not ask.plans:
             raise ValueError("ratelimit.ask: domain and plans must not be empty")
         if not 0 < ask.timeout <= ask.within <= 5.0 or not 0 < ask.within_part <= 0.5:
-            raise ValueError("ratelimit.ask: timeout must be above nought and at most within, within at most "
-                             "5 s, within_part at most 0.5")
+            raise ValueError(
+                "ratelimit.ask: timeout must be above nought and at most within, within at most "
+                "5 s, within_part at most 0.5"
+            )
         if ask.without_verdict == "allow" and not (ask.overrun > 0 and ask.overrun_burst > 0):
-            raise ValueError("ratelimit.ask: without_verdict = \"allow\" needs overrun and overrun_burst")
+            raise ValueError('ratelimit.ask: without_verdict = "allow" needs overrun and overrun_burst')
         if ask.without_verdict != "allow" and (ask.overrun or ask.overrun_burst):
-            raise ValueError("ratelimit.ask: overrun is for without_verdict = \"allow\"")
+            raise ValueError('ratelimit.ask: overrun is for without_verdict = "allow"')
         if not 0 < ask.back_off <= ask.most_back_off or ask.break_after < 1 or ask.late < ask.within:
             raise ValueError("ratelimit.ask: back_off, most_back_off, break_after or late does not fit")
         if not 0 < ask.most_customers <= 1_000_000 or not 0 < ask.most_open <= 1_000_000:
--- a/embersill/rig/billing.py
+++ b/embersill/rig/billing.py
@@ -67,7 +67,10 @@
         status, told = self.handle(method, path, headers, body, now)
         text = json.dumps(told).encode()
         answer = b"HTTP/1.1 %d X\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b" % (
-            status, len(text), text)
+            status,
+            len(text),
+            text,
+        )
         draw, how = self.chance.random(), self.behaviour
         if method == "POST" and status == 201:
             if draw < how.silent:
@@ -80,11 +83,15 @@
         writer.write(answer)
         await writer.drain()
 
-    def handle(self, method: str, path: str, headers: dict[str, str], body: bytes, now: float
-               ) -> tuple[int, dict[str, Any]]:
+    def handle(
+        self, method: str, path: str, headers: dict[str, str], body: bytes, now: float
+    ) -> tuple[int, dict[str, Any]]:
         """A call's status and answer; it is booked by then."""
-        where = {"position": len(self.log), "number": self.highest,
-                 "meta": self.log[-1].body.get("meta") if self.log else None}
+        where = {
+            "position": len(self.log),
+            "number": self.highest,
+            "meta": self.log[-1].body.get("meta") if self.log else None,
+        }
         if method == "GET" and path == "/usage":
             return 200, where
         try:
--- a/embersill/rig/books.py
+++ b/embersill/rig/books.py
@@ -93,11 +93,19 @@
     def rule_terms(self) -> RuleTerms:
         """The rules on sockets, for whoever judges `records`: it is known what came, not what is out."""
         return RuleTerms(
-            classes={c.name: ClassTerms(RULE_WORDS[c.repeats], c.memory + BEFORE)
-                     for c in self.settings.classes},
-            ceilings={p.name: Ceiling(p.ceiling_rate, p.ceiling_depth, self.slack(p))
-                      for p in self.settings.plans if p.ceiling_rate > 0},
-            max_attempts=self.settings.max_attempts, second_copies=True, drain_grace=GRACE, late_by=BEFORE)
+            classes={
+                c.name: ClassTerms(RULE_WORDS[c.repeats], c.memory + BEFORE) for c in self.settings.classes
+            },
+            ceilings={
+                p.name: Ceiling(p.ceiling_rate, p.ceiling_depth, self.slack(p))
+                for p in self.settings.plans
+                if p.ceiling_rate > 0
+            },
+            max_attempts=self.settings.max_attempts,
+            second_copies=True,
+            drain_grace=GRACE,
+            late_by=BEFORE,
+        )
 
     def slack(self, plan: Plan) -> float:
         return max(0.1 * plan.ceiling_depth, self.settings.most_units) + SLACK_TIME * plan.ceiling_rate
@@ -121,8 +129,11 @@
         self.counts["tries"] += 1
         self.tries[asked.call_id] = asked
         number = self.numbers[asked.call_id] = len(self.numbers) + 1
-        self.note(Asked_(asked.at, number, asked.klass, asked.plan, asked.customer, asked.units, asked.front,
-                         asked.end))
+        self.note(
+            Asked_(
+                asked.at, number, asked.klass, asked.plan, asked.customer, asked.units, asked.front, asked.end
+            )
+        )
 
     def answered(self, asked: Asked, status: int, body: bytes, now: float) -> None:
         asked.answers += 1
@@ -131,7 +142,7 @@
         if asked.answers > 1:
             return self.breach("answers_two", asked.call_id)
         if status == 200:
-            if body[:len(asked.call_id)] != asked.call_id.encode():
+            if body[: len(asked.call_id)] != asked.call_id.encode():
                 self.breach("answers_wrong", asked.call_id)
             self.counts["served"] += 1
             self.latencies.append(now - asked.at)
@@ -145,8 +156,11 @@
             if plan.rate > 0 and quota_left:
                 self.counts["refused_with_quota_left"] += 1
             if len(self.refusals) < MOST_RECORDS:
-                self.refusals.append(Refusal(
-                    now, asked, quota_left, ceiling is None or ceiling.at(now - BEFORE) >= asked.units))
+                self.refusals.append(
+                    Refusal(
+                        now, asked, quota_left, ceiling is None or ceiling.at(now - BEFORE) >= asked.units
+                    )
+                )
         else:
             self.counts["failed"] += 1
         return None
@@ -208,7 +222,8 @@
                 quota.level = 0.0
         if plan.ceiling_rate > 0:
             ceiling = self.ceilings.setdefault(
-                asked.customer, Level(plan.ceiling_depth, plan.ceiling_rate, plan.ceiling_depth, now))
+                asked.customer, Level(plan.ceiling_depth, plan.ceiling_rate, plan.ceiling_depth, now)
+            )
             left = ceiling.take(asked.units, now)
             self.ceiling_lowest = min(self.ceiling_lowest, left)
             if left < -self.slack(plan):
@@ -217,10 +232,24 @@
     # figures
 
     def figures(self) -> dict[str, float]:
-        names = ("tries", "served", "refused", "failed", "with_a_killed_front", "attempts",
-                 "refused_with_quota_left", "answers_none", "answers_two", "answers_wrong", "unsafe_twice",
-                 "keyed_twice", "refused_after_run", "unknown_sent", "late_drain_sends",
-                 "ceiling_over_slack")
+        names = (
+            "tries",
+            "served",
+            "refused",
+            "failed",
+            "with_a_killed_front",
+            "attempts",
+            "refused_with_quota_left",
+            "answers_none",
+            "answers_two",
+            "answers_wrong",
+            "unsafe_twice",
+            "keyed_twice",
+            "refused_after_run",
+            "unknown_sent",
+            "late_drain_sends",
+            "ceiling_over_slack",
+        )
         told: dict[str, float] = {name: self.counts[name] for name in names}
         ordered = sorted(self.latencies)
         for name, part in (("median_ms", 0.5), ("p99_ms", 0.99)):
--- a/embersill/rig/causes.py
+++ b/embersill/rig/causes.py
@@ -64,10 +64,14 @@
             counts[2] += asked.call_id in wanted
         looks = max(sum(self.looks.values()), 1)
         return {
-            "refusals": {why: {**row, "held_ms": round(1000 * median(waits[why]))}
-                         for why, row in sorted(rows.items(), key=lambda item: -item[1]["refused"])},
-            "plans": {plan: {"tries": tries, "sent": sent, "all_seeing": granted}
-                      for plan, (tries, sent, granted) in sorted(by_plan.items())},
+            "refusals": {
+                why: {**row, "held_ms": round(1000 * median(waits[why]))}
+                for why, row in sorted(rows.items(), key=lambda item: -item[1]["refused"])
+            },
+            "plans": {
+                plan: {"tries": tries, "sent": sent, "all_seeing": granted}
+                for plan, (tries, sent, granted) in sorted(by_plan.items())
+            },
             "lent_to_nobody": round(self.looks["nobody"] / looks, 3),
         }
 
@@ -88,8 +92,10 @@
     for asked in sorted(books.tries.values(), key=lambda asked: asked.at):
         plan = books.plans[asked.plan]
         quota, ceiling = buckets.setdefault(asked.customer, buckets_of(plan, asked.at))
-        due = max((free_at(level, asked.units, asked.at) for level in (quota, ceiling) if level is not None),
-                  default=asked.at)
+        due = max(
+            (free_at(level, asked.units, asked.at) for level in (quota, ceiling) if level is not None),
+            default=asked.at,
+        )
         if due > max(asked.end - SENT_BY, asked.at):
             continue
         for level in (quota, ceiling):
--- a/embersill/rig/clerks.py
+++ b/embersill/rig/clerks.py
@@ -110,15 +110,24 @@
         for one in self.names:
             for other in self.names:
                 if one != other:
-                    way = Way(f"{one}>{other}", lambda port=ports[other]: (HOST, port),  # type: ignore[misc]
-                              self.seed)
+                    way = Way(
+                        f"{one}>{other}",
+                        lambda port=ports[other]: (HOST, port),  # type: ignore[misc]
+                        self.seed,
+                    )
                     self.ways[way.name] = way
                     await way.start()
         for name in self.names:
-            told = {"name": name, "state": f"{self.folder.name}/{name}", "seed": self.seed,
-                    "stale": name == self.stale,
-                    "members": {other: [HOST, ports[name] if other == name else
-                                        self.ways[f"{name}>{other}"].port] for other in self.names}}
+            told = {
+                "name": name,
+                "state": f"{self.folder.name}/{name}",
+                "seed": self.seed,
+                "stale": name == self.stale,
+                "members": {
+                    other: [HOST, ports[name] if other == name else self.ways[f"{name}>{other}"].port]
+                    for other in self.names
+                },
+            }
             path = Path(self.folder.name) / f"{name}.json"
             path.write_text(json.dumps(told))
             member = Member(name, "clerk", [sys.executable, "-m", "embersill.rig.clerks", str(path)], {})
@@ -154,8 +163,14 @@
             ops, end = made.setdefault(key, []), ended.get(number)
             if end is not None and end["end"] == "done":
                 found, value = end["found"], end.get("value")
-                ops.append(Op(at, float(str(end["at"])), None if found is None else str(found),
-                              None if value is None else str(value)))
+                ops.append(
+                    Op(
+                        at,
+                        float(str(end["at"])),
+                        None if found is None else str(found),
+                        None if value is None else str(value),
+                    )
+                )
             elif end is None or end["end"] == "unknown":
                 ops += [Op(at, math.inf, found, value, sure=False) for found, value in tried.get(number, ())]
         return made
--- a/embersill/rig/deployment.py
+++ b/embersill/rig/deployment.py
@@ -24,7 +24,13 @@
 from embersill.rig.scenarios import Names
 from embersill.rig.settings import settings_object
 from embersill.rig.standins import (
-    HOST, Arrival, Behaviour, DiscoveryView, StandInBackend, StandInCounter, StandInDiscovery,
+    HOST,
+    Arrival,
+    Behaviour,
+    DiscoveryView,
+    StandInBackend,
+    StandInCounter,
+    StandInDiscovery,
 )
 from embersill.rig.traffic import Customer, Front, Traffic
 from embersill.settings import read_settings
@@ -64,8 +70,9 @@
         self.settings: Settings = read_settings(self.object)
         self.books = Books(self.settings)
         self.discovery, self.counter, self.billing = StandInDiscovery(), StandInCounter(), StandInBilling()
-        self.backends = [StandInBackend(f"b{n}", shape.behaviour, shape.seed, self.arrived)
-                         for n in range(shape.backends)]
+        self.backends = [
+            StandInBackend(f"b{n}", shape.behaviour, shape.seed, self.arrived) for n in range(shape.backends)
+        ]
         self.counter_of: dict[str, str] = {}  # addresses of the counter by gateway, where they differ
         self.fronts: list[Front] = []
         self.members: dict[str, Member] = {}
@@ -78,10 +85,16 @@
         self.folder = tempfile.TemporaryDirectory(prefix="embersill-lab-")
         kind = "forwarder" if shape.planners else "gateway"
         self.names = Names(
-            {**{f"g{n}": kind for n in range(shape.fronts)},
-             **{f"p{n}": "planner" for n in range(shape.planners)},
-             **{backend.name: "backend" for backend in self.backends},
-             "discovery": "discovery", "counter": "counter", "billing": "billing"}, shape.zones)
+            {
+                **{f"g{n}": kind for n in range(shape.fronts)},
+                **{f"p{n}": "planner" for n in range(shape.planners)},
+                **{backend.name: "backend" for backend in self.backends},
+                "discovery": "discovery",
+                "counter": "counter",
+                "billing": "billing",
+            },
+            shape.zones,
+        )
 
     def arrived(self, arrival: Arrival, runs: bool) -> None:
         self.books.arrived(arrival, runs)
@@ -104,14 +117,18 @@
         await asyncio.gather(*(self.members[front.name].start() for front in self.fronts))
         await asyncio.gather(*(self.wait_ready(front) for front in self.fronts))
         self.traffic = Traffic(
-            self.settings, self.books, self.fronts, self.customers(), shape.rate, shape.seed)
+            self.settings, self.books, self.fronts, self.customers(), shape.rate, shape.seed
+        )
 
     # ways
 
     def relayed(self) -> list[str]:
         """The ways that go over relays: only processes dial."""
-        return [way for way in self.names.ways(self.shape.relayed)
-                if self.names.roles[way.partition(">")[0]] in ("planner", "forwarder", "gateway")]
+        return [
+            way
+            for way in self.names.ways(self.shape.relayed)
+            if self.names.roles[way.partition(">")[0]] in ("planner", "forwarder", "gateway")
+        ]
 
     async def lay_ways(self) -> None:
         for name in self.relayed():
@@ -135,8 +152,12 @@
             if role == "planner":
                 ports = self.council_ports if self.names.roles[begin] == "planner" else self.ports
                 return HOST, ports[end]
-            parts = {"discovery": self.discovery, "counter": self.counter, "billing": self.billing,
-                     **{backend.name: backend for backend in self.backends}}
+            parts = {
+                "discovery": self.discovery,
+                "counter": self.counter,
+                "billing": self.billing,
+                **{backend.name: backend for backend in self.backends},
+            }
             return HOST, parts[end].port
 
         return target
@@ -151,7 +172,7 @@
         names = [f"p{n}" for n in range(self.shape.planners)]
         ports = free_ports(2 * len(names))
         self.ports = dict(zip(names, ports, strict=False))
-        self.council_ports = dict(zip(names, ports[len(names):], strict=True))
+        self.council_ports = dict(zip(names, ports[len(names) :], strict=True))
         folder = Path(self.folder.name)
         (folder / "secret").write_text(secrets.token_hex(16))
         for name in forwarders:
@@ -164,14 +185,23 @@
 
     def write_operator(self, name: str, role: str, forwarders: list[str]) -> None:
         ways = self.ways if role == "forwarder" else self.link_ways
-        planners = {p: ways[f"{name}>{p}"].address if f"{name}>{p}" in ways else f"{HOST}:{port}"
-                    for p, port in self.ports.items()}
-        lines = [f'role = "{role}"', "[tiers]", f"forwarders = {json.dumps(forwarders)}",
-                 'secret_file = "secret"', f"status_every = {self.shape.status_every}",
-                 f"helpers = {self.shape.helpers}",
-                 f"tell_refusals = {str(self.shape.tell_refusals).lower()}", "[tiers.planners]",
-                 *(f'{p} = "{address}"' for p, address in planners.items()),
-                 "[tiers.terms]", *(f"{name} = {seconds}" for name, seconds in self.shape.terms.items())]
+        planners = {
+            p: ways[f"{name}>{p}"].address if f"{name}>{p}" in ways else f"{HOST}:{port}"
+            for p, port in self.ports.items()
+        }
+        lines = [
+            f'role = "{role}"',
+            "[tiers]",
+            f"forwarders = {json.dumps(forwarders)}",
+            'secret_file = "secret"',
+            f"status_every = {self.shape.status_every}",
+            f"helpers = {self.shape.helpers}",
+            f"tell_refusals = {str(self.shape.tell_refusals).lower()}",
+            "[tiers.planners]",
+            *(f'{p} = "{address}"' for p, address in planners.items()),
+            "[tiers.terms]",
+            *(f"{name} = {seconds}" for name, seconds in self.shape.terms.items()),
+        ]
         text = "\n".join(lines) + "\n"
         if role == "planner":
             text += self.shape.operator + self.council_text(name)
@@ -180,11 +210,17 @@
     def council_text(self, name: str) -> str:
         if not self.shape.council_tables:
             return ""
-        members = {p: f"{HOST}:{port}" if p == name else self.dialled(name, p, f"{HOST}:{port}")
-                   for p, port in self.council_ports.items()}
+        members = {
+            p: f"{HOST}:{port}" if p == name else self.dialled(name, p, f"{HOST}:{port}")
+            for p, port in self.council_ports.items()
+        }
         billing = self.dialled(name, "billing", self.billing.address)
-        lines = ["[council]", f'state = "state-{name}"', "[council.members]",
-                 *(f'{p} = "{address}"' for p, address in members.items())]
+        lines = [
+            "[council]",
+            f'state = "state-{name}"',
+            "[council.members]",
+            *(f'{p} = "{address}"' for p, address in members.items()),
+        ]
         return "\n".join(lines) + "\n" + self.shape.council_tables.replace("BILLING", billing)
 
     def operator_file(self, name: str) -> Path:
@@ -207,20 +243,25 @@
         """A further process, not started yet; `config` names its files where the name is taken."""
         folder = Path(self.folder.name)
         discovery, known = self.discovery.address, self.discovery.listing()
-        places = {b.name: self.ways[f"{name}>{b.name}"].address for b in self.backends
-                  if f"{name}>{b.name}" in self.ways}
+        places = {
+            b.name: self.ways[f"{name}>{b.name}"].address
+            for b in self.backends
+            if f"{name}>{b.name}" in self.ways
+        }
         if places:
             view = DiscoveryView(self.discovery, places)
             await view.start()
             self.views.append(view)
             discovery, known = view.address, view.listing()
         told = {
-            "name": name, "listen": f"{HOST}:{port or 1}",
+            "name": name,
+            "listen": f"{HOST}:{port or 1}",
             "discovery": self.dialled(name, "discovery", discovery),
             "counter": self.dialled(name, "counter", self.counter_of.get(name, self.counter.address)),
             "seed": f"{self.random.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.shape.sockets},
-            "known": known, "settings": self.object,
+            "known": known,
+            "settings": self.object,
         }
         config = config or name
         path = folder / f"{config}.json"
@@ -271,7 +312,7 @@
             plan = shape.plans[n % len(shape.plans)]
             weight = 3.0 if plan == "pro" else 1.0
             spread = min(2 + n % 3, shape.fronts)
-            made.append(Customer(0xc000 + n, plan, weight, self.random.randrange(shape.fronts), spread))
+            made.append(Customer(0xC000 + n, plan, weight, self.random.randrange(shape.fronts), spread))
         return made
 
     def planners(self) -> list[Member]:
@@ -279,8 +320,9 @@
 
     # faults
 
-    async def trouble_planners(self, every: float, until: float, down: float = 1.0, paused: float = 1.5
-                               ) -> None:
+    async def trouble_planners(
+        self, every: float, until: float, down: float = 1.0, paused: float = 1.5
+    ) -> None:
         """Kills or pauses one planner after the other, by turns, until the loop's time `until`."""
         loop, turn = asyncio.get_running_loop(), 0
         tasks: list[asyncio.Task[None]] = []
@@ -288,8 +330,11 @@
             await asyncio.sleep(every)
             # every second fault is a pause, and each planner gets both kinds
             member = self.planners()[turn // 2 % len(self.planners())]
-            tasks.append(asyncio.create_task(
-                self.kill_and_restart(member, down) if turn % 2 == 0 else self.pause(member, paused)))
+            tasks.append(
+                asyncio.create_task(
+                    self.kill_and_restart(member, down) if turn % 2 == 0 else self.pause(member, paused)
+                )
+            )
             turn += 1
         await asyncio.gather(*tasks)
 
@@ -358,8 +403,14 @@
         return (f"{m.name}: {line}" for m in self.members.values() for line in m.log)
 
 
-async def play(deployment: Deployment, seconds: float, *, trouble_every: float = 0.0,
-               drain_every: float = 0.0, restart_front_every: float = 0.0) -> dict[str, Any]:
+async def play(
+    deployment: Deployment,
+    seconds: float,
+    *,
+    trouble_every: float = 0.0,
+    drain_every: float = 0.0,
+    restart_front_every: float = 0.0,
+) -> dict[str, Any]:
     """Starts a deployment, sends it traffic and trouble, ends it, and tells what happened."""
     loop = asyncio.get_running_loop()
     try:
@@ -396,5 +447,3 @@
         front = deployment.fronts[turn % len(deployment.fronts)]
         await deployment.restart_front(front, 0.5)
         turn += 1
-
-
--- a/embersill/rig/hall.py
+++ b/embersill/rig/hall.py
@@ -75,9 +75,14 @@
             self.ran[told] = self.ran.get(told, 0) + 1
             await asyncio.sleep(self.hall.chance.uniform(*self.hall.work))
             self.running -= 1
-        return web.Response(body=body or b"whole", headers={
-            "X-Attempt-Id": told, "X-Backend-Seal": self.name,
-            "X-Backend-Load": f"{self.running},{self.waiting},{SLOTS}"})
+        return web.Response(
+            body=body or b"whole",
+            headers={
+                "X-Attempt-Id": told,
+                "X-Backend-Seal": self.name,
+                "X-Backend-Load": f"{self.running},{self.waiting},{SLOTS}",
+            },
+        )
 
     async def beat(self) -> None:
         gateway = self.hall.chance.randrange(self.hall.size)
@@ -90,8 +95,16 @@
     async def say(self, gateway: int, state: str) -> bool:
         """Tells one gateway of itself, ready or draining; True if that was acknowledged."""
         self.calls += 1
-        told = {"service": "s", "address": self.address, "zone": self.zone, "version": "v1",
-                "capacity_slots": SLOTS, "state": state, "warmup_remaining_s": 0, "call_sequence": self.calls}
+        told = {
+            "service": "s",
+            "address": self.address,
+            "zone": self.zone,
+            "version": "v1",
+            "capacity_slots": SLOTS,
+            "state": state,
+            "warmup_remaining_s": 0,
+            "call_sequence": self.calls,
+        }
         status, _ = await self.hall.control(gateway, "PUT", f"/api/instances/{self.name}", told)
         return status == 200
 
@@ -103,11 +116,18 @@
 class Hall:
     """`async with Hall(...)` starts all, takes the configuration, and waits until every gateway is ready."""
 
-    def __init__(self, folder: Path, size: int = 5, backends: int = 6, seed: int = 1,
-                 tenants: Mapping[str, tuple[float, float]] | None = None,
-                 work: tuple[float, float] = (0.02, 0.06),
-                 make_backend: Callable[[Hall, int], Backend] | None = None, grace: float = 3.0,
-                 environ: Mapping[str, str] | None = None) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        size: int = 5,
+        backends: int = 6,
+        seed: int = 1,
+        tenants: Mapping[str, tuple[float, float]] | None = None,
+        work: tuple[float, float] = (0.02, 0.06),
+        make_backend: Callable[[Hall, int], Backend] | None = None,
+        grace: float = 3.0,
+        environ: Mapping[str, str] | None = None,
+    ) -> None:
         """`folder`: for settings and disks. `tenants`: rate and burst by name, whose key is the name.
 
         `work`: seconds that a backend takes, from and to. `make_backend`: another kind of backend, by number.
@@ -136,16 +156,29 @@
         ip, core = self.ip(number), number < CORE
         front, ready, control, links = self.ports
         local: dict[str, Any] = {
-            "node_name": f"g{number}", "ip_address": ip, "zone": ZONES[number % len(ZONES)],
-            "first_start": first, "counts_toward_quorum": core, "heartbeat_interval_s": BEAT,
-            "listen_addresses": {"front_http": f"{ip}:{front}", "readiness": f"{ip}:{ready}",
-                                 "control_plane": f"{ip}:{control}"},
+            "node_name": f"g{number}",
+            "ip_address": ip,
+            "zone": ZONES[number % len(ZONES)],
+            "first_start": first,
+            "counts_toward_quorum": core,
+            "heartbeat_interval_s": BEAT,
+            "listen_addresses": {
+                "front_http": f"{ip}:{front}",
+                "readiness": f"{ip}:{ready}",
+                "control_plane": f"{ip}:{control}",
+            },
             "internal_port_range": [links, links],
             "seed_nodes": [f"{self.ip(n)}:{control}" for n in range(min(CORE, self.size))],
             "limits": {"memory_mb": 300, "file_descriptors": 1000, "disk_mb": 64},
             "fault_tolerance": {"machine_failures": 1},
-            "bounds": {"grace_period_s": self.grace, "quota_overshoot": 0.1, "quota_slack": 20,
-                       "retry_budget_ratio": 0.2, "retry_budget_slack": 68}}
+            "bounds": {
+                "grace_period_s": self.grace,
+                "quota_overshoot": 0.1,
+                "quota_slack": 20,
+                "retry_budget_ratio": 0.2,
+                "retry_budget_slack": 68,
+            },
+        }
         if core:
             local["data_directory"] = str(self.folder / f"g{number}")
         path = self.folder / f"g{number}.json"
@@ -165,8 +198,9 @@
             raise
         return self
 
-    async def __aexit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                        trace: TracebackType | None) -> None:
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         await self.close()
 
     async def close(self) -> None:
@@ -193,16 +227,35 @@
             return False
 
     def configuration(self, version: int = 1, based_on: int = 0) -> dict[str, Any]:
-        routes = {name: {"host": "hall.example", "path_prefix": f"/{name}/", "kind": kind, "timeout_s": 3.0,
-                         "target_latency_s": 0.5, "priority": 1, "service": "s", "max_attempts": 2}
-                  for name, kind in (("ask", "idempotent"), ("order", "non_idempotent"))}
+        routes = {
+            name: {
+                "host": "hall.example",
+                "path_prefix": f"/{name}/",
+                "kind": kind,
+                "timeout_s": 3.0,
+                "target_latency_s": 0.5,
+                "priority": 1,
+                "service": "s",
+                "max_attempts": 2,
+            }
+            for name, kind in (("ask", "idempotent"), ("order", "non_idempotent"))
+        }
         return {
-            "version": f"{version:08x}", "based_on_version": f"{based_on:08x}", "routes": routes,
+            "version": f"{version:08x}",
+            "based_on_version": f"{based_on:08x}",
+            "routes": routes,
             "services": {"s": {"health_path": "/health", "connection_limit": 200}},
-            "limits": {"max_header_bytes": 16384, "max_body_bytes": 1 << 20, "header_timeout_s": 3,
-                       "idle_timeout_s": 15},
-            "tenants": {name: {"api_keys": [name], "rate_per_s": rate, "burst_size": burst}
-                        for name, (rate, burst) in self.tenants.items()}}
+            "limits": {
+                "max_header_bytes": 16384,
+                "max_body_bytes": 1 << 20,
+                "header_timeout_s": 3,
+                "idle_timeout_s": 15,
+            },
+            "tenants": {
+                name: {"api_keys": [name], "rate_per_s": rate, "burst_size": burst}
+                for name, (rate, burst) in self.tenants.items()
+            },
+        }
 
     async def control(self, gateway: int, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         """A call of control: its status, 0 where none came, and what the answer says."""
@@ -213,12 +266,17 @@
         except (aiohttp.ClientError, TimeoutError, ValueError):
             return 0, None
 
-    async def ask(self, tenant: str, gateway: int, route: str = "ask", patience: float = 2.0,
-                  fresh: bool = False) -> Answered:
+    async def ask(
+        self, tenant: str, gateway: int, route: str = "ask", patience: float = 2.0, fresh: bool = False
+    ) -> Answered:
         """One try of a client's, on a kept connection, or on one of its own with `fresh`."""
         self.tries += 1
-        headers = {"Host": "hall.example", "X-Key": tenant, "X-Attempt-Id": f"a{self.tries}",
-                   "X-Deadline-Remaining-Ms": f"{patience * 1000:.0f}"}
+        headers = {
+            "Host": "hall.example",
+            "X-Key": tenant,
+            "X-Attempt-Id": f"a{self.tries}",
+            "X-Deadline-Remaining-Ms": f"{patience * 1000:.0f}",
+        }
         if fresh:
             headers["Connection"] = "close"
         method = "GET" if route == "ask" else "POST"
@@ -227,7 +285,8 @@
         try:
             url = f"http://{self.ip(gateway)}:{self.ports[0]}/{route}/x"
             async with self.session.request(
-                    method, url, headers=headers, timeout=aiohttp.ClientTimeout(patience)) as answer:
+                method, url, headers=headers, timeout=aiohttp.ClientTimeout(patience)
+            ) as answer:
                 await answer.read()
                 status, wait = answer.status, float(answer.headers.get("Retry-After", "0"))
         except (aiohttp.ClientError, TimeoutError):
