--- a/embersill/rig/ownership.py
+++ b/embersill/rig/ownership.py
@@ -88,9 +88,15 @@
 async def wait_booked(deployment: Deployment, within: float = 30.0) -> None:
     """Until all planners' use is booked, and they know it."""
     async with asyncio.timeout(within):
-        while any(m.running and (m.status.get("export", {}).get("unreported", 1.0)
-                                 or m.status["export"]["closed"] != m.status["export"]["confirmed"])
-                  for m in deployment.members.values() if m.role == "planner"):
+        while any(
+            m.running
+            and (
+                m.status.get("export", {}).get("unreported", 1.0)
+                or m.status["export"]["closed"] != m.status["export"]["confirmed"]
+            )
+            for m in deployment.members.values()
+            if m.role == "planner"
+        ):
             await asyncio.sleep(LOOK_EVERY)
 
 
@@ -110,9 +116,17 @@
             missing += max(batch["number"] - before - 1, 0)
             last[batch["stream"]] = max(before, batch["number"])
             units += sum(u for _, _, u in batch["uses"])
-    at_once: Counter[int] = Counter(booked.number for booked in billing.log if owners[booked.number]
-                                    != booked.owner)
-    return {"appends": len(billing.log), "owners": len(owners), "streams": last, "units_exported": units,
-            "exported_twice": twice, "exported_out_of_order": missing, "late_effects_taken": late,
-            "late_effects_refused": billing.counts["late_refused"],
-            "owners_at_once_most": 1 + (1 if at_once or billing.counts["two_owners"] or late else 0)}
+    at_once: Counter[int] = Counter(
+        booked.number for booked in billing.log if owners[booked.number] != booked.owner
+    )
+    return {
+        "appends": len(billing.log),
+        "owners": len(owners),
+        "streams": last,
+        "units_exported": units,
+        "exported_twice": twice,
+        "exported_out_of_order": missing,
+        "late_effects_taken": late,
+        "late_effects_refused": billing.counts["late_refused"],
+        "owners_at_once_most": 1 + (1 if at_once or billing.counts["two_owners"] or late else 0),
+    }
--- a/embersill/rig/playing.py
+++ b/embersill/rig/playing.py
@@ -19,8 +19,17 @@
 from embersill.world.oracles import Rules, judge
 from embersill.world.records import Fault
 
-RULES = ("answers_none", "answers_two", "answers_wrong", "unsafe_twice", "keyed_twice", "refused_after_run",
-         "unknown_sent", "late_drain_sends", "ceiling_over_slack")
+RULES = (
+    "answers_none",
+    "answers_two",
+    "answers_wrong",
+    "unsafe_twice",
+    "keyed_twice",
+    "refused_after_run",
+    "unknown_sent",
+    "late_drain_sends",
+    "ceiling_over_slack",
+)
 COUNCIL = """[council.export]
 billing = "http://BILLING"
 period = 60.0
@@ -33,9 +42,16 @@
     """The deployment that a scenario describes."""
     told = scenario.shape
     shape = Shape(
-        fronts=told.gateways or told.forwarders, planners=0 if told.gateways else told.planners,
-        backends=told.backends, customers=told.customers, rate=scenario.rate, seed=scenario.seed,
-        behaviour=Behaviour(0.01, 0.05), zones=dict(told.zones), relayed=told.relayed)
+        fronts=told.gateways or told.forwarders,
+        planners=0 if told.gateways else told.planners,
+        backends=told.backends,
+        customers=told.customers,
+        rate=scenario.rate,
+        seed=scenario.seed,
+        behaviour=Behaviour(0.01, 0.05),
+        zones=dict(told.zones),
+        relayed=told.relayed,
+    )
     if told.council:
         shape.council_tables = COUNCIL
     if told.gateways:
@@ -65,8 +81,11 @@
             began = loop.time()
             tasks = [asyncio.ensure_future(self.one(fault, began)) for fault in self.faults]
             if self.scenario.drain_every > 0:
-                tasks.append(asyncio.ensure_future(
-                    deployment.drain_by_turns(self.scenario.drain_every, began + self.scenario.seconds)))
+                tasks.append(
+                    asyncio.ensure_future(
+                        deployment.drain_by_turns(self.scenario.drain_every, began + self.scenario.seconds)
+                    )
+                )
             if meanwhile is not None:
                 tasks.append(asyncio.ensure_future(meanwhile(deployment)))
             await deployment.traffic.run(self.scenario.seconds)
--- a/embersill/rig/processes.py
+++ b/embersill/rig/processes.py
@@ -39,12 +39,15 @@
 
     async def start(self) -> None:
         self.process = await asyncio.create_subprocess_exec(
-            *self.command, env=self.environ, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            *self.command, env=self.environ, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE
+        )
         self.lives += 1
         self.stopped, self.status = False, {}  # what an earlier life said counts no more
         assert self.process.stdout is not None and self.process.stderr is not None
-        self.readers = [asyncio.create_task(self.read(self.process.stdout, True)),
-                        asyncio.create_task(self.read(self.process.stderr, False))]
+        self.readers = [
+            asyncio.create_task(self.read(self.process.stdout, True)),
+            asyncio.create_task(self.read(self.process.stderr, False)),
+        ]
 
     async def read(self, stream: asyncio.StreamReader, status: bool) -> None:
         while line := await stream.readline():
--- a/embersill/rig/relay.py
+++ b/embersill/rig/relay.py
@@ -64,8 +64,9 @@
 class Pump:
     """One direction of one connection: reads, keeps what is late, writes."""
 
-    def __init__(self, way: Way, direction: Direction, reader: asyncio.StreamReader,
-                 writer: asyncio.StreamWriter) -> None:
+    def __init__(
+        self, way: Way, direction: Direction, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.way, self.direction, self.reader, self.writer = way, direction, reader, writer
         self.late: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue()
         self.under_way = 0
@@ -172,26 +173,33 @@
         self.changed = asyncio.Event()
 
     def has(self, verb: Verb, direction: Direction = Direction.BOTH) -> bool:
-        return any(t.verb is verb and (direction is Direction.BOTH or t.holds(direction))
-                   for t in self.troubles.values())
+        return any(
+            t.verb is verb and (direction is Direction.BOTH or t.holds(direction))
+            for t in self.troubles.values()
+        )
 
     async def passable(self, direction: Direction) -> None:
         while self.has(Verb.SWALLOW, direction):
             await self.changed.wait()
 
     def lateness(self, direction: Direction) -> float:
-        return sum(t.seconds + t.jitter * self.chance.random() for t in self.troubles.values()
-                   if t.verb is Verb.DELAY and t.holds(direction))
+        return sum(
+            t.seconds + t.jitter * self.chance.random()
+            for t in self.troubles.values()
+            if t.verb is Verb.DELAY and t.holds(direction)
+        )
 
     def pieces(self, direction: Direction, data: bytes) -> Iterable[tuple[bytes, float]]:
         """What is written at a time, and how long to wait after it."""
         for trouble in self.troubles.values():
             if trouble.verb is Verb.DRIBBLE and trouble.holds(direction):
                 size = max(trouble.size, 1)
-                return [(data[at:at + size], trouble.seconds) for at in range(0, len(data), size)]
+                return [(data[at : at + size], trouble.seconds) for at in range(0, len(data), size)]
             if trouble.verb is Verb.NARROW and trouble.holds(direction):
-                return [(data[at:at + 1024], len(data[at:at + 1024]) / max(trouble.rate, 1.0))
-                        for at in range(0, len(data), 1024)]
+                return [
+                    (data[at : at + 1024], len(data[at : at + 1024]) / max(trouble.rate, 1.0))
+                    for at in range(0, len(data), 1024)
+                ]
         return [(data, 0.0)]
 
     # connections
@@ -220,11 +228,18 @@
             if other is not None:
                 other.close()
 
-    async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
-                    answers: asyncio.StreamReader, other: asyncio.StreamWriter) -> None:
+    async def carry(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        answers: asyncio.StreamReader,
+        other: asyncio.StreamWriter,
+    ) -> None:
         """Both directions, until one ends; the end of the dialled side is kept back while half-open."""
-        pumps = [asyncio.ensure_future(Pump(self, Direction.UP, reader, other).run()),
-                 asyncio.ensure_future(Pump(self, Direction.DOWN, answers, writer).run())]
+        pumps = [
+            asyncio.ensure_future(Pump(self, Direction.UP, reader, other).run()),
+            asyncio.ensure_future(Pump(self, Direction.DOWN, answers, writer).run()),
+        ]
         try:
             await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
             while self.has(Verb.HALF):
--- a/embersill/rig/scenarios.py
+++ b/embersill/rig/scenarios.py
@@ -144,9 +144,21 @@
         if not 0 < drawn.part <= 1:
             raise BadScenario(f"{where}.part: above nought and at most one")
         for what in drawn.what:
-            check_fault(where, FaultTable(what, who=drawn.who, ways=drawn.ways, seconds=drawn.seconds[0],
-                                          late=drawn.late, rate=drawn.rate, size=drawn.size,
-                                          share=drawn.share, jitter=drawn.jitter), mixed=True)
+            check_fault(
+                where,
+                FaultTable(
+                    what,
+                    who=drawn.who,
+                    ways=drawn.ways,
+                    seconds=drawn.seconds[0],
+                    late=drawn.late,
+                    rate=drawn.rate,
+                    size=drawn.size,
+                    share=drawn.share,
+                    jitter=drawn.jitter,
+                ),
+                mixed=True,
+            )
 
 
 def check_fault(where: str, fault: FaultTable, mixed: bool = False) -> None:
@@ -175,8 +187,10 @@
     def __init__(self, roles: Mapping[str, str], zones: Mapping[str, Iterable[str]]) -> None:
         """`roles`: by name. What is no process has its kind as its role."""
         self.roles = dict(roles)
-        self.zones = {zone: sorted({name for word in words for name in self.roles if fnmatchcase(name, word)})
-                      for zone, words in zones.items()}
+        self.zones = {
+            zone: sorted({name for word in words for name in self.roles if fnmatchcase(name, word)})
+            for zone, words in zones.items()
+        }
 
     def zone_of(self, name: str) -> str:
         return next((zone for zone, names in self.zones.items() if name in names), "")
@@ -229,13 +243,23 @@
     on_ways = what in WAY_VERBS
     direction = chance.choice(("up", "down", "both")) if drawn.direction == "any" else drawn.direction
     return FaultTable(
-        what, round(at, 3), round(chance.uniform(*drawn.seconds), 3), [] if on_ways else drawn.who,
-        drawn.ways if on_ways else [], direction, drawn.late, drawn.jitter, drawn.rate, drawn.size,
-        drawn.share)
-
-
-def settled(fault: FaultTable, names: Names, have: set[str], chance: random.Random | None = None,
-            part: float = 1.0) -> FaultTable:
+        what,
+        round(at, 3),
+        round(chance.uniform(*drawn.seconds), 3),
+        [] if on_ways else drawn.who,
+        drawn.ways if on_ways else [],
+        direction,
+        drawn.late,
+        drawn.jitter,
+        drawn.rate,
+        drawn.size,
+        drawn.share,
+    )
+
+
+def settled(
+    fault: FaultTable, names: Names, have: set[str], chance: random.Random | None = None, part: float = 1.0
+) -> FaultTable:
     ways = [way for way in names.ways(fault.ways) if way in have]
     if fault.ways and not ways:
         raise BadScenario(f"none of {', '.join(fault.ways)} goes over a relay: see shape.relayed")
--- a/embersill/rig/standins.py
+++ b/embersill/rig/standins.py
@@ -100,7 +100,8 @@
     def answer(self, status: int, body: bytes, headers: bytes = b"") -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(
-                b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (status, headers, len(body), body))
+                b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (status, headers, len(body), body)
+            )
 
     def close(self) -> None:
         if self.transport is not None:
@@ -114,8 +115,9 @@
 class StandInBackend(Listener):
     """Serves a request with its id, which tells the client whether the answer is its own."""
 
-    def __init__(self, name: str, behaviour: Behaviour, seed: int,
-                 told: Callable[[Arrival, bool], None]) -> None:
+    def __init__(
+        self, name: str, behaviour: Behaviour, seed: int, told: Callable[[Arrival, bool], None]
+    ) -> None:
         """`told` hears of every arrival, and whether it runs."""
         super().__init__()
         self.name, self.behaviour, self.told = name, behaviour, told
@@ -126,8 +128,9 @@
     async def start(self) -> None:
         await self.listen(lambda: BackendConnection(self))
 
-    def came(self, connection: BackendConnection, call_id: str, url: bytes, began: float, whole: float
-             ) -> None:
+    def came(
+        self, connection: BackendConnection, call_id: str, url: bytes, began: float, whole: float
+    ) -> None:
         query = parse_qs(url.partition(b"?")[2].decode("latin-1"))
         arrival = Arrival(self.name, call_id, query.get("client", [""])[0], began, whole)
         draw, plan = self.random.random(), self.behaviour
@@ -192,10 +195,19 @@
         self.changed_in: dict[str, int] = {}
         self.changed = asyncio.Condition()
 
-    def entry(self, backend: StandInBackend, cell: int, status: str = "SERVING", zone: str = "z"
-              ) -> dict[str, Any]:
-        return {"instanceId": backend.name, "hostPort": backend.address, "zone": zone, "machineType": "k",
-                "cell": cell, "lifecycle": status, "weight": 1.0, "startedAtMs": 0}
+    def entry(
+        self, backend: StandInBackend, cell: int, status: str = "SERVING", zone: str = "z"
+    ) -> dict[str, Any]:
+        return {
+            "instanceId": backend.name,
+            "hostPort": backend.address,
+            "zone": zone,
+            "machineType": "k",
+            "cell": cell,
+            "lifecycle": status,
+            "weight": 1.0,
+            "startedAtMs": 0,
+        }
 
     def changed_entry(self, name: str, status: str) -> dict[str, Any]:
         return {**self.entries[name], "lifecycle": status}
@@ -204,8 +216,11 @@
         return self.generation
 
     def listing(self, since: int | None = None) -> dict[str, Any]:
-        named = [e for e in self.entries.values()
-                 if since is None or self.changed_in.get(e["instanceId"], 0) > since]
+        named = [
+            e
+            for e in self.entries.values()
+            if since is None or self.changed_in.get(e["instanceId"], 0) > since
+        ]
         return {"generation": self.generation, "reset": since is None, "instances": named}
 
     async def set(self, entry: dict[str, Any]) -> None:
@@ -242,8 +257,9 @@
     def listing(self, since: int | None = None) -> dict[str, Any]:
         self.generation = self.source.generation
         told = super().listing(since)
-        told["instances"] = [{**e, "hostPort": self.places.get(e["instanceId"], e["hostPort"])}
-                             for e in told["instances"]]
+        told["instances"] = [
+            {**e, "hostPort": self.places.get(e["instanceId"], e["hostPort"])} for e in told["instances"]
+        ]
         return told
 
     def now_at(self) -> int:
--- a/embersill/rig/traffic.py
+++ b/embersill/rig/traffic.py
@@ -109,8 +109,17 @@
 class Traffic:
     """Poisson arrivals of tries at `rate` a second, dealt over customers by weight and over their fronts."""
 
-    def __init__(self, settings: Settings, books: Books, fronts: list[Front], customers: list[Customer],
-                 rate: float, seed: int, uneven: float = 0.7, turn_every: float = 8.0) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        books: Books,
+        fronts: list[Front],
+        customers: list[Customer],
+        rate: float,
+        seed: int,
+        uneven: float = 0.7,
+        turn_every: float = 8.0,
+    ) -> None:
         """`uneven`: part of a customer's tries that come through its busiest front, which changes in turn."""
         self.settings, self.books, self.fronts, self.customers = settings, books, fronts, customers
         self.rate, self.uneven, self.turn_every = rate, uneven, turn_every
@@ -149,7 +158,7 @@
     async def one(self) -> None:
         rng = self.random
         customer = rng.choices(self.customers, self.weights)[0]
-        klass = rng.choices(self.classes, [0.6, 0.22, 0.18][:len(self.classes)])[0]
+        klass = rng.choices(self.classes, [0.6, 0.22, 0.18][: len(self.classes)])[0]
         units, budget = rng.randint(1, self.most_units), klass.deadline * rng.uniform(0.5, 1.0)
         self.made += 1
         call_id = f"{self.made:016x}"
@@ -158,8 +167,16 @@
             if connection is None:
                 continue
             now = self.loop.time()
-            asked = Asked(call_id, klass.name, customer.plan, f"{customer.number:016x}", float(units),
-                          front.name, now, now + budget)
+            asked = Asked(
+                call_id,
+                klass.name,
+                customer.plan,
+                f"{customer.number:016x}",
+                float(units),
+                front.name,
+                now,
+                now + budget,
+            )
             self.books.asked(asked)
             return connection.ask(asked, request_text(asked, klass.repeats, budget, customer))
         self.books.counts["no_front"] += 1
@@ -188,8 +205,11 @@
     """The try by the platform's protocol."""
     get = repeats is Repeats.SAFE
     lines = [
-        f"{'GET' if get else 'POST'} /api?client={asked.customer} HTTP/1.1", "Host: backend.local",
-        f"X-Call-Id: {asked.call_id}", f"X-Call-Class: {asked.klass}", f"Plan: {asked.plan}",
+        f"{'GET' if get else 'POST'} /api?client={asked.customer} HTTP/1.1",
+        "Host: backend.local",
+        f"X-Call-Id: {asked.call_id}",
+        f"X-Call-Class: {asked.klass}",
+        f"Plan: {asked.plan}",
         f"X-Budget: {budget:.3f}",
         f"Quota-Info: units={asked.units:g},spread={customer.spread},first={customer.first}",
     ]
--- a/embersill/roles.py
+++ b/embersill/roles.py
@@ -78,8 +78,13 @@
 class Program:
     """The parts of one gateway, from start to stop."""
 
-    def __init__(self, told: Configuration, clock: Callable[[], float] | None = None,
-                 decider: Decider | None = None, counts: bool = False) -> None:
+    def __init__(
+        self,
+        told: Configuration,
+        clock: Callable[[], float] | None = None,
+        decider: Decider | None = None,
+        counts: bool = False,
+    ) -> None:
         """With no `decider` the module decides here. With one, `counts` says if it uses the counter."""
         clock = clock or start_clock()
         self.loop = asyncio.get_running_loop()
@@ -90,12 +95,17 @@
         self.driver = Driver(decides, clock, self.pool)
         if told.counter is not None and (counts or decider is None):
             self.driver.counter = Counter(
-                clock, told.counter, told.settings.counter_patience, told.limits.dial_timeout,
-                self.driver.counter_told)
+                clock,
+                told.counter,
+                told.settings.counter_patience,
+                told.limits.dial_timeout,
+                self.driver.counter_told,
+            )
         self.driver.list_told(told.known)
         pace = Pace(told.settings.list_pushed, told.settings.gateways, told.seed)
         self.discovery = Discovery(
-            told.discovery, told.limits.dial_timeout, self.driver.list_told, pace, told.known.generation)
+            told.discovery, told.limits.dial_timeout, self.driver.list_told, pace, told.known.generation
+        )
         self.front = Front(self.driver, told.settings, clock, clients, self.serves)
         self.listen, self.settings = told.listen, told.settings
         self.filed = told.discovery_filed, told.counter
@@ -104,6 +114,7 @@
         self.operations: Operations | None = None
         if told.operator is not None:
             from embersill.service.running import Operations  # only where the platform names its address
+
             avoided = decides.avoided if isinstance(decides, Gateway) else lambda: 0
             self.operations = Operations(self, told.name, avoided)
             self.front.shares, self.front.read_within = True, SLOW_WITHIN
--- a/embersill/service/figures.py
+++ b/embersill/service/figures.py
@@ -22,8 +22,13 @@
 
     def text(self, tries: int, in_progress: int, known: int, skipped: int) -> str:
         """All figures, one `gateway.NAME=NUMBER` a line."""
-        lines = [f"gateway.{end}.{klass}={n}" for end, counts in self.ended.items()
-                 for klass, n in counts.items()]
-        lines += [f"gateway.upstream_tries={tries}", f"gateway.in_progress={in_progress}",
-                  f"gateway.known_backends={known}", f"gateway.skipped_backends={skipped}"]
+        lines = [
+            f"gateway.{end}.{klass}={n}" for end, counts in self.ended.items() for klass, n in counts.items()
+        ]
+        lines += [
+            f"gateway.upstream_tries={tries}",
+            f"gateway.in_progress={in_progress}",
+            f"gateway.known_backends={known}",
+            f"gateway.skipped_backends={skipped}",
+        ]
         return "\n".join(lines) + "\n"
--- a/embersill/service/running.py
+++ b/embersill/service/running.py
@@ -21,7 +21,13 @@
 from embersill.service.calls import route
 from embersill.service.figures import Figures
 from embersill.service.succession import (
-    MOST_BYTES, MOST_HELD, Mark, Stage, held_text, read_held, stage_of,
+    MOST_BYTES,
+    MOST_HELD,
+    Mark,
+    Stage,
+    held_text,
+    read_held,
+    stage_of,
 )
 
 if TYPE_CHECKING:
--- a/embersill/settings.py
+++ b/embersill/settings.py
@@ -39,33 +39,55 @@
 
     classes = tuple(
         RequestClass(
-            name=take(c, "name"), repeats=named(REPEATS, c, "semantics"),
+            name=take(c, "name"),
+            repeats=named(REPEATS, c, "semantics"),
             scope=named(SCOPES, c, "dedup_scope"),
-            memory=seconds(c, "memory_span"), aim=seconds(c, "aim"), deadline=seconds(c, "deadline"),
-            late_share=number(c, "late_share"), worth=number(c, "credit"), stream=bool(take(c, "stream")),
+            memory=seconds(c, "memory_span"),
+            aim=seconds(c, "aim"),
+            deadline=seconds(c, "deadline"),
+            late_share=number(c, "late_share"),
+            worth=number(c, "credit"),
+            stream=bool(take(c, "stream")),
         )
         for c in take(env, "services")
     )
     plans = tuple(
         Plan(
-            name=take(p, "name"), rate=number(p, "units_per_s"), burst=number(p, "peak_units"),
-            concurrency=int(number(p, "concurrency")), ceiling_rate=number(p, "hard_rate"),
-            ceiling_depth=number(p, "cap_depth"), worth_factor=number(p, "value_factor"),
-            beyond_worth=number(p, "extra_worth"), beyond_cost=number(p, "overrun_cost"),
+            name=take(p, "name"),
+            rate=number(p, "units_per_s"),
+            burst=number(p, "peak_units"),
+            concurrency=int(number(p, "concurrency")),
+            ceiling_rate=number(p, "hard_rate"),
+            ceiling_depth=number(p, "cap_depth"),
+            worth_factor=number(p, "value_factor"),
+            beyond_worth=number(p, "extra_worth"),
+            beyond_cost=number(p, "overrun_cost"),
         )
         for p in take(env, "packages")
     )
     return Settings(
-        me=int(number(env, "me")), gateways=int(number(env, "balancers")), classes=classes, plans=plans,
-        zone=take(env, "zone"), list_pushed=take(env, "membership_mode") == "pushed",
-        ask_every=seconds(rules, "ask_every"), counter=bool(take(domain, "counter")),
-        counter_patience=seconds(domain, "count_limit"), counter_price=number(domain, "count_fee"),
-        may_cancel=bool(take(limits, "cancel")), may_probe=bool(take(limits, "may_probe")),
-        second_copies=bool(take(limits, "second_copies")), max_attempts=int(number(limits, "max_attempts")),
-        retry_after=bool(take(limits, "retry_after")), max_retry_after=seconds(limits, "max_retry_after"),
-        cold_from=number(rules, "cold_from"), warm_within=seconds(rules, "warm_within"),
-        fall_multiple=number(rules, "fall_multiple"), overload_for=seconds(rules, "overload_for"),
-        report_fields=tuple(take(take(env, "report"), "fields")), most_units=number(domain, "max_units"),
+        me=int(number(env, "me")),
+        gateways=int(number(env, "balancers")),
+        classes=classes,
+        plans=plans,
+        zone=take(env, "zone"),
+        list_pushed=take(env, "membership_mode") == "pushed",
+        ask_every=seconds(rules, "ask_every"),
+        counter=bool(take(domain, "counter")),
+        counter_patience=seconds(domain, "count_limit"),
+        counter_price=number(domain, "count_fee"),
+        may_cancel=bool(take(limits, "cancel")),
+        may_probe=bool(take(limits, "may_probe")),
+        second_copies=bool(take(limits, "second_copies")),
+        max_attempts=int(number(limits, "max_attempts")),
+        retry_after=bool(take(limits, "retry_after")),
+        max_retry_after=seconds(limits, "max_retry_after"),
+        cold_from=number(rules, "cold_from"),
+        warm_within=seconds(rules, "warm_within"),
+        fall_multiple=number(rules, "fall_multiple"),
+        overload_for=seconds(rules, "overload_for"),
+        report_fields=tuple(take(take(env, "report"), "fields")),
+        most_units=number(domain, "max_units"),
         settles=bool(take(domain, "post_paid")),
     )
 
--- a/embersill/tiers/forwarder.py
+++ b/embersill/tiers/forwarder.py
@@ -16,13 +16,50 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, Allotted, AttemptEnded, BackendList, Cancel, ClientLeft, Event, Fail, Inherited, Outcome, Plan,
-    Refuse, Repeats, Request, Send, Settings, TimerDue,
+    Action,
+    Allotted,
+    AttemptEnded,
+    BackendList,
+    Cancel,
+    ClientLeft,
+    Event,
+    Fail,
+    Inherited,
+    Outcome,
+    Plan,
+    Refuse,
+    Repeats,
+    Request,
+    Send,
+    Settings,
+    TimerDue,
 )
 from embersill.tiers.ledger import Ledger
 from embersill.tiers.messages import (
-    AnyMessage, Ask, Batch, Beat, Bequeath, Cancelled, Echo, Ended, Failed, Grant, Holds, Leaving, Left, Lend,
-    Open, Recall, Refused, Reserve, Returned, Spent, Taken, Used, Withdrawn, Yielded,
+    AnyMessage,
+    Ask,
+    Batch,
+    Beat,
+    Bequeath,
+    Cancelled,
+    Echo,
+    Ended,
+    Failed,
+    Grant,
+    Holds,
+    Leaving,
+    Left,
+    Lend,
+    Open,
+    Recall,
+    Refused,
+    Reserve,
+    Returned,
+    Spent,
+    Taken,
+    Used,
+    Withdrawn,
+    Yielded,
 )
 from embersill.tiers.parts import part_of, ranking
 from embersill.tiers.reasons import lacking
@@ -114,8 +151,16 @@
     """One forwarder among `forwarders`, which ask `planners` about `parts` parts of the customers."""
 
     def __init__(
-        self, settings: Settings, seed: int, now: float, *, forwarders: int, planners: Iterable[str],
-        parts: int, terms: Terms, most_customers: int = 20_000,
+        self,
+        settings: Settings,
+        seed: int,
+        now: float,
+        *,
+        forwarders: int,
+        planners: Iterable[str],
+        parts: int,
+        terms: Terms,
+        most_customers: int = 20_000,
     ) -> None:
         self.settings, self.terms, self.share = settings, terms, 1.0 / forwarders
         self.plans = {p.name: p for p in settings.plans}
@@ -126,7 +171,9 @@
         self.links = {name: Link(name) for name in planners}
         self.parts = [
             # what an earlier life of this process lent may still be in use
-            Part(n, ranking(n, self.links), loans={"": now + terms.bequest}) for n in range(parts)]
+            Part(n, ranking(n, self.links), loans={"": now + terms.bequest})
+            for n in range(parts)
+        ]
         self.ledger = Ledger(settings.plans, most_customers, now, parts)
         self.unlent = False  # parts wait to be lent: each costs time in which nothing is forwarded
         self.tasks: dict[int, Task] = {}
@@ -181,14 +228,25 @@
         task.theirs = list(range(len(task.attempts)))
         left = request.deadline - self.now
         if task.attempts:
-            attempts = [(backend, self.now - sent, outcome.value if outcome is not None else None)
-                        for backend, sent, outcome in task.attempts]
+            attempts = [
+                (backend, self.now - sent, outcome.value if outcome is not None else None)
+                for backend, sent, outcome in task.attempts
+            ]
             message: AnyMessage = Open(
-                task.ask, request.klass, request.plan, request.customer, left, request.units, request.repeat,
-                self.now - task.arrived, attempts)
+                task.ask,
+                request.klass,
+                request.plan,
+                request.customer,
+                left,
+                request.units,
+                request.repeat,
+                self.now - task.arrived,
+                attempts,
+            )
         else:
-            message = Ask(task.ask, request.klass, request.plan, request.customer, left, request.units,
-                          request.repeat)
+            message = Ask(
+                task.ask, request.klass, request.plan, request.customer, left, request.units, request.repeat
+            )
         self.outbox[link.name].append(message)
         self.counts["asked"] += 1
         budget = request.deadline - task.arrived
@@ -202,16 +260,25 @@
         backend, sent, _ = task.attempts[event.attempt]
         task.attempts[event.attempt] = backend, sent, event.outcome
         if task.charged is not None and all(
-                outcome is not None and outcome.came_nowhere for _, _, outcome in task.attempts):
+            outcome is not None and outcome.came_nowhere for _, _, outcome in task.attempts
+        ):
             self.ledger.unspent(task.request.customer, task.request.units, task.charged)
             task.charged = None
         task.over = task.over or event.over
         if task.local:
             self.tell_local(event)
         elif task.link is not None and event.attempt in task.theirs:
-            self.outbox[task.link.name].append(Ended(
-                task.ask, task.theirs.index(event.attempt), event.backend, event.outcome.value,
-                event.elapsed, event.over, event.true_units))
+            self.outbox[task.link.name].append(
+                Ended(
+                    task.ask,
+                    task.theirs.index(event.attempt),
+                    event.backend,
+                    event.outcome.value,
+                    event.elapsed,
+                    event.over,
+                    event.true_units,
+                )
+            )
         self.forget(task)
 
     def client_left(self, event: ClientLeft) -> None:
@@ -241,9 +308,13 @@
         request = replace(task.request, width=1)
         self.allot_here(request.customer, request.plan, task.part)
         if task.attempts:
-            self.tell_local(Inherited(
-                request, self.now - task.arrived,
-                tuple((backend, self.now - sent, outcome) for backend, sent, outcome in task.attempts)))
+            self.tell_local(
+                Inherited(
+                    request,
+                    self.now - task.arrived,
+                    tuple((backend, self.now - sent, outcome) for backend, sent, outcome in task.attempts),
+                )
+            )
         else:
             self.tell_local(request)
 
@@ -421,8 +492,11 @@
         once goes back to the first of each part at once, as all do.
         """
         link.reach = -1
-        link.short = any(other.fit and self.now - other.fit_since >= self.terms.settle
-                         for other in self.links.values() if other is not link)
+        link.short = any(
+            other.fit and self.now - other.fit_since >= self.terms.settle
+            for other in self.links.values()
+            if other is not link
+        )
         link.turned, link.fit_since = float("inf"), self.now
 
     def begin(self, now: float) -> None:
@@ -451,8 +525,9 @@
             # backend that drains since
             self.counts["stale"] += 1
             task.theirs.append(-1)
-            self.outbox[link.name].append(Ended(
-                task.ask, grant.attempt, grant.backend, Outcome.NOT_SENT.value, 0.0, task.over, 0.0))
+            self.outbox[link.name].append(
+                Ended(task.ask, grant.attempt, grant.backend, Outcome.NOT_SENT.value, 0.0, task.over, 0.0)
+            )
             return
         task.theirs.append(len(task.attempts))
         self.started(task, grant.backend)
@@ -579,11 +654,14 @@
         out = self.outbox[link.name]
         report = [told for part in parts for told in self.ledger.report(part.number, self.now)]
         for start in range(0, len(report), REPORTED):
-            out.append(Spent(report[start:start + REPORTED]))
-        holds = [(customer, kept.units) for customer, kept in self.reserves.items()
-                 if kept.units > 0 and part_of(customer, len(self.parts)) in numbers]
+            out.append(Spent(report[start : start + REPORTED]))
+        holds = [
+            (customer, kept.units)
+            for customer, kept in self.reserves.items()
+            if kept.units > 0 and part_of(customer, len(self.parts)) in numbers
+        ]
         for start in range(0, len(holds), REPORTED):
-            out.append(Holds(holds[start:start + REPORTED]))
+            out.append(Holds(holds[start : start + REPORTED]))
         remembers = self.now - self.ledger.since
         self.last_term += 1
         groups: dict[float, list[int]] = {}
@@ -669,6 +747,11 @@
             name = part.holder.name if part.holder is not None else ""
             holders[name] = holders.get(name, 0) + 1
         fit = sorted(link.name for link in self.links.values() if link.fit)
-        return {"links": fit, "holders": holders, "open": len(self.tasks), **self.counts,
-                "refusals": dict(self.refusals),
-                "reserved": round(sum(kept.units for kept in self.reserves.values()), 1)}
+        return {
+            "links": fit,
+            "holders": holders,
+            "open": len(self.tasks),
+            **self.counts,
+            "refusals": dict(self.refusals),
+            "reserved": round(sum(kept.units for kept in self.reserves.values()), 1),
+        }
--- a/embersill/tiers/frames.py
+++ b/embersill/tiers/frames.py
@@ -99,8 +99,9 @@
 class TakenProtocol(FrameProtocol):
     """A connection that was dialled by another: it proves itself before it is more than a stranger."""
 
-    def __init__(self, strangers: set[TakenProtocol], side: PlannerSide, most_frame: int, most_unsent: int
-                 ) -> None:
+    def __init__(
+        self, strangers: set[TakenProtocol], side: PlannerSide, most_frame: int, most_unsent: int
+    ) -> None:
         """`strangers`: of one listener, those that have not proved themselves yet."""
         super().__init__(most_frame, most_unsent)
         self.strangers, self.side = strangers, side
--- a/embersill/tiers/ledger.py
+++ b/embersill/tiers/ledger.py
@@ -30,8 +30,9 @@
     return min(SPANS * max(spans), LONGEST)
 
 
-def replay(depth: float, rate: float, span: float, level: float, spends: Iterable[tuple[float, float]]
-           ) -> float:
+def replay(
+    depth: float, rate: float, span: float, level: float, spends: Iterable[tuple[float, float]]
+) -> float:
     """The level now of a bucket that had `level` units `span` seconds ago, after spends of age and units.
 
     It never counts below nought after a spend: each was let through by a bucket that held its units.
@@ -103,16 +104,24 @@
                 self.since = max(self.since, last)
             self.drop(customer)
 
-    def of(self, customer: str, now: float, reported: Mapping[str, float] | None = None
-           ) -> list[tuple[float, float]]:
+    def of(
+        self, customer: str, now: float, reported: Mapping[str, float] | None = None
+    ) -> list[tuple[float, float]]:
         """The spends of a customer, as pairs of age and units.
 
         `reported`: since when each who has told of its own anew. What it sent on before is left out: it
         stands in that report, or never came to anything.
         """
         known, since = self.spends.get(customer), reported or {}
-        return [] if known is None else [
-            (max(now - at, 0.0), units) for at, units, who in known[1] if at > since.get(who, float("-inf"))]
+        return (
+            []
+            if known is None
+            else [
+                (max(now - at, 0.0), units)
+                for at, units, who in known[1]
+                if at > since.get(who, float("-inf"))
+            ]
+        )
 
     def report(self, part: int, now: float) -> list[tuple[str, str, list[tuple[float, float]]]]:
         """Customer, plan and spends of all in a part that still matter."""
@@ -129,5 +138,5 @@
     surplus = len(spends) - MOST_REPORTED
     if surplus <= 0:
         return spends
-    older = spends[:surplus + 1]
-    return [(older[-1][0], sum(units for _, units in older)), *spends[surplus + 1:]]
+    older = spends[: surplus + 1]
+    return [(older[-1][0], sum(units for _, units in older)), *spends[surplus + 1 :]]
--- a/embersill/tiers/links.py
+++ b/embersill/tiers/links.py
@@ -98,8 +98,7 @@
 
 class PlannerTrunk(Trunk):
     def __init__(self, trunks: PlannerTrunks, proof: Proof, token: int) -> None:
-        super().__init__(
-            trunks.clock, Multipath(trunks.core.terms, trunks.most_frame, trunks.most_unsent))
+        super().__init__(trunks.clock, Multipath(trunks.core.terms, trunks.most_frame, trunks.most_unsent))
         self.name, self.life, self.number, self.token = proof.name, proof.life, proof.session, token
         self.session: Session = trunks.core.link_up(proof.name, trunks.clock())
 
@@ -107,8 +106,14 @@
 class PlannerTrunks:
     """All sessions of a planner with forwarders. `due` is called when something may have to be said."""
 
-    def __init__(self, core: Planner, clock: Callable[[], float], most_frame: int, most_unsent: int,
-                 due: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        core: Planner,
+        clock: Callable[[], float],
+        most_frame: int,
+        most_unsent: int,
+        due: Callable[[], None],
+    ) -> None:
         self.core, self.clock, self.due = core, clock, due
         self.most_frame, self.most_unsent = most_frame, most_unsent
         self.trunks: dict[str, PlannerTrunk] = {}  # by forwarder
@@ -242,8 +247,15 @@
     """A planner's side of all sessions, and its timers."""
 
     def __init__(
-        self, core: Planner, clock: Callable[[], float], secret: Secret, name: str, *, most_frame: int,
-        most_unsent: int, others: dict[str, tuple[str, int]] | None = None,
+        self,
+        core: Planner,
+        clock: Callable[[], float],
+        secret: Secret,
+        name: str,
+        *,
+        most_frame: int,
+        most_unsent: int,
+        others: dict[str, tuple[str, int]] | None = None,
     ) -> None:
         """`others`: the planners to which forwarders are carried."""
         self.core, self.clock, self.secret, self.name = core, clock, secret, name
@@ -296,8 +308,10 @@
 
     def status(self) -> dict[str, object]:
         """What an operator watches of the links."""
-        return {"carried": len(self.carrier.carried),
-                "resent": sum(trunk.multipath.resent for trunk in self.trunks.values())}
+        return {
+            "carried": len(self.carrier.carried),
+            "resent": sum(trunk.multipath.resent for trunk in self.trunks.values()),
+        }
 
     def close(self) -> None:
         if self.ticker is not None:
@@ -323,8 +337,15 @@
     def side_to(self, planner: str, to: str = "") -> ForwarderSide:
         links = self.links
         return ForwarderSide(
-            links.secret, links.name, planner, os.urandom(32), life=links.life, session=self.number,
-            via="" if to else self.via, to=to)
+            links.secret,
+            links.name,
+            planner,
+            os.urandom(32),
+            life=links.life,
+            session=self.number,
+            via="" if to else self.via,
+            to=to,
+        )
 
     def handshake_came(self, frame: bytes) -> None:
         answer = self.side.read(frame)
@@ -384,8 +405,9 @@
 
     def new_trunk(self) -> Trunk:
         links = self.links
-        return Trunk(links.clock, Multipath(
-            links.core.terms, links.most_frame, links.most_unsent, beats=True))
+        return Trunk(
+            links.clock, Multipath(links.core.terms, links.most_frame, links.most_unsent, beats=True)
+        )
 
     def join(self, link: Dialled, incarnation: str, token: int) -> None:
         if link.number != self.number:  # of a session that ended meanwhile
@@ -431,8 +453,16 @@
     """A forwarder's side of all sessions. Stands in for the decision module towards the driver."""
 
     def __init__(
-        self, core: Forwarder, clock: Callable[[], float], secret: Secret, name: str,
-        planners: dict[str, tuple[str, int]], *, most_frame: int, most_unsent: int, helpers: int = 0,
+        self,
+        core: Forwarder,
+        clock: Callable[[], float],
+        secret: Secret,
+        name: str,
+        planners: dict[str, tuple[str, int]],
+        *,
+        most_frame: int,
+        most_unsent: int,
+        helpers: int = 0,
     ) -> None:
         """`helpers`: how many other planners, at most, carry a connection to each."""
         self.core, self.clock, self.secret, self.name = core, clock, secret, name
@@ -450,14 +480,16 @@
     def helpers_to(self, planner: str) -> list[str]:
         """Who carries to a planner: others for each forwarder, so that no planner carries for all."""
         others = [name for name in self.planners if name != planner]
-        return sorted(others, key=lambda name: weight(0, f"{self.name} {planner} {name}"))[:self.helpers]
+        return sorted(others, key=lambda name: weight(0, f"{self.name} {planner} {name}"))[: self.helpers]
 
     def start(self, driver: Driver) -> None:
         self.driver = driver
         for planner in self.planners:
             line = self.lines[planner] = ForwarderLine(self, planner)
-            self.diallers += [Dialler(partial(ForwarderLink, self, line, via), self.planners[via or planner])
-                              for via in (DIRECT, *self.helpers_to(planner))]
+            self.diallers += [
+                Dialler(partial(ForwarderLink, self, line, via), self.planners[via or planner])
+                for via in (DIRECT, *self.helpers_to(planner))
+            ]
         self.tick()
 
     def handle(self, event: object, now: float) -> list[Action]:
@@ -503,10 +535,15 @@
 
     def status(self) -> dict[str, object]:
         """What an operator watches; docs/operate/tiers.md explains each figure."""
-        paths = {planner: None if (used := line.trunk.multipath.used) is None else used.name or "direct"
-                 for planner, line in self.lines.items()}
-        return {**self.core.status(), "paths": paths,
-                "resent": sum(line.trunk.multipath.resent for line in self.lines.values())}
+        paths = {
+            planner: None if (used := line.trunk.multipath.used) is None else used.name or "direct"
+            for planner, line in self.lines.items()
+        }
+        return {
+            **self.core.status(),
+            "paths": paths,
+            "resent": sum(line.trunk.multipath.resent for line in self.lines.values()),
+        }
 
     def close(self) -> None:
         if self.ticker is not None:
--- a/embersill/tiers/messages.py
+++ b/embersill/tiers/messages.py
@@ -219,9 +219,31 @@
 
 
 AnyMessage = (
-    Beat | Echo | Spent | Lend | Recall | Returned | Bequeath | Ask | Open | Ended | Left | Grant | Refused
-    | Failed | Cancelled | Withdrawn | Leaving | Taken | Probe | Probed
-    | Holds | Reserve | Used | Yielded | Missing
+    Beat
+    | Echo
+    | Spent
+    | Lend
+    | Recall
+    | Returned
+    | Bequeath
+    | Ask
+    | Open
+    | Ended
+    | Left
+    | Grant
+    | Refused
+    | Failed
+    | Cancelled
+    | Withdrawn
+    | Leaving
+    | Taken
+    | Probe
+    | Probed
+    | Holds
+    | Reserve
+    | Used
+    | Yielded
+    | Missing
 )
 
 
--- a/embersill/tiers/multipath.py
+++ b/embersill/tiers/multipath.py
@@ -102,8 +102,11 @@
             return None
         last = max(self.paths.values(), key=lambda path: (path.answered, path.name == DIRECT))
         for path in (self.paths.get(DIRECT), self.used):
-            if path is not None and self.paths.get(path.name) is path and (
-                    path.answered >= last.answered - self.terms.silent_after):
+            if (
+                path is not None
+                and self.paths.get(path.name) is path
+                and (path.answered >= last.answered - self.terms.silent_after)
+            ):
                 return path  # no other is clearly better
         return last
 
@@ -120,8 +123,9 @@
             if path is best:
                 continue
             gone = path is None or self.paths.get(path.name) is not path
-            if gone or (path is not None and path.suspect and (
-                    not best.suspect or best.answered > kept.sent)):
+            if gone or (
+                path is not None and path.suspect and (not best.suspect or best.answered > kept.sent)
+            ):
                 self.resent += path is not None
                 kept.path, kept.sent = best, now
                 self.out.append((best.name, kept.frame))
--- a/embersill/tiers/planner.py
+++ b/embersill/tiers/planner.py
@@ -15,13 +15,55 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, Allotted, AttemptEnded, BackendList, Cancel, ClientLeft, Event, Fail, Held, Inherited, Outcome,
-    Plan, Question, Refuse, Request, Send, SetTimer, Settings, Status, TimerDue, Verdict,
+    Action,
+    Allotted,
+    AttemptEnded,
+    BackendList,
+    Cancel,
+    ClientLeft,
+    Event,
+    Fail,
+    Held,
+    Inherited,
+    Outcome,
+    Plan,
+    Question,
+    Refuse,
+    Request,
+    Send,
+    SetTimer,
+    Settings,
+    Status,
+    TimerDue,
+    Verdict,
 )
 from embersill.tiers.ledger import Ledger, horizon_of, replay
 from embersill.tiers.messages import (
-    AnyMessage, Ask, BadFrame, Batch, Beat, Bequeath, Cancelled, Echo, Ended, Failed, Grant, Holds, Leaving,
-    Left, Lend, Open, Recall, Refused, Reserve, Returned, Spent, Taken, Used, Withdrawn, Yielded,
+    AnyMessage,
+    Ask,
+    BadFrame,
+    Batch,
+    Beat,
+    Bequeath,
+    Cancelled,
+    Echo,
+    Ended,
+    Failed,
+    Grant,
+    Holds,
+    Leaving,
+    Left,
+    Lend,
+    Open,
+    Recall,
+    Refused,
+    Reserve,
+    Returned,
+    Spent,
+    Taken,
+    Used,
+    Withdrawn,
+    Yielded,
 )
 from embersill.tiers.parts import part_of
 from embersill.tiers.reasons import lacking
@@ -109,8 +151,17 @@
     """One planner for `forwarders`, by name; others may not link."""
 
     def __init__(
-        self, settings: Settings, seed: int, now: float, *, forwarders: Iterable[str], planners: int,
-        parts: int, terms: Terms, most_customers: int = 100_000, most_open: int = 50_000,
+        self,
+        settings: Settings,
+        seed: int,
+        now: float,
+        *,
+        forwarders: Iterable[str],
+        planners: int,
+        parts: int,
+        terms: Terms,
+        most_customers: int = 100_000,
+        most_open: int = 50_000,
     ) -> None:
         self.settings, self.terms = settings, terms
         self.forwarders = frozenset(forwarders)
@@ -168,8 +219,9 @@
         So a part's planner is agreed: what comes and goes is damped here, for all at one moment.
         """
         silent, well = self.now - self.terms.silent_after, self.now - self.terms.settle
-        self.reach = sum(not s.lost and s.heard >= silent and s.well_since <= well
-                         for s in self.sessions.values())
+        self.reach = sum(
+            not s.lost and s.heard >= silent and s.well_since <= well for s in self.sessions.values()
+        )
 
     def link_down(self, session: Session, now: float) -> None:
         """What the forwarder lent is its own again; its requests are decided elsewhere."""
@@ -256,8 +308,9 @@
 
     def job(self, session: Session, ask: Ask | Open, part: Part, left: float) -> Job:
         self.last_job += 1
-        request = Request(self.last_job, ask.klass, ask.plan, ask.customer, self.now + left, ask.units, 1, 0,
-                          ask.repeat)
+        request = Request(
+            self.last_job, ask.klass, ask.plan, ask.customer, self.now + left, ask.units, 1, 0, ask.repeat
+        )
         job = self.jobs[self.last_job] = Job(session, ask.ask, part, request)
         session.asks[ask.ask] = self.last_job
         return job
@@ -272,8 +325,10 @@
         job.charged = self.now if job.nowhere < job.sent else None
         self.allot_new(part, ask.customer, ask.plan)
         try:
-            attempts = tuple((backend, age, OUTCOMES[outcome] if outcome is not None else None)
-                             for backend, age, outcome in ask.attempts)
+            attempts = tuple(
+                (backend, age, OUTCOMES[outcome] if outcome is not None else None)
+                for backend, age, outcome in ask.attempts
+            )
         except KeyError as error:
             raise BadFrame(f"no outcome: {error}") from error
         self.tell(Inherited(job.request, ask.age, attempts))
@@ -303,8 +358,9 @@
             job.charged = None
             if self.on_use is not None:
                 self.on_use(job.request.customer, -job.request.units)
-        self.tell(AttemptEnded(
-            number, ended.attempt, ended.backend, outcome, ended.elapsed, ended.over, units, ()))
+        self.tell(
+            AttemptEnded(number, ended.attempt, ended.backend, outcome, ended.elapsed, ended.over, units, ())
+        )
         self.forget(number)
 
     def question(self, question: Question, now: float) -> Verdict | None:
@@ -355,8 +411,11 @@
         known = self.gateway.jobs.get(number)
         for place, attempt in enumerate(known.attempts if known is not None else ()):
             if attempt.out:  # what becomes of it is not heard here: it teaches nothing and fills no limit
-                self.tell(AttemptEnded(
-                    number, place, attempt.server.backend.address, Outcome.CANCELLED, 0.0, True, 0.0, ()))
+                self.tell(
+                    AttemptEnded(
+                        number, place, attempt.server.backend.address, Outcome.CANCELLED, 0.0, True, 0.0, ()
+                    )
+                )
 
     def forget(self, number: int) -> None:
         job = self.jobs.get(number)
@@ -382,8 +441,7 @@
             if job.charged is None:
                 job.charged = self.now
                 request = job.request
-                self.ledger.spent(
-                    request.customer, request.plan, request.units, self.now, job.session.name)
+                self.ledger.spent(request.customer, request.plan, request.units, self.now, job.session.name)
                 if self.on_use is not None:
                     self.on_use(request.customer, request.units)
             out.append(Grant(job.ask, job.sent, action.backend, action.timeout))
@@ -463,8 +521,14 @@
                 self.unproven.add(number)
                 self.review(part)
             part.lenders[session.name] = Lender(
-                session, self.now + max(message.free_in, 0.0), self.now - message.remembers, spends[number],
-                self.now, message.term, holds[number])
+                session,
+                self.now + max(message.free_in, 0.0),
+                self.now - message.remembers,
+                spends[number],
+                self.now,
+                message.term,
+                holds[number],
+            )
             part.changed_at, part.whole = self.now, False
             self.unconfirmed.add(number)
         lenders = [self.parts[n].lenders for n in message.parts]
@@ -490,8 +554,9 @@
         for number in list(self.unconfirmed):
             part = self.parts[number]
             if part.lenders.keys() >= self.forwarders and all(
-                    shown_at(lender.session) >= part.changed_at
-                    and self.sessions.get(name) is lender.session for name, lender in part.lenders.items()):
+                shown_at(lender.session) >= part.changed_at and self.sessions.get(name) is lender.session
+                for name, lender in part.lenders.items()
+            ):
                 self.unconfirmed.discard(number)
                 self.make_whole(part)
 
@@ -521,12 +586,18 @@
 
     def left_of(self, part: Part, customer: str, plan: Plan) -> tuple[float, float]:
         """What is surely left of a customer's ceiling, and about what of its quota; the part is whole."""
-        spends = [(self.now - at, units) for lender in part.lenders.values()
-                  for at, units in lender.spends.get(customer, ())]
+        spends = [
+            (self.now - at, units)
+            for lender in part.lenders.values()
+            for at, units in lender.spends.get(customer, ())
+        ]
         # what was granted before the part was taken is in the reports, as far as it was executed
         reported = {name: lender.lent_at for name, lender in part.lenders.items()}
-        spends += [(age, units) for age, units in self.ledger.of(customer, self.now, reported)
-                   if age <= self.now - part.taken_at]
+        spends += [
+            (age, units)
+            for age, units in self.ledger.of(customer, self.now, reported)
+            if age <= self.now - part.taken_at
+        ]
         horizon = horizon_of(plan)
         span = min(horizon, max(self.known_span(part), 0.0))
         cap = replay(plan.ceiling_depth, plan.ceiling_rate, span, 0.0, spends)
@@ -534,13 +605,20 @@
         level = replay(plan.burst, plan.rate, span, 0.0 if span >= horizon else plan.burst, spends)
         return cap - self.held_of(part, customer), level
 
-    def allot(self, part: Part, customer: str, plan: Plan, cap: float | None = None,
-              level: float | None = None) -> None:
+    def allot(
+        self, part: Part, customer: str, plan: Plan, cap: float | None = None, level: float | None = None
+    ) -> None:
         """Tells the module what is here of a customer's quota and ceiling, and what is left where known."""
         most, depth = self.reserved.get(plan.name, 0.0), None
         if most > 0:
-            depth = depth_left(plan, part.ceiling, self.held_of(part, customer), len(part.lenders),
-                               len(self.forwarders), most)
+            depth = depth_left(
+                plan,
+                part.ceiling,
+                self.held_of(part, customer),
+                len(part.lenders),
+                len(self.forwarders),
+                most,
+            )
         self.tell(Allotted(customer, plan.name, part.share, part.ceiling, cap, level, depth))
 
     # reserves
@@ -571,8 +649,9 @@
             if handed.units > 0:
                 lender.reserves[ask.customer] = held[handed.who] + handed.units
                 self.allot(part, ask.customer, plan, throttle.cap - handed.units)
-            lender.session.outbox.append(Reserve(
-                ask.customer, plan.name, lender.term, handed.units, handed.portion))
+            lender.session.outbox.append(
+                Reserve(ask.customer, plan.name, lender.term, handed.units, handed.portion)
+            )
 
     def reserve_left(self, session: Session, customer: str, units: float) -> Part | None:
         """A forwarder holds so much less of a customer's ceiling; None where it does not lend the part."""
@@ -618,8 +697,11 @@
         self.allot(part, customer, plan, cap, level)
 
     def usable(self, part: Part) -> list[Lender]:
-        return [lender for lender in part.lenders.values()
-                if lender.free_at <= self.now < lender.until and self.is_proven(part, lender)]
+        return [
+            lender
+            for lender in part.lenders.values()
+            if lender.free_at <= self.now < lender.until and self.is_proven(part, lender)
+        ]
 
     def is_proven(self, part: Part, lender: Lender) -> bool:
         """True where the forwarder surely obeyed this planner at some time after the part's last new loan."""
@@ -773,8 +855,14 @@
     def status(self) -> dict[str, object]:
         """What an operator watches; docs/operate/tiers.md explains each figure."""
         led = [part for part in self.parts if part.lenders]
-        return {"links": len(self.sessions), "leads": len(led), "whole": sum(part.whole for part in led),
-                "open": len(self.jobs), "customers": len(self.gateway.throttles), **self.counts}
+        return {
+            "links": len(self.sessions),
+            "leads": len(led),
+            "whole": sum(part.whole for part in led),
+            "open": len(self.jobs),
+            "customers": len(self.gateway.throttles),
+            **self.counts,
+        }
 
     def said(self, session: Session) -> tuple[list[AnyMessage], int, int]:
         """What there is to say on a link: messages, basis, acked. It counts as said."""
--- a/embersill/tiers/reasons.py
+++ b/embersill/tiers/reasons.py
@@ -9,7 +9,7 @@
 
 
 def lacking(throttle: Throttle | None, units: float) -> str:
-    """"ceiling", "quota" or "backends": what a request of so many units would wait for the longest."""
+    """ "ceiling", "quota" or "backends": what a request of so many units would wait for the longest."""
     if throttle is None:
         return BACKENDS
     plan, waits = throttle.plan, {BACKENDS: EPS}
--- a/embersill/tiers/reserves.py
+++ b/embersill/tiers/reserves.py
@@ -82,8 +82,9 @@
     portion: float
 
 
-def balanced(demand: Demand, held: Mapping[str, float], most: float, to_spare: float, now: float
-             ) -> list[Handed]:
+def balanced(
+    demand: Demand, held: Mapping[str, float], most: float, to_spare: float, now: float
+) -> list[Handed]:
     """Who should be handed what of a customer's reserve now; nothing if that was looked at just before.
 
     `held` by each forwarder that lends, `most` in all, `to_spare` at the planner. What one holds for a demand
--- a/embersill/tiers/roles.py
+++ b/embersill/tiers/roles.py
@@ -29,6 +29,7 @@
 
 def report_every(seconds: float, role: str, name: str, status: Callable[[], dict[str, object]]) -> None:
     """A line of JSON on the state now and then, where the operator wants it."""
+
     def report() -> None:
         print(json.dumps({"role": role, "name": name, **status()}), flush=True)
         loop.call_later(seconds, report)
@@ -48,16 +49,33 @@
     def __init__(self, told: Configuration, tiers: Tiers) -> None:
         clock = start_clock()
         core = Forwarder(
-            told.settings, told.seed, clock(), forwarders=len(tiers.forwarders), planners=tiers.planners,
-            parts=tiers.parts, terms=tiers.terms, most_customers=tiers.most_customers)
+            told.settings,
+            told.seed,
+            clock(),
+            forwarders=len(tiers.forwarders),
+            planners=tiers.planners,
+            parts=tiers.parts,
+            terms=tiers.terms,
+            most_customers=tiers.most_customers,
+        )
         self.links = ForwarderLinks(
-            core, clock, secret_of(tiers), told.name, tiers.planners,
-            most_frame=tiers.most_frame, most_unsent=tiers.most_unsent, helpers=tiers.helpers)
+            core,
+            clock,
+            secret_of(tiers),
+            told.name,
+            tiers.planners,
+            most_frame=tiers.most_frame,
+            most_unsent=tiers.most_unsent,
+            helpers=tiers.helpers,
+        )
         self.status_every = tiers.status_every
         if tiers.tell_refusals:
-            core.on_refused = lambda request, why: print(json.dumps({
-                "refusal": request.customer, "units": request.units, "at": round(clock(), 4), "why": why}),
-                flush=True)
+            core.on_refused = lambda request, why: print(
+                json.dumps(
+                    {"refusal": request.customer, "units": request.units, "at": round(clock(), 4), "why": why}
+                ),
+                flush=True,
+            )
         super().__init__(told, clock, self.links)
 
     async def start(self) -> None:
@@ -95,12 +113,25 @@
             raise BadConfiguration(f"tiers.planners: this planner, {told.name!r}, is not among them")
         self.clock = start_clock()
         self.core = Planner(
-            told.settings, told.seed, self.clock(), forwarders=tiers.forwarders,
-            planners=len(tiers.planners), parts=tiers.parts, terms=tiers.terms,
-            most_customers=tiers.most_customers, most_open=tiers.most_open)
+            told.settings,
+            told.seed,
+            self.clock(),
+            forwarders=tiers.forwarders,
+            planners=len(tiers.planners),
+            parts=tiers.parts,
+            terms=tiers.terms,
+            most_customers=tiers.most_customers,
+            most_open=tiers.most_open,
+        )
         self.server = PlannerServer(
-            self.core, self.clock, secret_of(tiers), told.name, most_frame=tiers.most_frame,
-            most_unsent=tiers.most_unsent, others=tiers.planners)
+            self.core,
+            self.clock,
+            secret_of(tiers),
+            told.name,
+            most_frame=tiers.most_frame,
+            most_unsent=tiers.most_unsent,
+            others=tiers.planners,
+        )
         self.address = tiers.planners[told.name]
         self.status_every = tiers.status_every
         self.settings = told.settings
--- a/embersill/tiers/wire.py
+++ b/embersill/tiers/wire.py
@@ -79,8 +79,7 @@
 
     def mac(self, role: str, challenge: Challenge, proof: Proof, token: int = 0) -> bytes:
         """Over all that both ends said, but for the proof's own mac."""
-        said = msgspec.msgpack.encode([
-            role, challenge, msgspec.structs.replace(proof, mac=b""), token])
+        said = msgspec.msgpack.encode([role, challenge, msgspec.structs.replace(proof, mac=b""), token])
         return hmac.digest(self.key, said, "sha256")
 
 
@@ -131,13 +130,13 @@
         at = 0
         try:
             while len(self.data) - at >= 4:
-                size = int.from_bytes(self.data[at:at + 4], "big")
+                size = int.from_bytes(self.data[at : at + 4], "big")
                 if size > self.most:
                     raise BadFrame(f"a frame of {size} bytes, over the bound of {self.most}")
                 if len(self.data) - at - 4 < size:
                     break
                 at += 4 + size
-                yield bytes(self.data[at - size:at])
+                yield bytes(self.data[at - size : at])
         finally:
             del self.data[:at]
 
@@ -198,8 +197,18 @@
 class ForwarderSide:
     """The handshake as the forwarder has it."""
 
-    def __init__(self, secret: Secret, name: str, planner: str, nonce: bytes, *, life: str = "",
-                 session: int = 0, via: str = "", to: str = "") -> None:
+    def __init__(
+        self,
+        secret: Secret,
+        name: str,
+        planner: str,
+        nonce: bytes,
+        *,
+        life: str = "",
+        session: int = 0,
+        via: str = "",
+        to: str = "",
+    ) -> None:
         self.secret, self.planner, self.token = secret, planner, 0
         self.proof = Proof(MAGIC, VERSION, name, nonce, secret.deployment, b"", life, session, via, to)
         self.challenge: Challenge | None = None
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -14,7 +14,14 @@
 from embersill.configuration.platform import build_configuration
 from embersill.roles import Program
 from tests.peers import (
-    HOST, SOON, Asked, BackendPeer, CounterPeer, DiscoveryPeer, read_message, settings_text,
+    HOST,
+    SOON,
+    Asked,
+    BackendPeer,
+    CounterPeer,
+    DiscoveryPeer,
+    read_message,
+    settings_text,
 )
 
 CUSTOMER = "00000000000000c1"
@@ -31,14 +38,25 @@
 
 
 def request(
-    number: int, klass: str = "lookup", budget: float = 5.0, plan: str = "basis", customer: str = CUSTOMER,
-    units: str = "1", body: bytes = b"typed text", drop: str = "", **more: str,
+    number: int,
+    klass: str = "lookup",
+    budget: float = 5.0,
+    plan: str = "basis",
+    customer: str = CUSTOMER,
+    units: str = "1",
+    body: bytes = b"typed text",
+    drop: str = "",
+    **more: str,
 ) -> bytes:
     """A client's request; `drop` leaves a header out, and `more` replaces or adds some."""
     get = klass == "lookup"
     headers = {
-        "Host": "backend.local", "X-Call-Id": f"{number:016x}", "X-Call-Class": klass, "Plan": plan,
-        "X-Budget": f"{budget:.3f}", "Quota-Info": f"units={units},spread=2,first=0",
+        "Host": "backend.local",
+        "X-Call-Id": f"{number:016x}",
+        "X-Call-Class": klass,
+        "Plan": plan,
+        "X-Budget": f"{budget:.3f}",
+        "Quota-Info": f"units={units},spread=2,first=0",
     }
     if klass == "report":
         headers["Idempotency-Key"] = f"key{number:029x}"
@@ -112,8 +130,11 @@
 
     def told(self, env: dict[str, Any], sockets: int) -> dict[str, Any]:
         return {
-            "name": "n0", "listen": f"{HOST}:1", "discovery": self.discovery.address,
-            "counter": self.counter.address, "seed": "8c1f30d27a5be964",
+            "name": "n0",
+            "listen": f"{HOST}:1",
+            "discovery": self.discovery.address,
+            "counter": self.counter.address,
+            "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
             "known": {"generation": 1, "reset": True, "instances": list(self.discovery.entries.values())},
             "settings": env,
--- a/tests/configuration/test_operator.py
+++ b/tests/configuration/test_operator.py
@@ -39,7 +39,8 @@
     told = read_operator(written(tmp_path, text)).ratelimit
     assert told is not None and told.answer is not None and told.ask is not None
     assert told.answer == AnswerTable(
-        "127.0.0.1:8081", [RuleTable("lookup", {"api": "report"}, "account", plan="pro")])
+        "127.0.0.1:8081", [RuleTable("lookup", {"api": "report"}, "account", plan="pro")]
+    )
     assert told.ask == AskTable(["127.0.0.1:9001"], "lookup", ["pro"])
     planner = EXAMPLE.replace('role = "forwarder"', 'role = "planner"')
     with pytest.raises(BadConfiguration, match="a forwarder decides nothing"):
@@ -48,24 +49,27 @@
         read_operator(written(tmp_path, planner + text.replace('"ignore"', '"apply"')))
 
 
-@pytest.mark.parametrize(("old", "new", "reason"), [
-    ("parts = 64", "part = 64", "unknown field `part`"),
-    ("parts = 64", "parts = '64'", "Expected `int`"),
-    ("most_unsent_bytes = 67108864", "most_unsent_bytes = 1000000", "takes up to 400 bytes each"),
-    ("parts = 64", "parts = 0", "tiers.parts: 0 is not from 1 to 4096"),
-    ('role = "forwarder"', 'role = "boss"', "Invalid enum value 'boss'"),
-    ('role = "forwarder"', 'role = "forwarder"\nrules = 1', "unknown field `rules`"),
-    ("lease = 0.9", "leash = 0.9", "unknown field `leash`"),
-    ("lease = 0.9", "lease = 0.5", "tiers.terms: lease must be at least twice fresh"),
-    ("fresh = 0.4", "fresh = 0.6", "tiers.terms: fresh must be"),
-    ("beat_every = 0.05", "beat_every = 0.3", "tiers.terms: beat_every"),
-    ('p2 = "127.0.0.1:7102"', 'p2 = "127.0.0.1:7101"', "an address stands twice"),
-    ('p2 = "127.0.0.1:7102"', 'p2 = "somewhere"', "tiers.planners.p2: not an address"),
-    ('"f4", "f5"', '"f4", "f4"', "a name stands twice"),
-    ('"f1", "f2", "f3", "f4", "f5"', "", "must be 1 to 256"),
-    ("[tiers]", "[tiers", "Expected ']'"),
-    ("tiers.secret", "none.secret", "No such file"),
-])
+@pytest.mark.parametrize(
+    ("old", "new", "reason"),
+    [
+        ("parts = 64", "part = 64", "unknown field `part`"),
+        ("parts = 64", "parts = '64'", "Expected `int`"),
+        ("most_unsent_bytes = 67108864", "most_unsent_bytes = 1000000", "takes up to 400 bytes each"),
+        ("parts = 64", "parts = 0", "tiers.parts: 0 is not from 1 to 4096"),
+        ('role = "forwarder"', 'role = "boss"', "Invalid enum value 'boss'"),
+        ('role = "forwarder"', 'role = "forwarder"\nrules = 1', "unknown field `rules`"),
+        ("lease = 0.9", "leash = 0.9", "unknown field `leash`"),
+        ("lease = 0.9", "lease = 0.5", "tiers.terms: lease must be at least twice fresh"),
+        ("fresh = 0.4", "fresh = 0.6", "tiers.terms: fresh must be"),
+        ("beat_every = 0.05", "beat_every = 0.3", "tiers.terms: beat_every"),
+        ('p2 = "127.0.0.1:7102"', 'p2 = "127.0.0.1:7101"', "an address stands twice"),
+        ('p2 = "127.0.0.1:7102"', 'p2 = "somewhere"', "tiers.planners.p2: not an address"),
+        ('"f4", "f5"', '"f4", "f4"', "a name stands twice"),
+        ('"f1", "f2", "f3", "f4", "f5"', "", "must be 1 to 256"),
+        ("[tiers]", "[tiers", "Expected ']'"),
+        ("tiers.secret", "none.secret", "No such file"),
+    ],
+)
 def test_what_does_not_fit_is_refused_with_its_reason(
     tmp_path: pathlib.Path, old: str, new: str, reason: str
 ) -> None:
@@ -88,9 +92,15 @@
     path = folder / "config.json"
     path.write_text(json.dumps({**told(), "name": "n0"}))
     kept = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "EMBERSILL_"))}
-    return subprocess.run([sys.executable, "-m", "embersill", *arguments], cwd=ROOT, text=True,
-                          env={**kept, "RELAY_CONFIG": str(path), **environ}, capture_output=True,
-                          timeout=60, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "embersill", *arguments],
+        cwd=ROOT,
+        text=True,
+        env={**kept, "RELAY_CONFIG": str(path), **environ},
+        capture_output=True,
+        timeout=60,
+        check=False,
+    )
 
 
 @pytest.mark.parametrize("role", ["forwarder", "planner"])
@@ -103,9 +113,11 @@
 
 
 def test_without_an_operator_file_no_new_library_is_loaded() -> None:
-    code = ("import sys; from embersill import __main__, adapter; import embersill.roles; "
-            "print(sorted(m for m in sys.modules if m.partition('.')[0] in ('msgspec', 'rich', 'grpc') "
-            "or m.startswith(('embersill.tiers', 'embersill.lab', 'embersill.ratelimit', "
-            "'embersill.configuration.operator'))))")
+    code = (
+        "import sys; from embersill import __main__, adapter; import embersill.roles; "
+        "print(sorted(m for m in sys.modules if m.partition('.')[0] in ('msgspec', 'rich', 'grpc') "
+        "or m.startswith(('embersill.tiers', 'embersill.lab', 'embersill.ratelimit', "
+        "'embersill.configuration.operator'))))"
+    )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True, check=True)
     assert done.stdout.strip() == "[]"
--- a/tests/council/test_export.py
+++ b/tests/council/test_export.py
@@ -8,7 +8,15 @@
 import pytest
 
 from embersill.council.export import (
-    KEY, MOST_STREAMS, RESIGN_AFTER, Answered, Call, Exporter, Step, meta_of, read_booking,
+    KEY,
+    MOST_STREAMS,
+    RESIGN_AFTER,
+    Answered,
+    Call,
+    Exporter,
+    Step,
+    meta_of,
+    read_booking,
 )
 from embersill.council.journal import Journal
 from embersill.council.messages import MOST_ENTRIES
@@ -107,7 +115,8 @@
         again = UseBook(Journal(files, "use", "use", "m0"), Tally(10.0))
         again.open("another")
         left = sum(again.tally.sums.values()) + sum(
-            u for entries in again.tally.batches.values() for _, _, u in entries)
+            u for entries in again.tally.batches.values() for _, _, u in entries
+        )
         assert synced <= left <= noted and again.tally.safe >= book.tally.safe
 
 
@@ -176,8 +185,11 @@
         return call
 
     def booked(self, call: Call) -> Answered:
-        headers = {"office-number": str(call.permit.act.number), "if-position": str(call.position),
-                   "office-holder": f"owner {call.permit.act.number}"}
+        headers = {
+            "office-number": str(call.permit.act.number),
+            "if-position": str(call.position),
+            "office-holder": f"owner {call.permit.act.number}",
+        }
         method, path = ("PUT", "/usage/owner") if call.body is None else ("POST", "/usage")
         body = b"" if call.body is None else json.dumps(call.body).encode()
         status, told = self.billing.handle(method, path, headers, body, self.bench.now)
@@ -193,8 +205,11 @@
             self.bench.settle(0.02)
 
     def batches(self) -> list[tuple[str, int]]:
-        return [(batch["stream"], batch["number"]) for booked in self.billing.log
-                for batch in booked.body["batches"]]
+        return [
+            (batch["stream"], batch["number"])
+            for booked in self.billing.log
+            for batch in booked.body["batches"]
+        ]
 
 
 def test_what_is_offered_is_booked_in_order_and_confirmed() -> None:
@@ -317,11 +332,17 @@
     billing = StandInBilling()
 
     def claim(number: int, holder: str) -> int:
-        return billing.handle("PUT", "/usage/owner", {"office-number": str(number), "office-holder": holder},
-                              b"", 0.0)[0]
+        return billing.handle(
+            "PUT", "/usage/owner", {"office-number": str(number), "office-holder": holder}, b"", 0.0
+        )[0]
 
     assert [claim(3, "a"), claim(2, "b"), claim(3, "c"), claim(3 + MOST_STEP + 1, "a"), claim(4, "c")] == [
-        200, 412, 412, 422, 200]
+        200,
+        412,
+        412,
+        422,
+        200,
+    ]
     assert billing.handle("PUT", "/usage/owner", {}, b"", 0.0)[0] == 400
 
 
--- a/tests/council/test_journal.py
+++ b/tests/council/test_journal.py
@@ -127,8 +127,10 @@
     assert journal(files).open(prefix=True) == []  # where frames are not synced one by one that is a torn end
 
 
-@pytest.mark.parametrize(("content", "reason"), [
-    (b"no journal at all, but some text", "no first frame"), (MAGIC + bytes(40) + b"x", "no first frame")])
+@pytest.mark.parametrize(
+    ("content", "reason"),
+    [(b"no journal at all, but some text", "no first frame"), (MAGIC + bytes(40) + b"x", "no first frame")],
+)
 def test_other_files_are_no_journals(content: bytes, reason: str) -> None:
     files = world_files()
     files.create("j")
--- a/tests/council/test_member.py
+++ b/tests/council/test_member.py
@@ -7,8 +7,26 @@
 
 from embersill.council.member import How
 from embersill.council.messages import (
-    MOST_AHEAD, Accept, Accepted, Answer, Ask, Ballot, Entry, Hello, Join, Life, NotYet, Origin, Prepare,
-    Refused, State, Superseded, Told, packed, read_question, read_reply,
+    MOST_AHEAD,
+    Accept,
+    Accepted,
+    Answer,
+    Ask,
+    Ballot,
+    Entry,
+    Hello,
+    Join,
+    Life,
+    NotYet,
+    Origin,
+    Prepare,
+    Refused,
+    State,
+    Superseded,
+    Told,
+    packed,
+    read_question,
+    read_reply,
 )
 from embersill.council.messages import Question as Asked
 from embersill.council.register import Register
--- a/tests/council/test_offices.py
+++ b/tests/council/test_offices.py
@@ -16,11 +16,14 @@
 class Posts(Bench):
     """Members that stand for one office."""
 
-    def __init__(self, n: int = 3, terms: CouncilTerms = TERMS, prefer: tuple[str, ...] = ("m0", "m1", "m2")
-                 ) -> None:
+    def __init__(
+        self, n: int = 3, terms: CouncilTerms = TERMS, prefer: tuple[str, ...] = ("m0", "m1", "m2")
+    ) -> None:
         super().__init__(n, terms)
-        self.posts = {name: Post("work", member, terms, self.now, prefer=prefer)
-                      for name, member in self.members.items()}
+        self.posts = {
+            name: Post("work", member, terms, self.now, prefer=prefer)
+            for name, member in self.members.items()
+        }
         for name, member in self.members.items():
             member.register.on_entry = self.seen(name)
         self.stopped = set(self.names[1:])
@@ -55,8 +58,9 @@
     number = bench.posts["m0"].known_number()
     bench.go(5.0)
     assert bench.owners() == ["m0"] and bench.posts["m0"].counts["taken"] == 1
-    assert all(post.known_number() == number and post.holder(bench.now) == "m0"
-               for post in bench.posts.values())
+    assert all(
+        post.known_number() == number and post.holder(bench.now) == "m0" for post in bench.posts.values()
+    )
 
 
 def test_an_owner_that_stands_still_is_followed_once_its_lease_is_over_and_not_before() -> None:
@@ -203,14 +207,17 @@
     assert fence.refused() == 2
 
 
-@pytest.mark.parametrize(("act", "sender", "known", "why"), [
-    (Act("probes", 2, 9), "m1", (3, "m1"), Why.OLD),
-    (Act("probes", 3, 1), "m1", (3, ""), Why.OLD),
-    (Act("probes", 4, 1), "m1", (3, "m1"), Why.UNKNOWN),
-    (Act("probes", 1 << 60, 1), "m1", (3, "m1"), Why.UNKNOWN),
-    (Act("probes", 3, 1), "m2", (3, "m1"), Why.STRANGER),
-    (Act("other", 3, 1), "m1", (3, "m1"), Why.NO_OFFICE),
-])
+@pytest.mark.parametrize(
+    ("act", "sender", "known", "why"),
+    [
+        (Act("probes", 2, 9), "m1", (3, "m1"), Why.OLD),
+        (Act("probes", 3, 1), "m1", (3, ""), Why.OLD),
+        (Act("probes", 4, 1), "m1", (3, "m1"), Why.UNKNOWN),
+        (Act("probes", 1 << 60, 1), "m1", (3, "m1"), Why.UNKNOWN),
+        (Act("probes", 3, 1), "m2", (3, "m1"), Why.STRANGER),
+        (Act("other", 3, 1), "m1", (3, "m1"), Why.NO_OFFICE),
+    ],
+)
 def test_a_fence_says_why(act: Act, sender: str, known: tuple[int, str], why: Why) -> None:
     fence = Fence(frozenset({"probes"}))
     assert fence.check(act, sender, lambda office: known) is why
--- a/tests/council/test_probes.py
+++ b/tests/council/test_probes.py
@@ -5,7 +5,14 @@
 import pytest
 
 from embersill.council.probes import (
-    FRESH, MOST_BACKENDS, PUBLISH_EVERY, SUSPECTED_FOR, Advice, Prober, ProbeSettings, Suspicions,
+    FRESH,
+    MOST_BACKENDS,
+    PUBLISH_EVERY,
+    SUSPECTED_FOR,
+    Advice,
+    Prober,
+    ProbeSettings,
+    Suspicions,
 )
 
 
--- a/tests/council/test_processes.py
+++ b/tests/council/test_processes.py
@@ -19,14 +19,28 @@
 RELAYED = ("@planner>@planner", "@planner>billing", "@forwarder>@planner")
 
 
-def fleet(test: Callable[[Deployment], Awaitable[None]], planners: int = 3, rate: float = 50.0,
-          lost_disks: bool = False) -> Deployment:
+def fleet(
+    test: Callable[[Deployment], Awaitable[None]],
+    planners: int = 3,
+    rate: float = 50.0,
+    lost_disks: bool = False,
+) -> Deployment:
     """Runs a deployment under traffic for as long as `test` takes; all has to be well at the end."""
 
     async def run() -> Deployment:
-        deployment = Deployment(Shape(
-            fronts=2, planners=planners, backends=4, customers=12, rate=rate, status_every=0.05,
-            behaviour=Behaviour(0.01, 0.03), council_tables=COUNCIL, relayed=RELAYED))
+        deployment = Deployment(
+            Shape(
+                fronts=2,
+                planners=planners,
+                backends=4,
+                customers=12,
+                rate=rate,
+                status_every=0.05,
+                behaviour=Behaviour(0.01, 0.03),
+                council_tables=COUNCIL,
+                relayed=RELAYED,
+            )
+        )
         try:
             async with asyncio.timeout(150.0):
                 await deployment.start()
@@ -150,10 +164,14 @@
         await asyncio.sleep(0.5)
         claims = listen(deployment)
         mute = await wait_owner(deployment, "export")
-        laid = [(f"{mute}>{b}", await swallowed(deployment, f"{mute}>{b}", Direction.UP))
-                for b in others(deployment, mute)]
-        laid += [(f"{b}>{mute}", await swallowed(deployment, f"{b}>{mute}", Direction.DOWN))
-                 for b in others(deployment, mute)]
+        laid = [
+            (f"{mute}>{b}", await swallowed(deployment, f"{mute}>{b}", Direction.UP))
+            for b in others(deployment, mute)
+        ]
+        laid += [
+            (f"{b}>{mute}", await swallowed(deployment, f"{b}>{mute}", Direction.DOWN))
+            for b in others(deployment, mute)
+        ]
         await wait_owner(deployment, "export", other_than=mute)
         await asyncio.sleep(3.0)
         assert owner_of(deployment, "export") not in ("", mute)
@@ -225,7 +243,8 @@
 def test_the_exporter_is_killed_at_any_moment_and_billing_answers_late_twice_or_never() -> None:
     async def test(deployment: Deployment) -> None:
         deployment.billing.behaviour = BillingBehaviour(
-            silent=0.1, late=0.15, late_by=1.5, twice=0.2, busy=0.1)
+            silent=0.1, late=0.15, late_by=1.5, twice=0.2, busy=0.1
+        )
         for turn in range(14):
             owner = await wait_owner(deployment, "export")
             await asyncio.sleep(0.11 * (turn % 5))
--- a/tests/council/test_schedules.py
+++ b/tests/council/test_schedules.py
@@ -16,8 +16,16 @@
 from embersill.world.swarm import Coverage
 
 SEEDS = range(60)
-FOUND_SOON = ("majority", "highest-found", "wait-lease", "unchanged", "number", "until-certain", "kept-batch",
-              "repeated")
+FOUND_SOON = (
+    "majority",
+    "highest-found",
+    "wait-lease",
+    "unchanged",
+    "number",
+    "until-certain",
+    "kept-batch",
+    "repeated",
+)
 
 
 def test_schedules_break_no_rule_and_meet_what_they_are_for() -> None:
@@ -29,8 +37,16 @@
         for name, figure in play(schedule, coverage=coverage).items():
             sums[name] = sums.get(name, 0) + figure
     assert sums["late"] > 0 and sums["learned"] > 0 and sums["refused"] > 0 and sums["appends"] > 500
-    assert {kind for kind, _ in coverage.pairs} >= {"Hello", "Peek", "Prepare", "Accept", "Join", "Offer",
-                                                    "Suspect", "Verdicts"}
+    assert {kind for kind, _ in coverage.pairs} >= {
+        "Hello",
+        "Peek",
+        "Prepare",
+        "Accept",
+        "Join",
+        "Offer",
+        "Suspect",
+        "Verdicts",
+    }
 
 
 def test_a_seed_plays_the_same_again() -> None:
@@ -58,8 +74,11 @@
             if any(not node.alive for node in self.nodes.values()):
                 raise Broken("one owner", self.kernel.now, "as planted")
 
-    schedule = next(s for s in map(generate, range(100)) if len(s.steps) > 5
-                    and any(step.what == "kill" and not step.who.startswith("@") for step in s.steps))
+    schedule = next(
+        s
+        for s in map(generate, range(100))
+        if len(s.steps) > 5 and any(step.what == "kill" and not step.who.startswith("@") for step in s.steps)
+    )
 
     def planted(tried: Schedule) -> object:
         return Two(tried).run()
--- a/tests/counting/helpers.py
+++ b/tests/counting/helpers.py
@@ -25,8 +25,14 @@
 class Bench:
     """One gateway's keeper, and the counters it calls; `how` is what becomes of calls now."""
 
-    def __init__(self, me: int = 0, gateways: int = 1, stores: dict[str, Store] | None = None,
-                 places: tuple[str, ...] = (A,), terms: Terms | None = None) -> None:
+    def __init__(
+        self,
+        me: int = 0,
+        gateways: int = 1,
+        stores: dict[str, Store] | None = None,
+        places: tuple[str, ...] = (A,),
+        terms: Terms | None = None,
+    ) -> None:
         self.keeper = Keeper(terms or Terms(), me, gateways, places)
         self.stores = stores if stores is not None else {A: Store(), B: Store()}
         self.how = Outcome.SERVED
@@ -64,12 +70,22 @@
     def name(self, customer: str = "c") -> str:
         return f"{customer}.{int(self.now // EPOCH)}"
 
-    def count(self, units: float, customer: str = "c", corrects: float = 0.0, first: int = 0, width: int = 0,
-              rate: float = 4.0, running: bool = True, number: int = 1) -> Counted | None:
+    def count(
+        self,
+        units: float,
+        customer: str = "c",
+        corrects: float = 0.0,
+        first: int = 0,
+        width: int = 0,
+        rate: float = 4.0,
+        running: bool = True,
+        number: int = 1,
+    ) -> Counted | None:
         """The module's call; what it was told of it, if it was told at once."""
         before, width = len(self.told), width or self.keeper.gateways
-        action = Count(self.name(customer), units + corrects, EPOCH, first, width, rate, running, corrects,
-                       number)
+        action = Count(
+            self.name(customer), units + corrects, EPOCH, first, width, rate, running, corrects, number
+        )
         self.perform(self.keeper.count(action, self.now))
         return self.told[-1] if len(self.told) > before else None
 
--- a/tests/counting/test_keeper.py
+++ b/tests/counting/test_keeper.py
@@ -256,10 +256,21 @@
     assert keepers[3].next_beat(due[3]) == pytest.approx(due[3] + 1.0)
 
 
-@pytest.mark.parametrize(("key", "value"), [
-    ("absent_after", 1.0), ("settle", 0.0), ("silent_from", 0), ("back_off", 0.0), ("most_back_off", 0.1),
-    ("most_names", 0), ("most_calls", 0), ("most_groups", 0), ("repays_a_beat", 0), ("release_after", 1.0),
-])
+@pytest.mark.parametrize(
+    ("key", "value"),
+    [
+        ("absent_after", 1.0),
+        ("settle", 0.0),
+        ("silent_from", 0),
+        ("back_off", 0.0),
+        ("most_back_off", 0.1),
+        ("most_names", 0),
+        ("most_calls", 0),
+        ("most_groups", 0),
+        ("repays_a_beat", 0),
+        ("release_after", 1.0),
+    ],
+)
 def test_terms_that_make_no_sense_are_refused_by_name(key: str, value: float) -> None:
     with pytest.raises(ValueError, match=key):
         check_terms(msgspec.structs.replace(Terms(), **{key: value}))
@@ -359,7 +370,8 @@
     clocked = Clocked()
     asked = counts(clocked.ask(6001.0))[0]
     actions = clocked.gateway.handle(
-        Counted(asked.name, Outcome.NO_CONNECTION, 0.0, 0.0, True, asked.call), 6001.0)
+        Counted(asked.name, Outcome.NO_CONNECTION, 0.0, 0.0, True, asked.call), 6001.0
+    )
     due = [a for a in actions if isinstance(a, SetTimer) and a.key == "cc"]
     assert due and clocked.gateway.throttles["c"].uncounted == 1.0
     told = counts(clocked.gateway.handle(TimerDue("cc"), 6002.0))
--- a/tests/counting/test_operator.py
+++ b/tests/counting/test_operator.py
@@ -33,14 +33,20 @@
     assert read_operator(str(path)).counting == CountingTable()
 
 
-@pytest.mark.parametrize(("text", "reason"), [
-    ("[counting]\ncounter = 1", "unknown field `counter`"),
-    ("[counting]\ncounters = ['nowhere']", r"counting.counters\[0\]"),
-    ("[counting]\ncounters = ['127.0.0.1:1', '127.0.0.1:1']", "counting.counters: an address stands twice"),
-    ("[counting.terms]\nsettle = 0.0", "counting.terms.settle: 0.0 is not from 2.0 to 30.0"),
-    ("[counting.terms]\nsettled = 1.0", "unknown field `settled`"),
-    ("role = 'planner'\n[counting]", "counting: a planner has no counter"),
-])
+@pytest.mark.parametrize(
+    ("text", "reason"),
+    [
+        ("[counting]\ncounter = 1", "unknown field `counter`"),
+        ("[counting]\ncounters = ['nowhere']", r"counting.counters\[0\]"),
+        (
+            "[counting]\ncounters = ['127.0.0.1:1', '127.0.0.1:1']",
+            "counting.counters: an address stands twice",
+        ),
+        ("[counting.terms]\nsettle = 0.0", "counting.terms.settle: 0.0 is not from 2.0 to 30.0"),
+        ("[counting.terms]\nsettled = 1.0", "unknown field `settled`"),
+        ("role = 'planner'\n[counting]", "counting: a planner has no counter"),
+    ],
+)
 def test_what_is_wrong_is_refused_with_file_key_and_reason(
     text: str, reason: str, tmp_path: pathlib.Path
 ) -> None:
--- a/tests/counting/test_schedules.py
+++ b/tests/counting/test_schedules.py
@@ -52,8 +52,14 @@
 
 
 def split(seconds: float, keeper: bool, schedule_seconds: float = 55.0) -> Schedule:
-    shape = {"gateways": 3, "counters": 1, "seconds": schedule_seconds, "start": 1.0, "customers": [HOG],
-             "keeper": keeper}
+    shape = {
+        "gateways": 3,
+        "counters": 1,
+        "seconds": schedule_seconds,
+        "start": 1.0,
+        "customers": [HOG],
+        "keeper": keeper,
+    }
     return Schedule(1, shape, [Step("split", 8.0, seconds=seconds, args={"other": [0], "keep": 1})])
 
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -68,6 +68,7 @@
 
 def serve_after(free: asyncio.Event) -> Step:
     """Holds the request until the event is set."""
+
     async def step(writer: asyncio.StreamWriter, asked: Asked) -> None:
         await free.wait()
         serve(writer, asked)
@@ -122,8 +123,16 @@
         self.deaf = 0  # so many further calls are taken and never answered, as by an agent that is down
 
     def entry(self, name: str, address: str, state: str = "SERVING", started: float = 0) -> dict[str, Any]:
-        return {"instanceId": name, "hostPort": address, "zone": "z", "machineType": "k", "cell": 0,
-                "lifecycle": state, "weight": 1.0, "startedAtMs": started}
+        return {
+            "instanceId": name,
+            "hostPort": address,
+            "zone": "z",
+            "machineType": "k",
+            "cell": 0,
+            "lifecycle": state,
+            "weight": 1.0,
+            "startedAtMs": started,
+        }
 
     def listing(self, whole: bool, entries: list[dict[str, Any]]) -> bytes:
         return json.dumps({"generation": self.generation, "reset": whole, "instances": entries}).encode()
--- a/tests/ratelimit/test_answering.py
+++ b/tests/ratelimit/test_answering.py
@@ -12,8 +12,19 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    AttemptEnded, Backend, BackendList, ListKind, Outcome, Plan, Question, Request, Send, Settings, Status,
-    Take, Verdict,
+    AttemptEnded,
+    Backend,
+    BackendList,
+    ListKind,
+    Outcome,
+    Plan,
+    Question,
+    Request,
+    Send,
+    Settings,
+    Status,
+    Take,
+    Verdict,
 )
 from embersill.rig.settings import lab_settings
 from embersill.ratelimit.answering import Answering, BadQuestion, Descriptor, Override, per_unit
@@ -24,8 +35,13 @@
     {"domain": "lookup", "match": {"settle": "*"}, "customer": "account", "plan": "pro", "mode": "settle"},
     {"domain": "lookup", "match": {"api": "try"}, "customer": "account", "plan": "pro", "mode": "shadow"},
     {"domain": "lookup", "match": {"api": "own"}, "customer": "account", "plan": "pro", "override": "apply"},
-    {"domain": "lookup", "match": {"api": "fixed"}, "customer": "account", "plan": "pro",
-     "override": "refuse"},
+    {
+        "domain": "lookup",
+        "match": {"api": "fixed"},
+        "customer": "account",
+        "plan": "pro",
+        "override": "refuse",
+    },
     {"domain": "lookup", "match": {"api": "report"}, "customer": "account", "plan": "pro", "units": 2.0},
     {"domain": "lookup", "match": {}, "customer": "account", "plan_from": "plan"},
 ]
@@ -60,8 +76,9 @@
         return throttle.level
 
 
-def of(customer: str = CUSTOMER, hits: int | None = None, override: Override | None = None,
-       **entries: str) -> Descriptor:
+def of(
+    customer: str = CUSTOMER, hits: int | None = None, override: Override | None = None, **entries: str
+) -> Descriptor:
     return Descriptor((("account", customer), *entries.items()), hits, override)
 
 
@@ -130,13 +147,20 @@
             desk.ask(of(api="own", override=override))
 
 
-@pytest.mark.parametrize(("domain", "descriptors", "reason"), [
-    ("", [of(plan="pro")], "domain"), ("d" * 300, [of(plan="pro")], "domain"),
-    ("lookup", [], "descriptors must be"), ("lookup", [of(plan="pro")] * 10_000, "descriptors must be"),
-    ("lookup", [Descriptor(())], "no entries"), ("lookup", [of(plan="pro", x="y" * 300)], "too long"),
-    ("lookup", [of("nobody", plan="pro")], "is not a customer"), ("lookup", [of(plan="gold")], "no plan"),
-    ("lookup", [Descriptor((("", "x"),))], "key is empty"),
-])
+@pytest.mark.parametrize(
+    ("domain", "descriptors", "reason"),
+    [
+        ("", [of(plan="pro")], "domain"),
+        ("d" * 300, [of(plan="pro")], "domain"),
+        ("lookup", [], "descriptors must be"),
+        ("lookup", [of(plan="pro")] * 10_000, "descriptors must be"),
+        ("lookup", [Descriptor(())], "no entries"),
+        ("lookup", [of(plan="pro", x="y" * 300)], "too long"),
+        ("lookup", [of("nobody", plan="pro")], "is not a customer"),
+        ("lookup", [of(plan="gold")], "no plan"),
+        ("lookup", [Descriptor((("", "x"),))], "key is empty"),
+    ],
+)
 def test_what_is_out_of_form_is_told_and_takes_nothing(
     domain: str, descriptors: list[Descriptor], reason: str
 ) -> None:
@@ -160,8 +184,9 @@
     for question_first in (True, False):
         desk = Desk()
         gateway = desk.gateway
-        gateway.handle(BackendList(ListKind.WHOLE, (
-            Backend("b", "z", "k", 0, Status.SERVING, 1.0, None),)), desk.now)
+        gateway.handle(
+            BackendList(ListKind.WHOLE, (Backend("b", "z", "k", 0, Status.SERVING, 1.0, None),)), desk.now
+        )
         assert desk.ask(of(plan="pro"), hits=20).ok  # four are left
         asked = Request(1, "lookup", "pro", CUSTOMER, desk.now + 0.01, 4.0, 1, 0, False)
         if question_first:
@@ -180,8 +205,7 @@
     plan = Plan("pro", 50.0, 100.0, 0, 8.0, 16.0, 1.0, 0.0, 1.0)
     made = replace(made, counter=False, plans=(made.plans[0], plan, made.plans[2]))
     gateway, now = Gateway(made, 1, 100.0), 200.0
-    gateway.handle(BackendList(ListKind.WHOLE, (
-        Backend("b", "z", "k", 0, Status.SERVING, 1.0, None),)), now)
+    gateway.handle(BackendList(ListKind.WHOLE, (Backend("b", "z", "k", 0, Status.SERVING, 1.0, None),)), now)
     level, number = 16.0, 0
     for as_question, wait, units in steps:
         now, number = now + wait, number + 1
@@ -206,13 +230,17 @@
     assert (told(12.0), told(1.25), told(0.001), told(0.0)) == ((12, 1), (75, 2), (1, 2), (0, 0))
 
 
-@pytest.mark.parametrize(("change", "reason"), [
-    ({"rules": []}, "rules must be 1"), ({"most_open": 0}, "most_open: 0 is not"),
-    ({"rules": [{**RULES[0], "domain": ""}]}, r"rules\[0\].domain is empty"),
-    ({"rules": [{**RULES[0], "plan_from": "plan"}]}, "and not both"),
-    ({"rules": [{**RULES[0], "units": 0.0}]}, "out of bounds"),
-    ({"rules": [RULES[-1], RULES[0]]}, r"rules\[1\] is never reached"),
-])
+@pytest.mark.parametrize(
+    ("change", "reason"),
+    [
+        ({"rules": []}, "rules must be 1"),
+        ({"most_open": 0}, "most_open: 0 is not"),
+        ({"rules": [{**RULES[0], "domain": ""}]}, r"rules\[0\].domain is empty"),
+        ({"rules": [{**RULES[0], "plan_from": "plan"}]}, "and not both"),
+        ({"rules": [{**RULES[0], "units": 0.0}]}, "out of bounds"),
+        ({"rules": [RULES[-1], RULES[0]]}, r"rules\[1\] is never reached"),
+    ],
+)
 def test_rules_are_checked_when_they_are_loaded(change: dict[str, Any], reason: str) -> None:
     with pytest.raises(ValueError, match=reason):
         check_ratelimit(table(**change))
--- a/tests/ratelimit/test_asking.py
+++ b/tests/ratelimit/test_asking.py
@@ -10,7 +10,17 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, AttemptEnded, Backend, BackendList, ClientLeft, Fail, ListKind, Outcome, Refuse, Request, Send,
+    Action,
+    AttemptEnded,
+    Backend,
+    BackendList,
+    ClientLeft,
+    Fail,
+    ListKind,
+    Outcome,
+    Refuse,
+    Request,
+    Send,
     Status,
 )
 from embersill.rig.settings import lab_settings
@@ -39,10 +49,18 @@
         listed = (Backend(f"b{n}", "z", "k", 0, Status.SERVING, 1.0, None) for n in range(backends))
         self.asking.handle(BackendList(ListKind.WHOLE, tuple(listed)), self.now)
 
-    def ask(self, number: int, units: float = 2.0, plan: str = "pro", klass: str = "lookup",
-            customer: str = "c", budget: float = 2.0) -> None:
+    def ask(
+        self,
+        number: int,
+        units: float = 2.0,
+        plan: str = "pro",
+        klass: str = "lookup",
+        customer: str = "c",
+        budget: float = 2.0,
+    ) -> None:
         self.actions += self.asking.handle(
-            Request(number, klass, plan, customer, self.now + budget, units, 1, 0, False), self.now)
+            Request(number, klass, plan, customer, self.now + budget, units, 1, 0, False), self.now
+        )
 
     def calls(self) -> list[Call]:
         made, self.asking.outbox = self.asking.outbox, []
@@ -57,11 +75,15 @@
 
     def serve(self, number: int, units: float = 0.0, outcome: Outcome = Outcome.SERVED) -> None:
         self.actions += self.asking.handle(
-            AttemptEnded(number, 0, "b0", outcome, 0.01, outcome is Outcome.SERVED, units, ()), self.now)
+            AttemptEnded(number, 0, "b0", outcome, 0.01, outcome is Outcome.SERVED, units, ()), self.now
+        )
 
     def of(self, number: int) -> list[str]:
-        return [type(a).__name__ for a in self.actions
-                if isinstance(a, Send | Refuse | Fail) and a.request == number]
+        return [
+            type(a).__name__
+            for a in self.actions
+            if isinstance(a, Send | Refuse | Fail) and a.request == number
+        ]
 
     def due(self, customer: str = "c") -> float:
         return self.asking.accounts[customer].due
@@ -85,13 +107,21 @@
 
 def test_the_ceiling_holds_whatever_the_service_says() -> None:
     play = Play(backends=20)
-    play.settings = replace(play.settings, plans=tuple(
-        replace(p, ceiling_rate=2.0, ceiling_depth=6.0) if p.name == "pro" else p
-        for p in play.settings.plans))
+    play.settings = replace(
+        play.settings,
+        plans=tuple(
+            replace(p, ceiling_rate=2.0, ceiling_depth=6.0) if p.name == "pro" else p
+            for p in play.settings.plans
+        ),
+    )
     play.gateway = Gateway(play.settings, 1, 100.0)
     play.asking = Asking(table(), play.settings, play.gateway.handle, play.now)
-    play.asking.handle(BackendList(ListKind.WHOLE, tuple(
-        Backend(f"b{n}", "z", "k", 0, Status.SERVING, 1.0, None) for n in range(20))), play.now)
+    play.asking.handle(
+        BackendList(
+            ListKind.WHOLE, tuple(Backend(f"b{n}", "z", "k", 0, Status.SERVING, 1.0, None) for n in range(20))
+        ),
+        play.now,
+    )
     for number in range(1, 6):
         play.ask(number)
         play.rule(play.calls()[0], OK)
@@ -285,12 +315,19 @@
     assert len(play.asking.accounts) == 10
 
 
-@pytest.mark.parametrize(("change", "reason"), [
-    ({"services": []}, "services must be 1"), ({"services": ["a:1", "a:1"]}, "all different"),
-    ({"plans": []}, "must not be empty"), ({"timeout": 1.0}, "timeout must be"),
-    ({"without_verdict": "allow"}, "needs overrun"), ({"overrun": 1.0}, "overrun is for"),
-    ({"back_off": 0.0}, "back_off"), ({"most_open": 0}, "most_open"),
-])
+@pytest.mark.parametrize(
+    ("change", "reason"),
+    [
+        ({"services": []}, "services must be 1"),
+        ({"services": ["a:1", "a:1"]}, "all different"),
+        ({"plans": []}, "must not be empty"),
+        ({"timeout": 1.0}, "timeout must be"),
+        ({"without_verdict": "allow"}, "needs overrun"),
+        ({"overrun": 1.0}, "overrun is for"),
+        ({"back_off": 0.0}, "back_off"),
+        ({"most_open": 0}, "most_open"),
+    ],
+)
 def test_tables_are_checked(change: dict[str, Any], reason: str) -> None:
     with pytest.raises(ValueError, match=reason):
         table(**change)
@@ -299,7 +336,9 @@
 def test_plans_and_classes_must_be_the_platforms() -> None:
     made = lab_settings(1)
     wrong: list[tuple[dict[str, Any], str]] = [
-        ({"plans": ["gold"]}, "ask.plans: 'gold' is none"), ({"classes": ["x"]}, "ask.classes: 'x' is none")]
+        ({"plans": ["gold"]}, "ask.plans: 'gold' is none"),
+        ({"classes": ["x"]}, "ask.classes: 'x' is none"),
+    ]
     for change, reason in wrong:
         with pytest.raises(ValueError, match=reason):
             check_names(RateLimitTable(ask=table(**change)), made)
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -46,8 +46,9 @@
         runner.run(bounded())
 
 
-def question(hits: int = 0, customer: str = CUSTOMER, plan: str = "pro", domain: str = "lookup",
-             descriptors: int = 1) -> Any:
+def question(
+    hits: int = 0, customer: str = CUSTOMER, plan: str = "pro", domain: str = "lookup", descriptors: int = 1
+) -> Any:
     asked = rls_pb2.RateLimitRequest(domain=domain, hits_addend=hits)
     for _ in range(descriptors):
         descriptor = asked.descriptors.add()
@@ -109,7 +110,8 @@
             checked = await health.Check(health_pb2.HealthCheckRequest(service=SERVICE))
             assert checked.status == health_pb2.HealthCheckResponse.SERVING
             reflected = reflection_pb2_grpc.ServerReflectionStub(channel).ServerReflectionInfo(
-                iter([reflection_pb2.ServerReflectionRequest(list_services="")]))
+                iter([reflection_pb2.ServerReflectionRequest(list_services="")])
+            )
             names = [s.name async for told in reflected for s in told.list_services_response.service]
             assert SERVICE in names
 
@@ -130,8 +132,10 @@
             assert answer.overall_code == CODES.OVER_LIMIT and listener.level() == 24.0
             raw = channel.unary_unary(f"/{SERVICE}/ShouldRateLimit")
             assert await status_of(raw(b"\xff\xff\xff")) is not grpc.StatusCode.OK
-            assert await status_of(channel.unary_unary(f"/{SERVICE}/Nothing")(b"")) \
+            assert (
+                await status_of(channel.unary_unary(f"/{SERVICE}/Nothing")(b""))
                 is grpc.StatusCode.UNIMPLEMENTED
+            )
             assert (await ask(question(1))).overall_code == CODES.OK  # others are undisturbed
 
     run(test)
@@ -148,9 +152,12 @@
             assert len(given) + len(refused) == 2000 and len(given) >= 256
             assert {a.code() for a in refused} <= {grpc.StatusCode.UNAVAILABLE}
             assert sum(a.overall_code == CODES.OK for a in given) == 24
-            channels = [grpc.aio.insecure_channel(
-                f"{HOST}:{listener.server.port}", options=[("grpc.use_local_subchannel_pool", 1)])
-                for _ in range(60)]
+            channels = [
+                grpc.aio.insecure_channel(
+                    f"{HOST}:{listener.server.port}", options=[("grpc.use_local_subchannel_pool", 1)]
+                )
+                for _ in range(60)
+            ]
             stubs = [rls_pb2_grpc.RateLimitServiceStub(c) for c in channels]
             told = await asyncio.gather(*(s.ShouldRateLimit(question(1, "00000000000000d1")) for s in stubs))
             assert sum(a.overall_code == CODES.OK for a in told) == 24
@@ -188,13 +195,27 @@
 
     def __init__(self, *addresses: str, **changes: Any) -> None:
         loop = asyncio.get_running_loop()
-        told = {"services": list(addresses), "domain": "lookup", "plans": ["pro"], "timeout": 0.15,
-                "within": 0.4, "within_part": 0.5, "break_after": 100, "without_verdict": "deny", **changes}
+        told = {
+            "services": list(addresses),
+            "domain": "lookup",
+            "plans": ["pro"],
+            "timeout": 0.15,
+            "within": 0.4,
+            "within_part": 0.5,
+            "break_after": 100,
+            "without_verdict": "deny",
+            **changes,
+        }
         table = msgspec.convert({"ask": told}, RateLimitTable).ask
         assert table is not None
         gateway = Gateway(replace(lab_settings(1), counter=False), 1, loop.time() - 60.0)  # full ceilings
-        gateway.handle(BackendList(ListKind.WHOLE, tuple(
-            Backend(f"b{n}", "z", "k", 0, Status.SERVING, 1.0, None) for n in range(8))), loop.time())
+        gateway.handle(
+            BackendList(
+                ListKind.WHOLE,
+                tuple(Backend(f"b{n}", "z", "k", 0, Status.SERVING, 1.0, None) for n in range(8)),
+            ),
+            loop.time(),
+        )
         self.asking = AskingGateway(gateway, table, loop.time)
         self.asking.perform = self.perform
         self.answers: dict[int, asyncio.Future[str]] = {}
@@ -362,8 +383,10 @@
 
 
 def answer_text(port: int) -> str:
-    return (f'[ratelimit.answer]\nlisten = "{HOST}:{port}"\n[[ratelimit.answer.rules]]\ndomain = "lookup"\n'
-            'match = {}\ncustomer = "account"\nplan_from = "plan"\nspread = 1\n')
+    return (
+        f'[ratelimit.answer]\nlisten = "{HOST}:{port}"\n[[ratelimit.answer.rules]]\ndomain = "lookup"\n'
+        'match = {}\ncustomer = "account"\nplan_from = "plan"\nspread = 1\n'
+    )
 
 
 @pytest.mark.parametrize("planners", [0, 1])
@@ -395,8 +418,10 @@
 def test_a_process_asks(planners: int) -> None:
     async def test() -> None:
         async with limiters(1) as (limiter,):
-            text = (f'[ratelimit.ask]\nservices = ["{limiter.address}"]\ndomain = "lookup"\nplans = ["pro"]\n'
-                    'timeout = 1.0\nwithin = 1.0\nwithin_part = 0.5\n')
+            text = (
+                f'[ratelimit.ask]\nservices = ["{limiter.address}"]\ndomain = "lookup"\nplans = ["pro"]\n'
+                "timeout = 1.0\nwithin = 1.0\nwithin_part = 0.5\n"
+            )
             async with deployed(text, planners) as deployment:
                 await until_led(deployment, planners)
                 await deployment.traffic.run(1.0)
--- a/tests/rig/test_causes.py
+++ b/tests/rig/test_causes.py
@@ -36,9 +36,15 @@
     assert late not in all_seeing(books)
 
 
-@pytest.mark.parametrize(("level", "cap", "wanted"), [
-    (24.0, 48.0, "backends"), (24.0, 0.0, "ceiling"), (0.0, 48.0, "quota"), (0.0, -24.0, "ceiling"),
-])
+@pytest.mark.parametrize(
+    ("level", "cap", "wanted"),
+    [
+        (24.0, 48.0, "backends"),
+        (24.0, 0.0, "ceiling"),
+        (0.0, 48.0, "quota"),
+        (0.0, -24.0, "ceiling"),
+    ],
+)
 def test_a_refusal_is_named_by_what_it_would_wait_for_longest(level: float, cap: float, wanted: str) -> None:
     throttle = Throttle("c", PLANS["pro"], 1, 100.0, 0.0)
     throttle.level, throttle.cap = level, cap
@@ -49,8 +55,14 @@
 def test_each_refusal_of_a_play_is_told_with_its_reason() -> None:
     ways = ["@forwarder>@planner"]
     scenario = Scenario(
-        "all cut", 3, 5.0, 150.0, 0.0, ShapeTable(3, 2, 0, 4, 24, False, {}, ("@forwarder>@planner",)),
-        [FaultTable("cut", 1.0, 3.0, ways=ways)])
+        "all cut",
+        3,
+        5.0,
+        150.0,
+        0.0,
+        ShapeTable(3, 2, 0, 4, 24, False, {}, ("@forwarder>@planner",)),
+        [FaultTable("cut", 1.0, 3.0, ways=ways)],
+    )
     told: dict[str, Any] = {}
 
     async def test() -> None:
--- a/tests/rig/test_hall.py
+++ b/tests/rig/test_hall.py
@@ -11,8 +11,11 @@
 async def played(folder: Path) -> None:
     hall = Hall(folder, 4, backends=3, tenants={"t": (50.0, 50.0), "u": (50.0, 50.0)})
     async with hall:
-        asked = [await hall.ask(name, gateway, route, fresh=gateway % 2 == 0)
-                 for gateway in range(4) for name, route in (("t", "ask"), ("u", "order"))]
+        asked = [
+            await hall.ask(name, gateway, route, fresh=gateway % 2 == 0)
+            for gateway in range(4)
+            for name, route in (("t", "ask"), ("u", "order"))
+        ]
         assert [one.status for one in asked] == [200] * 8
         assert (await hall.ask("nobody", 0)).status == 401
         status, told = await hall.control(3, "GET", "/api/status")
--- a/tests/rig/test_playing.py
+++ b/tests/rig/test_playing.py
@@ -22,7 +22,8 @@
 
 
 def test_ways_and_processes_in_trouble_break_no_rule() -> None:
-    play, told = played(read_scenario("""
+    play, told = played(
+        read_scenario("""
         seconds = 6.0
         rate = 80.0
         drain_every = 0.8
@@ -47,7 +48,8 @@
         seconds = [0.2, 0.8]
         direction = "any"
         late = 0.05
-        """))
+        """)
+    )
     assert not told["breaches"] and not told["bad_ends"], told
     assert play.counts["kill"] == play.counts["stop"] == 1 and play.counts.total() > 9
     ways = play.deployment.ways.values()
@@ -58,7 +60,8 @@
 
 
 def test_gateways_of_one_level_go_over_relays_to_their_counter() -> None:
-    play, told = played(read_scenario("""
+    play, told = played(
+        read_scenario("""
         seconds = 3.0
         [shape]
         gateways = 2
@@ -68,6 +71,7 @@
         ways = ["@gateway>counter", "@gateway>discovery"]
         at = 0.5
         seconds = 1.5
-        """))
+        """)
+    )
     assert not told["breaches"] and told["served"], told
     assert play.deployment.ways["g0>counter"].counts["connections"]
--- a/tests/rig/test_relay.py
+++ b/tests/rig/test_relay.py
@@ -155,8 +155,9 @@
     on_a_way(test)
 
 
-@pytest.mark.parametrize("trouble", [Trouble(Verb.NARROW, rate=5000.0),
-                                     Trouble(Verb.DRIBBLE, seconds=0.01, size=100)])
+@pytest.mark.parametrize(
+    "trouble", [Trouble(Verb.NARROW, rate=5000.0), Trouble(Verb.DRIBBLE, seconds=0.01, size=100)]
+)
 def test_a_narrow_way_and_one_that_dribbles_carry_all_slowly(trouble: Trouble) -> None:
     async def test(way: Way) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/rig/test_scenarios.py
+++ b/tests/rig/test_scenarios.py
@@ -10,8 +10,10 @@
 from embersill.rig.playing import kept_text, shape_of
 from embersill.rig.scenarios import BadScenario, FaultTable, Names, Scenario, planned, read_scenario
 
-NAMES = Names({"g0": "forwarder", "g1": "forwarder", "p0": "planner", "p1": "planner", "b0": "backend"},
-              {"a": ["g0", "p0"], "b": ["g1", "p1", "b*"]})
+NAMES = Names(
+    {"g0": "forwarder", "g1": "forwarder", "p0": "planner", "p1": "planner", "b0": "backend"},
+    {"a": ["g0", "p0"], "b": ["g1", "p1", "b*"]},
+)
 WAYS = [f"g{g}>p{p}" for g in range(2) for p in range(2)]
 DRAWN = """
 seed = 7
@@ -24,22 +26,25 @@
 """
 
 
-@pytest.mark.parametrize(("text", "reason"), [
-    ("second = 1.0", "second"),
-    ("seconds = 0.0", "seconds"),
-    ("[shape]\nplanners = 0", "planner"),
-    ("[shape]\nforwarders = 60\nplanners = 9", "processes"),
-    ("[shape]\ngateways = 3\ncouncil = true", "council"),
-    ('[[faults]]\nwhat = "burn"\nwho = ["p0"]', "burn"),
-    ('[[faults]]\nwhat = "cut"\nwho = ["p0"]', "needs ways"),
-    ('[[faults]]\nwhat = "stop"\nwho = ["p0"]\nways = ["g0>p0"]', "not done to ways"),
-    ('[[faults]]\nwhat = "cut"\nways = ["p0"]', "from>to"),
-    ('[[faults]]\nwhat = "narrow"\nways = ["g0>p0"]', "rate"),
-    ('[[faults]]\nwhat = "kill"\nwho = ["p0"]\nat = -1.0', "below nought"),
-    ('[[drawn]]\nwhat = []\nevery = [1.0, 2.0]\nseconds = [1.0, 2.0]', "nothing to draw"),
-    ('[[drawn]]\nwhat = ["kill"]\nwho = ["p0"]\nevery = [2.0, 1.0]\nseconds = [1.0, 2.0]', "least, most"),
-    ("[[faults]", "Expected"),
-])
+@pytest.mark.parametrize(
+    ("text", "reason"),
+    [
+        ("second = 1.0", "second"),
+        ("seconds = 0.0", "seconds"),
+        ("[shape]\nplanners = 0", "planner"),
+        ("[shape]\nforwarders = 60\nplanners = 9", "processes"),
+        ("[shape]\ngateways = 3\ncouncil = true", "council"),
+        ('[[faults]]\nwhat = "burn"\nwho = ["p0"]', "burn"),
+        ('[[faults]]\nwhat = "cut"\nwho = ["p0"]', "needs ways"),
+        ('[[faults]]\nwhat = "stop"\nwho = ["p0"]\nways = ["g0>p0"]', "not done to ways"),
+        ('[[faults]]\nwhat = "cut"\nways = ["p0"]', "from>to"),
+        ('[[faults]]\nwhat = "narrow"\nways = ["g0>p0"]', "rate"),
+        ('[[faults]]\nwhat = "kill"\nwho = ["p0"]\nat = -1.0', "below nought"),
+        ("[[drawn]]\nwhat = []\nevery = [1.0, 2.0]\nseconds = [1.0, 2.0]", "nothing to draw"),
+        ('[[drawn]]\nwhat = ["kill"]\nwho = ["p0"]\nevery = [2.0, 1.0]\nseconds = [1.0, 2.0]', "least, most"),
+        ("[[faults]", "Expected"),
+    ],
+)
 def test_a_file_that_is_no_scenario_says_why(text: str, reason: str) -> None:
     with pytest.raises(BadScenario, match=reason):
         read_scenario(text)
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -12,7 +12,14 @@
 from embersill.rig.soak.known_faults import KNOWN_FAULTS
 from embersill.rig.soak.record import Answer, Calm, Change, Exit, Record, Run, RunEnd, Struck, Try
 from embersill.rig.soak.schedule import (
-    CALM_AT_END, BackendKind, Leave, Phase, Route, Schedule, TroubleKind, generate,
+    CALM_AT_END,
+    BackendKind,
+    Leave,
+    Phase,
+    Route,
+    Schedule,
+    TroubleKind,
+    generate,
 )
 from embersill.rig.soak.shrink import shrink
 
@@ -54,17 +61,24 @@
     "told late": (Rule.RUNS_AFTER_LEAVE, Record([a_try(left_at=1.5)], [a_run(closed_at=3.9)])),
     "reached late": (Rule.RUNS_AFTER_LEAVE, Record([a_try(Route.ORDER, 1.5)], [a_run(arrived=2.8)])),
     "twice": (Rule.DOUBLED, Record([a_try(Route.ORDER)], [a_run(), a_run()])),
-    "refused": (Rule.REFUSED_AFTER_RUN,
-                Record([a_try(Route.ORDER, answers=[an_answer(503)])], [a_run()])),
+    "refused": (Rule.REFUSED_AFTER_RUN, Record([a_try(Route.ORDER, answers=[an_answer(503)])], [a_run()])),
     "foreign": (Rule.FOREIGN_ANSWER, Record([a_try(answers=[an_answer(attempt="a2")])], [a_run()])),
     "unsealed": (Rule.FOREIGN_ANSWER, Record([a_try(answers=[an_answer(sealed=False)])], [a_run()])),
     "second": (Rule.FOREIGN_ANSWER, Record([a_try(answers=[an_answer(), an_answer()])], [a_run()])),
-    "cut": (Rule.LOST, Record([a_try(cut_at=2.0, work=0.1)], [a_run(end=RunEnd.DROPPED)],
-                              [Struck(TroubleKind.TERM, 2, 1.5, 5.0)])),
+    "cut": (
+        Rule.LOST,
+        Record(
+            [a_try(cut_at=2.0, work=0.1)],
+            [a_run(end=RunEnd.DROPPED)],
+            [Struck(TroubleKind.TERM, 2, 1.5, 5.0)],
+        ),
+    ),
     "quota": (Rule.QUOTA, Record(runs=[a_run() for _ in range(60)], quotas={"wide": (5.0, 5.0)})),
     "invalid": (Rule.CONFIGURATION, Record(changes=[Change(2, 1, False, 1.0, [200])])),
-    "both": (Rule.CONFIGURATION,
-             Record(changes=[Change(2, 1, True, 1.0, [200]), Change(3, 1, True, 1.0, [200])])),
+    "both": (
+        Rule.CONFIGURATION,
+        Record(changes=[Change(2, 1, True, 1.0, [200]), Change(3, 1, True, 1.0, [200])]),
+    ),
     "older": (Rule.CONFIGURATION, Record(changes=[Change(2, 1, True, 1.0, [0, 200])], calm=[calm()])),
     "held": (Rule.LEAKED, Record(calm=[calm(requests_pending=1.0)])),
     "files": (Rule.LEAKED, Record(calm=[calm(descriptors=900)])),
--- a/tests/service/test_bodies.py
+++ b/tests/service/test_bodies.py
@@ -22,7 +22,7 @@
 
 
 def chunked(body: bytes, size: int) -> bytes:
-    pieces = [body[i:i + size] for i in range(0, len(body), size)]
+    pieces = [body[i : i + size] for i in range(0, len(body), size)]
     return b"".join(b"%x;note=1\r\n%b\r\n" % (len(p), p) for p in pieces) + b"0\r\nTrailer: x\r\n\r\n"
 
 
@@ -30,7 +30,7 @@
     "length": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LONG), LONG),
     "chunked": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LONG, 5000),
     "interim": b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
-               b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LONG), LONG),
+    b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LONG), LONG),
     "until its end": b"HTTP/1.1 200 OK\r\n\r\n" + LONG,
 }
 
@@ -38,7 +38,7 @@
 def answering(text: bytes, then_end: bool = False, piece: int = 0) -> Step:
     async def write(writer: asyncio.StreamWriter) -> None:
         for i in range(0, len(text), piece or len(text)):
-            writer.write(text[i:i + (piece or len(text))])
+            writer.write(text[i : i + (piece or len(text))])
             await writer.drain()
         if then_end:
             writer.close()
--- a/tests/service/test_decided.py
+++ b/tests/service/test_decided.py
@@ -36,16 +36,31 @@
         self.told.append(on)
 
 
-@pytest.mark.parametrize(("method", "path", "status", "told"), [
-    ("GET", "/healthcheck", 200, []), ("GET", "/stats", 200, []), ("GET", "/stats?x=1", 200, []),
-    ("POST", "/backends/a/maint", 200, [("a", True)]), ("POST", "/backends/a/ready", 200, [("a", False)]),
-    ("POST", "/backends/b%2Fc/maint", 200, [("b/c", True)]), ("POST", "/backends/x/maint", 404, []),
-    ("POST", "/backends//maint", 404, []), ("GET", "/backends/a/maint", 405, []),
-    ("POST", "/healthcheck/fail", 200, [True]), ("POST", "/healthcheck/ok", 200, [False]),
-    ("GET", "/healthcheck/fail", 405, []), ("POST", "/healthcheck", 405, []), ("POST", "/stats", 405, []),
-    ("GET", "/", 404, []), ("GET", "", 404, []), ("GET", "stats", 404, []), ("GET", "//stats", 404, []),
-    ("POST", "/backends/a/maint/more", 404, []), ("POST", "/backends/a/other", 404, []),
-])
+@pytest.mark.parametrize(
+    ("method", "path", "status", "told"),
+    [
+        ("GET", "/healthcheck", 200, []),
+        ("GET", "/stats", 200, []),
+        ("GET", "/stats?x=1", 200, []),
+        ("POST", "/backends/a/maint", 200, [("a", True)]),
+        ("POST", "/backends/a/ready", 200, [("a", False)]),
+        ("POST", "/backends/b%2Fc/maint", 200, [("b/c", True)]),
+        ("POST", "/backends/x/maint", 404, []),
+        ("POST", "/backends//maint", 404, []),
+        ("GET", "/backends/a/maint", 405, []),
+        ("POST", "/healthcheck/fail", 200, [True]),
+        ("POST", "/healthcheck/ok", 200, [False]),
+        ("GET", "/healthcheck/fail", 405, []),
+        ("POST", "/healthcheck", 405, []),
+        ("POST", "/stats", 405, []),
+        ("GET", "/", 404, []),
+        ("GET", "", 404, []),
+        ("GET", "stats", 404, []),
+        ("GET", "//stats", 404, []),
+        ("POST", "/backends/a/maint/more", 404, []),
+        ("POST", "/backends/a/other", 404, []),
+    ],
+)
 def test_each_call_is_carried_out_or_refused(method: str, path: str, status: int, told: list[object]) -> None:
     service = Staffed()
     assert (route(method, path, service)[0], service.told) == (status, told)
@@ -56,10 +71,17 @@
     for status in (200, 200, 429, 503, 502, 504):
         figures.count("lookup", status)
     assert figures.text(7, 2, 10, 3).splitlines() == [
-        "gateway.passed.lookup=2", "gateway.passed.report=0", "gateway.dropped.lookup=2",
-        "gateway.dropped.report=0", "gateway.bad_gateway.lookup=2", "gateway.bad_gateway.report=0",
-        "gateway.upstream_tries=7", "gateway.in_progress=2", "gateway.known_backends=10",
-        "gateway.skipped_backends=3"]
+        "gateway.passed.lookup=2",
+        "gateway.passed.report=0",
+        "gateway.dropped.lookup=2",
+        "gateway.dropped.report=0",
+        "gateway.bad_gateway.lookup=2",
+        "gateway.bad_gateway.report=0",
+        "gateway.upstream_tries=7",
+        "gateway.in_progress=2",
+        "gateway.known_backends=10",
+        "gateway.skipped_backends=3",
+    ]
 
 
 def test_nothing_goes_to_a_backend_out_of_use_whatever_the_list_says() -> None:
@@ -69,8 +91,11 @@
     made.handle(Held("a", True), 100.0)  # two calls out need one call back
     assert made.avoided() == 1
     for number in range(4):
-        sent = [a.backend for a in made.handle(request(number, customer=str(number)), 100.0)
-                if isinstance(a, Send)]
+        sent = [
+            a.backend
+            for a in made.handle(request(number, customer=str(number)), 100.0)
+            if isinstance(a, Send)
+        ]
         assert sent == ["b"]
         # the list says it serves, that it is gone, and that it is back: it stays out by its id
         made.handle(backends(backend("a"), backend("b")), 100.0)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -38,19 +38,34 @@
     assert play(FRAMES) == play(FRAMES)
 
 
-@pytest.mark.parametrize("text", [
-    "hello\n", "frame\tx\ngo\n", "frame\t1\nabout\t0\nnonsense\t1\ngo\n", "frame\t1\nclient_left\t1\ngo\n",
-    "frame\t1\nabout\t0\nclient_left\t1\ngo\n", "frame\t1\npage\t0\t3\ngo\n", "frame\t1\n",
-    "frame\t1\nabout\t0\nup\t1\t{}\ngo\n", "frame\t1\nabout\t0\nup\t1\t{bad\ngo\n",
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "hello\n",
+        "frame\tx\ngo\n",
+        "frame\t1\nabout\t0\nnonsense\t1\ngo\n",
+        "frame\t1\nclient_left\t1\ngo\n",
+        "frame\t1\nabout\t0\nclient_left\t1\ngo\n",
+        "frame\t1\npage\t0\t3\ngo\n",
+        "frame\t1\n",
+        "frame\t1\nabout\t0\nup\t1\t{}\ngo\n",
+        "frame\t1\nabout\t0\nup\t1\t{bad\ngo\n",
+    ],
+)
 def test_malformed_input_is_told(text: str) -> None:
     with pytest.raises(Malformed):
         play(text)
 
 
 def test_malformed_input_ends_with_one_plain_line() -> None:
-    done = subprocess.run([sys.executable, "-m", "embersill.adapter"], input="rubbish\n", text=True,
-                          capture_output=True, cwd=HERE.parent, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "embersill.adapter"],
+        input="rubbish\n",
+        text=True,
+        capture_output=True,
+        cwd=HERE.parent,
+        check=False,
+    )
     assert done.returncode != 0 and done.stdout == ""
     assert len(done.stderr.strip().splitlines()) == 1 and "malformed" in done.stderr
 
@@ -65,10 +80,16 @@
     assert "crash\tRuntimeError: it broke" in play(FRAMES)
 
 
-@pytest.mark.parametrize(("part", "key"), [
-    (None, "limits"), (None, "services"), ("limits", "max_attempts"), ("rules", "cold_from"),
-    ("domain", "counter"),
-])
+@pytest.mark.parametrize(
+    ("part", "key"),
+    [
+        (None, "limits"),
+        (None, "services"),
+        ("limits", "max_attempts"),
+        ("rules", "cold_from"),
+        ("domain", "counter"),
+    ],
+)
 def test_missing_keys_are_named(part: str | None, key: str) -> None:
     bad = env()
     del (bad[part] if part else bad)[key]
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -29,8 +29,9 @@
     def attempt_ended(self, attempt: Attempt, answer: Answer) -> None:
         self.answer.set_result(answer)
 
-    def attempt_began(self, attempt: Attempt, headers: bytes, length: int | None,
-                      source: BackendConnection) -> None:
+    def attempt_began(
+        self, attempt: Attempt, headers: bytes, length: int | None, source: BackendConnection
+    ) -> None:
         raise AssertionError("long answers are not passed on here")
 
 
@@ -77,22 +78,25 @@
     writer.transport.abort()
 
 
-@pytest.mark.parametrize(("text", "outcome"), [
-    (message(200, b"x"), Outcome.SERVED),
-    (b"HTTP/1.1 100 Continue\r\n\r\n" + message(200, b"x"), Outcome.SERVED),
-    (message(200, b"x", "Connection: close"), Outcome.SERVED),
-    (message(200, b"x") + message(200, b"y"), Outcome.SERVED),
-    (message(500), Outcome.ERROR),
-    (message(204), Outcome.ERROR),
-    (message(503), Outcome.ERROR),
-    (message(500, b"", "X-Rejected: 1"), Outcome.ERROR),
-    (message(503, b"", "X-Rejected: 1"), Outcome.TURNED_AWAY),
-    (message(504, b"", "X-Rejected: 1"), Outcome.TURNED_AWAY),
-    (message(504, b"", "X-Rejected: 0"), Outcome.ERROR),
-    (b"rubbish\r\n\r\n", Outcome.BROKEN),
-    (message(200, b"x" * MOST_BODY), Outcome.SERVED),
-    (message(200, b"x" * (MOST_BODY + 1)), Outcome.BROKEN),
-])
+@pytest.mark.parametrize(
+    ("text", "outcome"),
+    [
+        (message(200, b"x"), Outcome.SERVED),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + message(200, b"x"), Outcome.SERVED),
+        (message(200, b"x", "Connection: close"), Outcome.SERVED),
+        (message(200, b"x") + message(200, b"y"), Outcome.SERVED),
+        (message(500), Outcome.ERROR),
+        (message(204), Outcome.ERROR),
+        (message(503), Outcome.ERROR),
+        (message(500, b"", "X-Rejected: 1"), Outcome.ERROR),
+        (message(503, b"", "X-Rejected: 1"), Outcome.TURNED_AWAY),
+        (message(504, b"", "X-Rejected: 1"), Outcome.TURNED_AWAY),
+        (message(504, b"", "X-Rejected: 0"), Outcome.ERROR),
+        (b"rubbish\r\n\r\n", Outcome.BROKEN),
+        (message(200, b"x" * MOST_BODY), Outcome.SERVED),
+        (message(200, b"x" * (MOST_BODY + 1)), Outcome.BROKEN),
+    ],
+)
 def test_an_answer_tells_whether_the_attempt_ran(text: bytes, outcome: Outcome) -> None:
     async def test() -> None:
         async with sending(says(text)) as (sender, peer):
@@ -103,10 +107,15 @@
     run(test)
 
 
-@pytest.mark.parametrize("step", [
-    cuts, says(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", close=True), says(b"", close=True),
-    says(b"HTTP/1.1 200 OK\r\n\r\nab", close=True),
-])
+@pytest.mark.parametrize(
+    "step",
+    [
+        cuts,
+        says(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab", close=True),
+        says(b"", close=True),
+        says(b"HTTP/1.1 200 OK\r\n\r\nab", close=True),
+    ],
+)
 def test_a_connection_that_breaks_after_the_write_may_have_run(step: Step) -> None:
     async def test() -> None:
         async with sending(step) as (sender, _):
@@ -315,11 +324,14 @@
     run(test)
 
 
-@pytest.mark.parametrize("ahead", [
-    b"HTTP/1.1 100 Continue\r\nBilled-Units: 7\r\nX-Rejected: 1\r\n\r\n",
-    b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nContent-Type: a/b\r\n\r\n",
-    b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n",
-])
+@pytest.mark.parametrize(
+    "ahead",
+    [
+        b"HTTP/1.1 100 Continue\r\nBilled-Units: 7\r\nX-Rejected: 1\r\n\r\n",
+        b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nContent-Type: a/b\r\n\r\n",
+        b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n",
+    ],
+)
 @pytest.mark.parametrize("status", [200, 503])
 def test_interim_answers_leave_no_traces(ahead: bytes, status: int) -> None:
     async def test() -> None:
@@ -335,16 +347,19 @@
     run(test)
 
 
-@pytest.mark.parametrize("text", [
-    b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppppppppppppppp\r\n" * (MOST_HEAD // 20),
-    b"HTTP/1.1 100 Continue\r\n\r\n" * (MOST_HEAD // 20),
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
-    b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nabc",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1;xxxxxxxx\r\na\r\n" * (MOST_BODY // 5),
-    b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
-    b"HTTP/1.1 200 OK\r\nContent-Le",
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppppppppppppppp\r\n" * (MOST_HEAD // 20),
+        b"HTTP/1.1 100 Continue\r\n\r\n" * (MOST_HEAD // 20),
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
+        b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nabc",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1;xxxxxxxx\r\na\r\n" * (MOST_BODY // 5),
+        b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
+        b"HTTP/1.1 200 OK\r\nContent-Le",
+    ],
+)
 def test_a_spoilt_answer_ends_the_attempt_long_before_its_time(
     text: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -23,7 +23,7 @@
 
 def test_a_request_goes_on_unchanged_and_so_does_its_answer() -> None:
     async def test(bed: Bed, client: Client) -> None:
-        status, _, body = await client.ask(request(0xabc, "report", body=b"Vestergade 1"))
+        status, _, body = await client.ask(request(0xABC, "report", body=b"Vestergade 1"))
         assert (status, body) == (200, b"served 0000000000000abc")
         first, headers, sent = bed.seen()[0]
         assert first == "POST /api?client=00000000000000c1 HTTP/1.1" and sent == b"Vestergade 1"
@@ -78,7 +78,7 @@
         text = request(7, "extract", drop="Content-Length", Transfer_Encoding="chunked", body=b"")
         text += b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
         for place in range(len(text)):
-            client.send(text[place:place + 1])
+            client.send(text[place : place + 1])
             await client.writer.drain()
             await asyncio.sleep(0)
         assert (await client.answer())[0] == 200
@@ -87,52 +87,60 @@
     with_bed(test)
 
 
-@pytest.mark.parametrize(("text", "status"), [
-    (b"rubbish\r\n\r\n", 400),
-    (b"GET /api HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-    (request(1, drop="X-Call-Id"), 400),
-    (request(1, drop="X-Call-Class"), 400),
-    (request(1, drop="Plan"), 400),
-    (request(1, drop="X-Budget"), 400),
-    (request(1, drop="Quota-Info"), 400),
-    (request(1, "report", drop="Idempotency-Key"), 400),
-    (request(1, "extract", Idempotency_Key="k"), 400),
-    (request(1, X_Budget="soon"), 400),
-    (request(1, X_Budget="nan"), 400),
-    (request(1, X_Budget="-1"), 400),
-    (request(1, Plan="gold"), 400),
-    (request(1, X_Call_Class="order"), 400),
-    (request(1, X_Call_Id="a b"), 400),
-    (request(1, Quota_Info="units=2"), 400),
-    (request(1, Quota_Info="units=0,spread=2,first=0"), 400),
-    (request(1, customer="xyz"), 400),
-    (request(1).replace(b"Plan: basis", b"Plan: basis\r\nPlan: pro"), 400),
-    (request(1).replace(b"/api?", b"/other?"), 404),
-    (b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n", 404),
-    (request(1).replace(b"GET ", b"DELETE "), 405),
-    (request(1).replace(b"GET ", b"POST "), 405),
-    (b"POST /ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405),
-    (request(1, Quota_Info="units=9,spread=2,first=0"), 400),
-    (request(1, Quota_Info="units=999999999,spread=2,first=0"), 400),
-    (request(1, Quota_Info="units=nan,spread=2,first=0"), 400),
-    (request(1, Quota_Info="units=1,spread=3,first=0"), 400),
-    (request(1, Quota_Info="units=1,spread=0,first=0"), 400),
-    (request(1, Quota_Info="units=1,spread=1.5,first=0"), 400),
-    (request(1, Quota_Info="units=1,spread=2,first=2"), 400),
-    (request(1, customer="0000000200000000"), 400),
-    (request(1, budget=8.2), 400),
-    (request(1, budget=0.0), 400),
-    (request(1, "extract").replace(b"Content-Length: 10", b"Content-Length:\r\n 10"), 400),
-    (request(1, "extract", Content_Length="10\r\nContent-Length: 10"), 400),
-    (request(1, "extract", Content_Length="-1"), 400),
-    (request(1, "extract", Content_Length="10\r\n Transfer-Encoding: chunked"), 400),
-    (request(1, "extract", Transfer_Encoding="chunked"), 400),
-    (request(1, "extract", Transfer_Encoding="identity"), 400),
-    (request(1, "extract", body=b"x" * (MOST_BODY + 1)), 413),
-    (request(1, "extract", drop="Content-Length", body=b"", Transfer_Encoding="chunked")
-     + b"20000\r\n" + b"x" * 0x20000 + b"\r\n0\r\n\r\n", 413),
-    (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * (4 * MOST_HEAD), 431),
-])
+@pytest.mark.parametrize(
+    ("text", "status"),
+    [
+        (b"rubbish\r\n\r\n", 400),
+        (b"GET /api HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (request(1, drop="X-Call-Id"), 400),
+        (request(1, drop="X-Call-Class"), 400),
+        (request(1, drop="Plan"), 400),
+        (request(1, drop="X-Budget"), 400),
+        (request(1, drop="Quota-Info"), 400),
+        (request(1, "report", drop="Idempotency-Key"), 400),
+        (request(1, "extract", Idempotency_Key="k"), 400),
+        (request(1, X_Budget="soon"), 400),
+        (request(1, X_Budget="nan"), 400),
+        (request(1, X_Budget="-1"), 400),
+        (request(1, Plan="gold"), 400),
+        (request(1, X_Call_Class="order"), 400),
+        (request(1, X_Call_Id="a b"), 400),
+        (request(1, Quota_Info="units=2"), 400),
+        (request(1, Quota_Info="units=0,spread=2,first=0"), 400),
+        (request(1, customer="xyz"), 400),
+        (request(1).replace(b"Plan: basis", b"Plan: basis\r\nPlan: pro"), 400),
+        (request(1).replace(b"/api?", b"/other?"), 404),
+        (b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n", 404),
+        (request(1).replace(b"GET ", b"DELETE "), 405),
+        (request(1).replace(b"GET ", b"POST "), 405),
+        (b"POST /ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 405),
+        (request(1, Quota_Info="units=9,spread=2,first=0"), 400),
+        (request(1, Quota_Info="units=999999999,spread=2,first=0"), 400),
+        (request(1, Quota_Info="units=nan,spread=2,first=0"), 400),
+        (request(1, Quota_Info="units=1,spread=3,first=0"), 400),
+        (request(1, Quota_Info="units=1,spread=0,first=0"), 400),
+        (request(1, Quota_Info="units=1,spread=1.5,first=0"), 400),
+        (request(1, Quota_Info="units=1,spread=2,first=2"), 400),
+        (request(1, customer="0000000200000000"), 400),
+        (request(1, budget=8.2), 400),
+        (request(1, budget=0.0), 400),
+        (request(1, "extract").replace(b"Content-Length: 10", b"Content-Length:\r\n 10"), 400),
+        (request(1, "extract", Content_Length="10\r\nContent-Length: 10"), 400),
+        (request(1, "extract", Content_Length="-1"), 400),
+        (request(1, "extract", Content_Length="10\r\n Transfer-Encoding: chunked"), 400),
+        (request(1, "extract", Transfer_Encoding="chunked"), 400),
+        (request(1, "extract", Transfer_Encoding="identity"), 400),
+        (request(1, "extract", body=b"x" * (MOST_BODY + 1)), 413),
+        (
+            request(1, "extract", drop="Content-Length", body=b"", Transfer_Encoding="chunked")
+            + b"20000\r\n"
+            + b"x" * 0x20000
+            + b"\r\n0\r\n\r\n",
+            413,
+        ),
+        (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * (4 * MOST_HEAD), 431),
+    ],
+)
 def test_bad_input_is_told_and_reaches_nobody(text: bytes, status: int) -> None:
     async def test(bed: Bed, client: Client) -> None:
         told, _, body = await client.ask(text)
@@ -249,8 +257,10 @@
             await asyncio.sleep(0)
 
 
-@pytest.mark.parametrize(("sent", "status"), [(b"", 0), (b"\r\n" * 5, 0), (request(1)[:40], 408),
-                                              (request(1, "extract")[:-3], 408)])
+@pytest.mark.parametrize(
+    ("sent", "status"),
+    [(b"", 0), (b"\r\n" * 5, 0), (request(1)[:40], 408), (request(1, "extract")[:-3], 408)],
+)
 def test_one_that_sends_nothing_whole_is_owed_an_error_or_a_close_within_three_seconds(
     sent: bytes, status: int
 ) -> None:
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -85,12 +85,15 @@
     run(test)
 
 
-@pytest.mark.parametrize(("reply", "outcome"), [
-    (b"-BUSY too many\r\n", Outcome.TURNED_AWAY),
-    (b"-ERR no such call\r\n", Outcome.ERROR),
-    (b"+OK\r\n", Outcome.TIMED_OUT),
-    (b"rubbish\r\n", Outcome.TIMED_OUT),
-])
+@pytest.mark.parametrize(
+    ("reply", "outcome"),
+    [
+        (b"-BUSY too many\r\n", Outcome.TURNED_AWAY),
+        (b"-ERR no such call\r\n", Outcome.ERROR),
+        (b"+OK\r\n", Outcome.TIMED_OUT),
+        (b"rubbish\r\n", Outcome.TIMED_OUT),
+    ],
+)
 def test_replies_that_are_no_total(reply: bytes, outcome: Outcome) -> None:
     async def test() -> None:
         async with calling() as (counter, told, peer):
@@ -176,10 +179,19 @@
     run(test)
 
 
-@pytest.mark.parametrize("reply", [
-    b"$3\r\nnan\r\n", b"$3\r\ninf\r\n", b"$-1\r\n", b"$4\r\n\x00x1e\r\n", b"*0\r\n", b"+OK\r\n", b"-WHAT\r\n",
-    b"$3\r\n1_0\r\n",
-])
+@pytest.mark.parametrize(
+    "reply",
+    [
+        b"$3\r\nnan\r\n",
+        b"$3\r\ninf\r\n",
+        b"$-1\r\n",
+        b"$4\r\n\x00x1e\r\n",
+        b"*0\r\n",
+        b"+OK\r\n",
+        b"-WHAT\r\n",
+        b"$3\r\n1_0\r\n",
+    ],
+)
 def test_a_reply_with_no_number_may_have_added_and_ends_its_line(reply: bytes) -> None:
     # later answers on that line may belong to other calls; nan passed for a total, and then set a level
     async def test() -> None:
@@ -221,6 +233,7 @@
 
 def test_where_a_counter_answers_twice_no_call_gets_anothers_total_again() -> None:
     """A surplus answer is noticed; from then on a call waits for the answer of the one ahead of it."""
+
     async def test() -> None:
         async with calling() as (counter, told, peer):
             peer.say = [b"$1\r\n1\r\n$1\r\n1\r\n"]
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -71,7 +71,7 @@
             seen += event in ("call", "c_call")
 
         asked = harness.request("extract", size)
-        pieces = [asked[i:i + 3] for i in range(0, len(asked), 3)]
+        pieces = [asked[i : i + 3] for i in range(0, len(asked), 3)]
         sys.setprofile(watch)
         try:
             harness.one(pieces, answer(200))
@@ -86,42 +86,92 @@
 
 # what odd clients send and odd backends answer
 
-PLAIN = (b"GET /api?client=00000000000000c1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: %b\r\nX-Call-Class: lookup\r\n"
-         b"Plan: free\r\nX-Budget: 2.000\r\nQuota-Info: units=1,spread=2,first=0\r\n%b\r\n")
-POST = (b"POST /api?client=00000000000000C1&x=%%20y HTTP/1.1\r\nHost: other.host:80\r\nX-Call-Id: %b\r\n"
-        b"X-Call-Class: %b\r\nPlan: free\r\nX-Budget: 2\r\n"
-        b"Quota-Info: first=1, units=2.5, spread=1\r\n%b\r\n%b")
+PLAIN = (
+    b"GET /api?client=00000000000000c1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: %b\r\nX-Call-Class: lookup\r\n"
+    b"Plan: free\r\nX-Budget: 2.000\r\nQuota-Info: units=1,spread=2,first=0\r\n%b\r\n"
+)
+POST = (
+    b"POST /api?client=00000000000000C1&x=%%20y HTTP/1.1\r\nHost: other.host:80\r\nX-Call-Id: %b\r\n"
+    b"X-Call-Class: %b\r\nPlan: free\r\nX-Budget: 2\r\n"
+    b"Quota-Info: first=1, units=2.5, spread=1\r\n%b\r\n%b"
+)
 
 
 def requests() -> list[bytes]:
     """Odd requests, some of them several in one."""
-    plain = [PLAIN % (b"a1", more) for more in (
-        b"", b"X-Again: 1\r\n", b"Connection: close\r\n", b"Connection: keep-alive\r\n",
-        b"X-Odd:   spaced  \r\n",
-        b"X-Long: " + b"y" * 8000 + b"\r\n", b"".join(b"X-%d: z\r\n" % n for n in range(300)),
-        b"Plan: free\r\n", b"Host: c\r\n", b"Content-Length: 0\r\n", b"Content-Length: 5\r\n",
-        b"Idempotency-Key: k\r\n", b"Expect: 100-continue\r\n", b"Transfer-Encoding: chunked\r\n",
-        b": empty\r\n", b"X-Budget: 1\r\n", b"Content-Type: text/plain\r\n",
-        b"Upgrade: h2c\r\nConnection: Upgrade\r\n")]
-    changed = [PLAIN.replace(old, new) % (b"a2", b"") for old, new in (
-        (b"HTTP/1.1", b"HTTP/1.0"), (b"GET", b"HEAD"), (b"GET", b"PUT"), (b"GET", b"get"),
-        (b"/api", b"/ready"), (b"/api", b"/nothing"), (b"00c1 ", b"00zz "), (b"?client=", b"?customer="),
-        (b"00000000000000c1", b"ffffffffffffffff"), (b"lookup", b"look"), (b"free", b"gold"),
-        (b"units=1", b"units=0"), (b"units=1", b"units=1e3"), (b"units=1,", b""), (b"spread=2", b"spread=9"),
-        (b"2.000", b"-1"), (b"2.000", b"999"), (b"2.000", b"nan"), (b"Quota-Info: ", b"Quota: "),
-        (b"\r\n", b"\n"), (b"/api?", b"/api?a=1&"), (b"client=", b"client=00000000000000c2&client="))]
-    posts = [POST % (b"b1", klass, more, body) for klass, more, body in (
-        (b"extract", b"Content-Length: 4\r\n", b"typed"[:4]), (b"report", b"Content-Length: 4\r\n", b"abcd"),
-        (b"report", b"Content-Length: 4\r\nIdempotency-Key: k-1\r\n", b"abcd"),
-        (b"extract", b"Content-Length: 4\r\nIdempotency-Key: k-1\r\n", b"abcd"),
-        (b"extract", b"Transfer-Encoding: chunked\r\n", b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"),
-        (b"extract", b"Transfer-Encoding: chunked\r\nContent-Length: 4\r\n", b"0\r\n\r\n"),
-        (b"extract", b"Content-Length: 65536\r\nContent-Type: a/b\r\n", b"x" * 65536),
-        (b"extract", b"Content-Length: 65537\r\n", b"x" * 100), (b"extract", b"", b""),
-        (b"extract", b"Content-Length: 0\r\n", b""), (b"lookup", b"Content-Length: 1\r\n", b"x"))]
-    bursts = [b"".join(PLAIN % (b"p%d" % n, b"") for n in range(16)),
-              b"\r\n\r\n" + PLAIN % (b"c1", b""), b"not http at all\r\n\r\n",
-              b"\x00\x01\x02", PLAIN % (b"c2", b"") * 2]
+    plain = [
+        PLAIN % (b"a1", more)
+        for more in (
+            b"",
+            b"X-Again: 1\r\n",
+            b"Connection: close\r\n",
+            b"Connection: keep-alive\r\n",
+            b"X-Odd:   spaced  \r\n",
+            b"X-Long: " + b"y" * 8000 + b"\r\n",
+            b"".join(b"X-%d: z\r\n" % n for n in range(300)),
+            b"Plan: free\r\n",
+            b"Host: c\r\n",
+            b"Content-Length: 0\r\n",
+            b"Content-Length: 5\r\n",
+            b"Idempotency-Key: k\r\n",
+            b"Expect: 100-continue\r\n",
+            b"Transfer-Encoding: chunked\r\n",
+            b": empty\r\n",
+            b"X-Budget: 1\r\n",
+            b"Content-Type: text/plain\r\n",
+            b"Upgrade: h2c\r\nConnection: Upgrade\r\n",
+        )
+    ]
+    changed = [
+        PLAIN.replace(old, new) % (b"a2", b"")
+        for old, new in (
+            (b"HTTP/1.1", b"HTTP/1.0"),
+            (b"GET", b"HEAD"),
+            (b"GET", b"PUT"),
+            (b"GET", b"get"),
+            (b"/api", b"/ready"),
+            (b"/api", b"/nothing"),
+            (b"00c1 ", b"00zz "),
+            (b"?client=", b"?customer="),
+            (b"00000000000000c1", b"ffffffffffffffff"),
+            (b"lookup", b"look"),
+            (b"free", b"gold"),
+            (b"units=1", b"units=0"),
+            (b"units=1", b"units=1e3"),
+            (b"units=1,", b""),
+            (b"spread=2", b"spread=9"),
+            (b"2.000", b"-1"),
+            (b"2.000", b"999"),
+            (b"2.000", b"nan"),
+            (b"Quota-Info: ", b"Quota: "),
+            (b"\r\n", b"\n"),
+            (b"/api?", b"/api?a=1&"),
+            (b"client=", b"client=00000000000000c2&client="),
+        )
+    ]
+    posts = [
+        POST % (b"b1", klass, more, body)
+        for klass, more, body in (
+            (b"extract", b"Content-Length: 4\r\n", b"typed"[:4]),
+            (b"report", b"Content-Length: 4\r\n", b"abcd"),
+            (b"report", b"Content-Length: 4\r\nIdempotency-Key: k-1\r\n", b"abcd"),
+            (b"extract", b"Content-Length: 4\r\nIdempotency-Key: k-1\r\n", b"abcd"),
+            (b"extract", b"Transfer-Encoding: chunked\r\n", b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"),
+            (b"extract", b"Transfer-Encoding: chunked\r\nContent-Length: 4\r\n", b"0\r\n\r\n"),
+            (b"extract", b"Content-Length: 65536\r\nContent-Type: a/b\r\n", b"x" * 65536),
+            (b"extract", b"Content-Length: 65537\r\n", b"x" * 100),
+            (b"extract", b"", b""),
+            (b"extract", b"Content-Length: 0\r\n", b""),
+            (b"lookup", b"Content-Length: 1\r\n", b"x"),
+        )
+    ]
+    bursts = [
+        b"".join(PLAIN % (b"p%d" % n, b"") for n in range(16)),
+        b"\r\n\r\n" + PLAIN % (b"c1", b""),
+        b"not http at all\r\n\r\n",
+        b"\x00\x01\x02",
+        PLAIN % (b"c2", b"") * 2,
+    ]
     return plain + changed + posts + bursts
 
 
@@ -132,8 +182,12 @@
     b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
     b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
     b"HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
-    b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", b"HTTP/1.1 404 No\r\nContent-Length: 3\r\n\r\nabc",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc", b"noise", answer(65536), answer(65537),
+    b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
+    b"HTTP/1.1 404 No\r\nContent-Length: 3\r\n\r\nabc",
+    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
+    b"noise",
+    answer(65536),
+    answer(65537),
     b"HTTP/1.1 200 OK\r\nBilled-Units: x\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
     answer(3) + b"and more",
 ]
@@ -147,7 +201,7 @@
     client.connection_made(near)  # type: ignore[arg-type]
     forwarded = []
     for at in range(0, len(asked), piece or len(asked)):
-        client.data_received(asked[at:at + (piece or len(asked))])
+        client.data_received(asked[at : at + (piece or len(asked))])
     for _ in range(20):
         busy = [(c, t) for c, t in harness.backends if t.written]
         for connection, transport in busy:
@@ -163,8 +217,10 @@
 
 def digest(told: dict[str, list[str]]) -> dict[str, list[str]]:
     """Long texts by their ends: the file stays readable."""
-    return {kind: [t if len(t) < 400 else f"{t[:200]}…{len(t)}…{hash_of(t)}" for t in texts]
-            for kind, texts in told.items()}
+    return {
+        kind: [t if len(t) < 400 else f"{t[:200]}…{len(t)}…{hash_of(t)}" for t in texts]
+        for kind, texts in told.items()
+    }
 
 
 def hash_of(text: str) -> str:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -150,12 +150,21 @@
     run(test)
 
 
-@pytest.mark.parametrize("wrong", [
-    {}, [], {"generation": 1, "reset": True}, {"generation": 1, "reset": True, "instances": [{}]},
-    {"generation": 1, "reset": True, "instances": [{"instanceId": "a", "lifecycle": "ODD"}]},
-    {"generation": 1, "reset": True, "instances": [
-        {"instanceId": "a", "lifecycle": "SERVING", "hostPort": "nowhere"}]},
-])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        {},
+        [],
+        {"generation": 1, "reset": True},
+        {"generation": 1, "reset": True, "instances": [{}]},
+        {"generation": 1, "reset": True, "instances": [{"instanceId": "a", "lifecycle": "ODD"}]},
+        {
+            "generation": 1,
+            "reset": True,
+            "instances": [{"instanceId": "a", "lifecycle": "SERVING", "hostPort": "nowhere"}],
+        },
+    ],
+)
 def test_a_list_out_of_form_is_told(wrong: object) -> None:
     with pytest.raises(BadList):
         read_listing(wrong)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -35,15 +35,18 @@
         backend.script = [once, once, once]
 
 
-@pytest.mark.parametrize(("step", "klass", "status", "attempts"), [
-    (says(message(503, b"", "X-Rejected: 1")), "extract", 200, 2),
-    (says(message(503)), "extract", 502, 1),
-    (says(message(500)), "extract", 502, 1),
-    (says(b"rubbish\r\n\r\n"), "extract", 502, 1),
-    (cuts, "extract", 502, 1),
-    (cuts, "lookup", 200, 2),
-    (cuts, "report", 200, 2),
-])
+@pytest.mark.parametrize(
+    ("step", "klass", "status", "attempts"),
+    [
+        (says(message(503, b"", "X-Rejected: 1")), "extract", 200, 2),
+        (says(message(503)), "extract", 502, 1),
+        (says(message(500)), "extract", 502, 1),
+        (says(b"rubbish\r\n\r\n"), "extract", 502, 1),
+        (cuts, "extract", 502, 1),
+        (cuts, "lookup", 200, 2),
+        (cuts, "report", 200, 2),
+    ],
+)
 def test_only_what_never_ran_is_sent_again_where_repeats_do_harm(
     step: Step, klass: str, status: int, attempts: int
 ) -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -30,20 +30,38 @@
     env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
     if path is not None:
         env["RELAY_CONFIG"] = path
-    return subprocess.run(["/bin/sh", "-c", RUN], cwd=ROOT, env=env, text=True,
-                          capture_output=True, timeout=60, check=False)
+    return subprocess.run(
+        ["/bin/sh", "-c", RUN], cwd=ROOT, env=env, text=True, capture_output=True, timeout=60, check=False
+    )
 
 
 def told() -> dict[str, Any]:
-    return {"name": "n0", "listen": f"{HOST}:1", "discovery": f"{HOST}:2", "counter": f"{HOST}:3",
-            "seed": "8c1f", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"generation": 1, "reset": True, "instances": []}, "settings": roomy_settings()}
-
-
-@pytest.mark.parametrize(("key", "wrong"), [
-    ("listen", None), ("listen", "nowhere"), ("discovery", f"{HOST}:x"), ("counter", None), ("seed", "xyz"),
-    ("known", {}), ("settings", {}), ("limits", {}), ("limits", {"sockets": 3}),
-])
+    return {
+        "name": "n0",
+        "listen": f"{HOST}:1",
+        "discovery": f"{HOST}:2",
+        "counter": f"{HOST}:3",
+        "seed": "8c1f",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {"generation": 1, "reset": True, "instances": []},
+        "settings": roomy_settings(),
+    }
+
+
+@pytest.mark.parametrize(
+    ("key", "wrong"),
+    [
+        ("listen", None),
+        ("listen", "nowhere"),
+        ("discovery", f"{HOST}:x"),
+        ("counter", None),
+        ("seed", "xyz"),
+        ("known", {}),
+        ("settings", {}),
+        ("limits", {}),
+        ("limits", {"sockets": 3}),
+    ],
+)
 def test_a_wrong_configuration_is_told_in_one_line(key: str, wrong: Any, tmp_path: pathlib.Path) -> None:
     text = told()
     if wrong is None:
@@ -85,8 +103,14 @@
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
     child = await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", RUN, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(path), **environ},
-        preexec_fn=limit, stderr=asyncio.subprocess.PIPE)
+        "/bin/sh",
+        "-c",
+        RUN,
+        cwd=ROOT,
+        env={**os.environ, "RELAY_CONFIG": str(path), **environ},
+        preexec_fn=limit,
+        stderr=asyncio.subprocess.PIPE,
+    )
     try:
         await until_ready(bed)
         yield bed, child
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,14 +11,32 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    ClientLeft, Fail, ListKind, Outcome, Refuse, Send, SetTimer, Status, TimerDue,
+    ClientLeft,
+    Fail,
+    ListKind,
+    Outcome,
+    Refuse,
+    Send,
+    SetTimer,
+    Status,
+    TimerDue,
 )
 from tests.helpers import CAPPED, SETTINGS, Watch, backend, backends, ended, gateway, request
 
-STEP = st.tuples(st.sampled_from(["ask", "end", "end", "wait", "leave", "drain", "count", "silence"]),
-                 st.integers(0, 10**6), st.floats(0.0, 1.5))
-ENDS = [Outcome.SERVED, Outcome.ERROR, Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.BROKEN,
-        Outcome.NOT_SENT, Outcome.CANCELLED]
+STEP = st.tuples(
+    st.sampled_from(["ask", "end", "end", "wait", "leave", "drain", "count", "silence"]),
+    st.integers(0, 10**6),
+    st.floats(0.0, 1.5),
+)
+ENDS = [
+    Outcome.SERVED,
+    Outcome.ERROR,
+    Outcome.TURNED_AWAY,
+    Outcome.NO_CONNECTION,
+    Outcome.BROKEN,
+    Outcome.NOT_SENT,
+    Outcome.CANCELLED,
+]
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
@@ -32,8 +50,11 @@
         if kind == "ask":
             asked += 1
             klass, plan = ("read", "keyed", "pay")[pick % 3], ("small", "capped", "open")[pick // 3 % 3]
-            watch.tell(request(asked, klass, plan, plan + str(pick // 9 % 2), 1.0 + pick % 3,
-                               watch.now + 0.2 + 3 * span))
+            watch.tell(
+                request(
+                    asked, klass, plan, plan + str(pick // 9 % 2), 1.0 + pick % 3, watch.now + 0.2 + 3 * span
+                )
+            )
         elif kind == "end":
             flying = [(n, a) for n in watch.sent for a in watch.out(n)]
             if flying:
@@ -113,9 +134,13 @@
     sent = {"c": 0, "w": 0}
     for me in range(40):
         made = Gateway(replace(SETTINGS, gateways=40), me, 100.0)
-        made.handle(backends(
-            *(backend(f"c{n}", started=100.0 - age) for n in range(cold)),
-            *(backend(f"w{n}") for n in range(warm))), 100.0)
+        made.handle(
+            backends(
+                *(backend(f"c{n}", started=100.0 - age) for n in range(cold)),
+                *(backend(f"w{n}") for n in range(warm)),
+            ),
+            100.0,
+        )
         for number in range(60):
             actions = list(made.handle(request(number, customer=f"x{number}", deadline=110.0), 100.1))
             if at := [a.backend for a in actions if isinstance(a, Send)]:
@@ -271,8 +296,9 @@
         made.handle(backends(*(backend(f"w{n}") for n in range(30))), 100.0)
         for number in range(int(300 * seconds / gateways)):
             now = 100.0 + number * gateways / 300
-            actions = list(made.handle(
-                request(number, customer=f"x{number}", deadline=now + 4, width=1), now))
+            actions = list(
+                made.handle(request(number, customer=f"x{number}", deadline=now + 4, width=1), now)
+            )
             for send in [a for a in actions if isinstance(a, Send)]:
                 bad = int(send.backend[1:]) < 6
                 met += bad
@@ -294,8 +320,10 @@
         outcome = Outcome.ERROR if int(at[1:]) < 6 else Outcome.SERVED
         made.handle(ended(number, 0, at, outcome, over=True), 100.0 + number / 20)
     proven = {s.backend.address for s in made.servers.values() if s.proven}
-    sent = [where(list(made.handle(request(100 + n, "pay", customer=f"y{n}", deadline=107.0), 103.0)))
-            for n in range(20)]
+    sent = [
+        where(list(made.handle(request(100 + n, "pay", customer=f"y{n}", deadline=107.0), 103.0)))
+        for n in range(20)
+    ]
     assert 10 < len(proven) <= 24 and set(sent) <= proven
 
 
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -124,6 +124,7 @@
 @pytest.mark.parametrize("plan", ["rate", "burst"])
 def test_settings_below_nought_are_named(plan: str) -> None:
     from dataclasses import replace
+
     wrong = replace(PLAN, rate=-1.0) if plan == "rate" else replace(PLAN, burst=-1.0)
     bad = replace(SETTINGS, plans=(wrong,))
     with pytest.raises(ValueError, match=plan):
@@ -162,8 +163,11 @@
     share = made.servers["b"].cold_share(100.0, made.settings)
     assert 0.2 < share < 1.0
     for number in range(40):
-        if where := [a.backend for a in made.handle(request(number, customer=str(number)), 100.0)
-                     if isinstance(a, Send)]:
+        if where := [
+            a.backend
+            for a in made.handle(request(number, customer=str(number)), 100.0)
+            if isinstance(a, Send)
+        ]:
             made.handle(ended(number, 0, where[0], Outcome.SERVED, elapsed=3.0), 100.0)
     assert made.fleet("").cold_chance(made.servers["b"]) > share
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -10,7 +10,18 @@
 
 from embersill.control import Gateway
 from embersill.interface import (
-    Action, BackendList, Count, Counted, ListKind, Outcome, Plan, Probed, Refuse, Request, Send, SetTimer,
+    Action,
+    BackendList,
+    Count,
+    Counted,
+    ListKind,
+    Outcome,
+    Plan,
+    Probed,
+    Refuse,
+    Request,
+    Send,
+    SetTimer,
     TimerDue,
 )
 from tests.helpers import CAPPED, PLAN, SETTINGS, backend, backends, ended, gateway, request
@@ -85,10 +96,15 @@
         assert store >= -1e-6
 
 
-@pytest.mark.parametrize(("width", "rate", "least", "most"), [
-    (100, 2.0, 0.95, 1.0), (100, 16.0, 0.2, 0.35),  # of a quota of 4: half of it, and four times
-    (300, 2.0, 0.6, 1.0), (300, 16.0, 0.2, 0.5),  # where a third is counted at first, the rest is guessed
-])
+@pytest.mark.parametrize(
+    ("width", "rate", "least", "most"),
+    [
+        (100, 2.0, 0.95, 1.0),
+        (100, 16.0, 0.2, 0.35),  # of a quota of 4: half of it, and four times
+        (300, 2.0, 0.6, 1.0),
+        (300, 16.0, 0.2, 0.5),  # where a third is counted at first, the rest is guessed
+    ],
+)
 def test_a_quota_split_too_thin_is_neither_shut_out_nor_overrun(
     width: int, rate: float, least: float, most: float
 ) -> None:
@@ -140,8 +156,15 @@
 
 def test_settings_of_nought_raise_nothing_on_the_way() -> None:
     nought = replace(
-        SETTINGS, plans=(replace(PLAN, rate=0.0, burst=0.0), CAPPED), warm_within=0.0, fall_multiple=0.0,
-        overload_for=0.0, counter_patience=0.0, ask_every=0.0, cold_from=0.0, most_units=0.0,
+        SETTINGS,
+        plans=(replace(PLAN, rate=0.0, burst=0.0), CAPPED),
+        warm_within=0.0,
+        fall_multiple=0.0,
+        overload_for=0.0,
+        counter_patience=0.0,
+        ask_every=0.0,
+        cold_from=0.0,
+        most_units=0.0,
         classes=tuple(replace(c, aim=0.0) for c in SETTINGS.classes),
     )
     made = Gateway(nought, 1, 100.0)
--- a/tests/tiers/helpers.py
+++ b/tests/tiers/helpers.py
@@ -5,8 +5,20 @@
 from collections.abc import Callable
 
 from embersill.interface import (
-    Action, AttemptEnded, Backend, BackendList, Fail, ListKind, Outcome, Refuse, Request, Send, SetTimer,
-    Settings, Status, TimerDue,
+    Action,
+    AttemptEnded,
+    Backend,
+    BackendList,
+    Fail,
+    ListKind,
+    Outcome,
+    Refuse,
+    Request,
+    Send,
+    SetTimer,
+    Settings,
+    Status,
+    TimerDue,
 )
 from embersill.rig.settings import lab_settings
 from embersill.tiers.forwarder import Forwarder
@@ -43,16 +55,29 @@
             self.start_planner(name)
 
     def forwarder(self) -> Forwarder:
-        made = Forwarder(self.settings, 1, self.now, forwarders=len(self.names), planners=self.planner_names,
-                         parts=PARTS, terms=TERMS)
+        made = Forwarder(
+            self.settings,
+            1,
+            self.now,
+            forwarders=len(self.names),
+            planners=self.planner_names,
+            parts=PARTS,
+            terms=TERMS,
+        )
         made.handle(backends("b0", "b1"), self.now)
         return made
 
     def start_planner(self, name: str) -> None:
         self.lives[name] = self.lives.get(name, 0) + 1
         self.planners[name] = Planner(
-            self.settings, 1, self.now, forwarders=self.names, planners=len(self.planner_names), parts=PARTS,
-            terms=TERMS)
+            self.settings,
+            1,
+            self.now,
+            forwarders=self.names,
+            planners=len(self.planner_names),
+            parts=PARTS,
+            terms=TERMS,
+        )
         self.planners[name].list_told(backends("b0", "b1"), self.now)
 
     def link(self, forwarder: str, planner: str) -> None:
@@ -94,12 +119,15 @@
         messages, core.outbox[planner] = core.outbox[planner], []
         if messages:
             self.planners[planner].received(
-                self.sessions[forwarder, planner], Batch(0, 0, 0, messages), self.now)
+                self.sessions[forwarder, planner], Batch(0, 0, 0, messages), self.now
+            )
 
     def to_forwarder(self, forwarder: str, planner: str) -> None:
         messages, basis, acked = self.planners[planner].said(self.sessions[forwarder, planner])
-        self.did(forwarder, self.forwarders[forwarder].received(
-            planner, Batch(0, basis, acked, messages), self.now))
+        self.did(
+            forwarder,
+            self.forwarders[forwarder].received(planner, Batch(0, basis, acked, messages), self.now),
+        )
 
     def exchange(self) -> None:
         """Everything said so far arrives, both ways, until nothing more is said."""
@@ -109,8 +137,9 @@
             for forwarder, planner in list(self.sessions):
                 self.to_forwarder(forwarder, planner)
 
-    def run(self, seconds: float, frozen: tuple[str, ...] = (),
-            each: Callable[[], None] | None = None) -> None:
+    def run(
+        self, seconds: float, frozen: tuple[str, ...] = (), each: Callable[[], None] | None = None
+    ) -> None:
         """Time goes by in small steps, beats and ticks included, but for those that are frozen."""
         end = self.now + seconds
         while self.now < end:
@@ -129,8 +158,16 @@
             if each is not None:
                 each()
 
-    def ask(self, forwarder: str, number: int, klass: str = "lookup", plan: str = "free",
-            customer: str = "c", units: float = 1.0, budget: float = 4.0) -> None:
+    def ask(
+        self,
+        forwarder: str,
+        number: int,
+        klass: str = "lookup",
+        plan: str = "free",
+        customer: str = "c",
+        units: float = 1.0,
+        budget: float = 4.0,
+    ) -> None:
         request = Request(number, klass, plan, customer, self.now + budget, units, 2, 0, False)
         self.did(forwarder, self.forwarders[forwarder].handle(request, self.now))
 
@@ -142,8 +179,15 @@
                 place = attempts.index(send)
                 if (name, send.request, place) not in self.served:
                     self.served.add((name, send.request, place))
-                    self.did(name, self.forwarders[name].handle(AttemptEnded(
-                        send.request, place, send.backend, Outcome.SERVED, 0.01, True, 0.0, ()), self.now))
+                    self.did(
+                        name,
+                        self.forwarders[name].handle(
+                            AttemptEnded(
+                                send.request, place, send.backend, Outcome.SERVED, 0.01, True, 0.0, ()
+                            ),
+                            self.now,
+                        ),
+                    )
 
     def holder(self, forwarder: str, customer: str = "c") -> str:
         holder = self.forwarders[forwarder].parts[part_of(customer, PARTS)].holder
@@ -153,5 +197,4 @@
         return [a for a in self.actions[forwarder] if isinstance(a, Send) and a.request == number]
 
     def answers(self, forwarder: str, number: int) -> list[Refuse | Fail]:
-        return [a for a in self.actions[forwarder]
-                if isinstance(a, Refuse | Fail) and a.request == number]
+        return [a for a in self.actions[forwarder] if isinstance(a, Refuse | Fail) and a.request == number]
--- a/tests/tiers/test_links.py
+++ b/tests/tiers/test_links.py
@@ -56,8 +56,9 @@
             return True
 
 
-async def linked(server: PlannerServer, key: bytes = KEY, name: str = "f0", session: int = 1, via: str = ""
-                 ) -> Linked:
+async def linked(
+    server: PlannerServer, key: bytes = KEY, name: str = "f0", session: int = 1, via: str = ""
+) -> Linked:
     link = Linked(*await asyncio.open_connection(HOST, server.port))
     side = ForwarderSide(Secret(key), name, "p0", b"n" * 32, session=session, via=via)
     proof = side.read(await link.frame())
@@ -79,9 +80,14 @@
     run(test)
 
 
-@pytest.mark.parametrize("text", [
-    b"GET / HTTP/1.1\r\n\r\n", (1 << 20).to_bytes(4, "big"), framed(b"\xc1" * 10),
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        (1 << 20).to_bytes(4, "big"),
+        framed(b"\xc1" * 10),
+    ],
+)
 def test_what_is_no_handshake_is_closed_at_once(text: bytes) -> None:
     async def test() -> None:
         server = await planner()
@@ -114,15 +120,18 @@
     run(test)
 
 
-@pytest.mark.parametrize("text", [
-    (1 << 19).to_bytes(4, "big"),
-    framed(b"\x00"),
-    pack(Batch(9999, 0, 0, [])),  # far too many are missing
-    pack(Batch(1, 0, 0, [], 99)),  # of which none was sent
-    pack(Batch(0, 0, 0, [Lend([1], 0.0, 0.0)])),  # out of order
-    pack(Batch(1, 0, 0, [Lend([99], 0.0, 0.0)])),
-    pack(Batch(1, 0, 0, [Ask(1, "lookup", "free", "c", 1.0, 1.0, False)])),  # of a part that is not lent
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        (1 << 19).to_bytes(4, "big"),
+        framed(b"\x00"),
+        pack(Batch(9999, 0, 0, [])),  # far too many are missing
+        pack(Batch(1, 0, 0, [], 99)),  # of which none was sent
+        pack(Batch(0, 0, 0, [Lend([1], 0.0, 0.0)])),  # out of order
+        pack(Batch(1, 0, 0, [Lend([99], 0.0, 0.0)])),
+        pack(Batch(1, 0, 0, [Ask(1, "lookup", "free", "c", 1.0, 1.0, False)])),  # of a part that is not lent
+    ],
+)
 def test_a_member_that_breaks_the_form_loses_its_link_and_no_more(text: bytes) -> None:
     async def test() -> None:
         server = await planner()
@@ -160,10 +169,18 @@
 def test_the_last_words_of_a_forwarder_that_stops_arrive() -> None:
     async def test() -> None:
         server, loop = await planner(), asyncio.get_running_loop()
-        core = Forwarder(lab_settings(1), 1, loop.time(), forwarders=1, planners=["p0"], parts=4,
-                         terms=Terms())
-        links = ForwarderLinks(core, loop.time, Secret(KEY), "f0", {"p0": (HOST, server.port)},
-                               most_frame=1 << 18, most_unsent=1 << 20)
+        core = Forwarder(
+            lab_settings(1), 1, loop.time(), forwarders=1, planners=["p0"], parts=4, terms=Terms()
+        )
+        links = ForwarderLinks(
+            core,
+            loop.time,
+            Secret(KEY),
+            "f0",
+            {"p0": (HOST, server.port)},
+            most_frame=1 << 18,
+            most_unsent=1 << 20,
+        )
         links.start(NoDriver())  # type: ignore[arg-type]
         async with asyncio.timeout(SOON):
             while not all(part.whole for part in server.core.parts):
@@ -180,8 +197,14 @@
 
 
 def shape(**changes: object) -> Shape:
-    made = Shape(fronts=3, planners=2, backends=4, customers=24, rate=120.0,
-                 behaviour=Behaviour(0.01, 0.05, errors=0.01, resets=0.01, turned_away=0.02))
+    made = Shape(
+        fronts=3,
+        planners=2,
+        backends=4,
+        customers=24,
+        rate=120.0,
+        behaviour=Behaviour(0.01, 0.05, errors=0.01, resets=0.01, turned_away=0.02),
+    )
     for name, value in changes.items():
         setattr(made, name, value)
     return made
@@ -198,6 +221,7 @@
 
 def runs(test: object) -> None:
     import uvloop
+
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(test)  # type: ignore[arg-type]
 
@@ -319,8 +343,15 @@
         loop = asyncio.get_running_loop()
         end = await planner()
         core = Planner(lab_settings(1), 1, loop.time(), forwarders=["f0"], planners=2, parts=4, terms=Terms())
-        helper = PlannerServer(core, loop.time, Secret(KEY), "p1", most_frame=1 << 18, most_unsent=1 << 20,
-                               others={"p0": (HOST, end.port), "p1": (HOST, 1), "p2": (HOST, 1)})
+        helper = PlannerServer(
+            core,
+            loop.time,
+            Secret(KEY),
+            "p1",
+            most_frame=1 << 18,
+            most_unsent=1 << 20,
+            others={"p0": (HOST, end.port), "p1": (HOST, 1), "p2": (HOST, 1)},
+        )
         await helper.start((HOST, 0))
 
         async def carried(to: str) -> Linked:
--- a/tests/tiers/test_multipath.py
+++ b/tests/tiers/test_multipath.py
@@ -83,7 +83,8 @@
 
     def whole(self) -> bool:
         return not any(end.ahead for end in self.ends) and all(
-            self.heard[1 - n] == list(range(1, self.said[n] + 1)) for n in (0, 1))
+            self.heard[1 - n] == list(range(1, self.said[n] + 1)) for n in (0, 1)
+        )
 
 
 def test_a_calm_session_uses_the_direct_path_and_probes_the_other_now_and_then() -> None:
@@ -171,9 +172,14 @@
     assert net.ends[0].overfull and not net.ends[1].overfull
 
 
-@pytest.mark.parametrize("batch", [
-    Batch(MOST_AHEAD + 2, 0, 0, []), Batch(1, 0, 0, [], 1), Batch(0, 0, 0, [Beat(1, True, 1)]),
-])
+@pytest.mark.parametrize(
+    "batch",
+    [
+        Batch(MOST_AHEAD + 2, 0, 0, []),
+        Batch(1, 0, 0, [], 1),
+        Batch(0, 0, 0, [Beat(1, True, 1)]),
+    ],
+)
 def test_what_no_session_says_is_refused(batch: Batch) -> None:
     end = Multipath(TERMS, 1 << 18, 1 << 20)
     end.join(DIRECT, 0.0)
@@ -194,7 +200,7 @@
 def drawn_play(seed: int) -> Net:
     """Paths in all kinds of trouble, then peace: what was said has to be heard once, in its order."""
     chance = random.Random(seed)
-    net = Net((DIRECT, "p1", "p2")[:chance.randint(1, 3)], seed)
+    net = Net((DIRECT, "p1", "p2")[: chance.randint(1, 3)], seed)
     for _ in range(chance.randint(3, 8)):
         name = chance.choice(net.names)
         kind = chance.choice(("cut", "join", "swallow", "late", "heal"))
@@ -230,18 +236,23 @@
     assert min(seen["resent"], seen["switched"]) > 1000
 
 
-@pytest.mark.parametrize(("line", "without"), [
-    # a duplicate is known by its number
-    ("if batch.number > self.got:", "if True:"),
-    # what overtakes waits for what it has overtaken
-    ("while self.got + 1 in self.ahead:", "while self.ahead:"),
-    # what a path that is gone has taken with it goes out again
-    ("self.out.append((best.name, kept.frame))", "pass"),
-    # only what the other end says that it has is forgotten
-    ("while self.unacked and self.unacked[0].number <= batch.seen:", "while self.unacked:"),
-])
+@pytest.mark.parametrize(
+    ("line", "without"),
+    [
+        # a duplicate is known by its number
+        ("if batch.number > self.got:", "if True:"),
+        # what overtakes waits for what it has overtaken
+        ("while self.got + 1 in self.ahead:", "while self.ahead:"),
+        # what a path that is gone has taken with it goes out again
+        ("self.out.append((best.name, kept.frame))", "pass"),
+        # only what the other end says that it has is forgotten
+        ("while self.unacked and self.unacked[0].number <= batch.seen:", "while self.unacked:"),
+    ],
+)
 def test_plays_find_each_fence_when_it_is_taken_out(
-    line: str, without: str, monkeypatch: pytest.MonkeyPatch,
+    line: str,
+    without: str,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     path = multipath.__file__
     with open(path, encoding="utf-8") as file:
--- a/tests/tiers/test_partition.py
+++ b/tests/tiers/test_partition.py
@@ -29,15 +29,29 @@
 
 
 async def played(
-    seconds: float, faults: list[FaultTable], drawn: list[DrawnTable] | None = None, planners: int = 2,
-    forwarders: int = 3, seed: int = 5, spell: tuple[float, float] = (0.01, 0.05),
-    look: Callable[[Deployment], None] = lambda deployment: None, terms: dict[str, float] | None = None,
+    seconds: float,
+    faults: list[FaultTable],
+    drawn: list[DrawnTable] | None = None,
+    planners: int = 2,
+    forwarders: int = 3,
+    seed: int = 5,
+    spell: tuple[float, float] = (0.01, 0.05),
+    look: Callable[[Deployment], None] = lambda deployment: None,
+    terms: dict[str, float] | None = None,
 ) -> dict[str, Any]:
     """A play's figures, its causes, and its processes' last words. `look` is called 20 times a second."""
     shape = ShapeTable(forwarders, planners, 0, 4, 36, False, {}, RELAYED)
     scenario = Scenario("partition", seed, seconds, 150.0, 0.0, shape, faults, drawn or [])
-    deployment = Deployment(shape_of(scenario, status_every=0.05, tell_refusals=True, helpers=2,
-                                     behaviour=Behaviour(*spell), terms=terms or {}))
+    deployment = Deployment(
+        shape_of(
+            scenario,
+            status_every=0.05,
+            tell_refusals=True,
+            helpers=2,
+            behaviour=Behaviour(*spell),
+            terms=terms or {},
+        )
+    )
     heard: list[Causes] = []
     last: dict[str, dict[str, Any]] = {}
 
@@ -81,10 +95,13 @@
 
 def test_one_direction_that_is_swallowed_is_gone_round() -> None:
     async def test() -> None:
-        told = await played(7.0, [
-            FaultTable("swallow", 2.0, 1.2, ways=["g0>p0", "g1>p1"], direction="up"),
-            FaultTable("swallow", 4.0, 1.2, ways=["g0>p1", "g2>p0"], direction="down"),
-        ])
+        told = await played(
+            7.0,
+            [
+                FaultTable("swallow", 2.0, 1.2, ways=["g0>p0", "g1>p1"], direction="up"),
+                FaultTable("swallow", 4.0, 1.2, ways=["g0>p1", "g2>p0"], direction="down"),
+            ],
+        )
         assert of(told, "resent") > 0 and of(told, "local") <= 3
         assert told["causes"]["lent_to_nobody"] < 0.01
         assert told["served_share"] > 0.9
@@ -94,6 +111,7 @@
 
 def test_a_ring_in_which_each_hears_its_neighbours_only() -> None:
     """g0 hears p0, g1 both, g2 p1; the planners hear each other: all reach all."""
+
     async def test() -> None:
         told = await played(6.0, [FaultTable("cut", 1.5, 4.0, ways=["g0>p1", "g2>p0"])])
         assert of(told, "local") == 0
@@ -110,11 +128,16 @@
         seen.add(str(deployment.members["g0"].status.get("paths", {}).get("p0")))
 
     async def test() -> None:
-        told = await played(8.0, [
-            FaultTable("cut", 1.5, 6.0, ways=["g0>p0"]),
-            FaultTable("kill", 3.0, 1.5, who=["p1"]),
-            FaultTable("stop", 5.5, 0.8, who=["p2"]),
-        ], planners=3, look=look)
+        told = await played(
+            8.0,
+            [
+                FaultTable("cut", 1.5, 6.0, ways=["g0>p0"]),
+                FaultTable("kill", 3.0, 1.5, who=["p1"]),
+                FaultTable("stop", 5.5, 0.8, who=["p2"]),
+            ],
+            planners=3,
+            look=look,
+        )
         assert seen >= {"direct", "p1", "p2"}
         assert told["served_share"] > 0.85
 
@@ -123,13 +146,19 @@
 
 def test_an_owner_cut_off_with_loans_in_hand_is_not_obeyed_when_it_is_heard_again_over_a_third() -> None:
     """p0 holds parts whole, loses all forwarders at once, and is heard by one again over another, late."""
+
     async def test() -> None:
         everyone = ["@forwarder>p0", "@planner>p0", "p0>@planner"]
-        told = await played(8.0, [
-            FaultTable("swallow", 2.5, 3.0, ways=everyone),
-            FaultTable("delay", 5.0, 2.0, ways=["p2>p0"], late=0.3, jitter=0.3),
-            FaultTable("swallow", 5.5, 1.5, ways=["@forwarder>p0"]),
-        ], planners=3, seed=7)
+        told = await played(
+            8.0,
+            [
+                FaultTable("swallow", 2.5, 3.0, ways=everyone),
+                FaultTable("delay", 5.0, 2.0, ways=["p2>p0"], late=0.3, jitter=0.3),
+                FaultTable("swallow", 5.5, 1.5, ways=["@forwarder>p0"]),
+            ],
+            planners=3,
+            seed=7,
+        )
         assert told["served_share"] > 0.85
         assert told["ceiling_lowest"] > -4.8  # a tenth of the depth, as the rule has it
 
@@ -138,12 +167,19 @@
 
 def test_any_two_of_three_pairs_of_planners_cut() -> None:
     async def test() -> None:
-        pairs = (["p0>p1", "p1>p0", "p1>p2", "p2>p1"], ["p0>p1", "p1>p0", "p0>p2", "p2>p0"],
-                 ["p0>p2", "p2>p0", "p1>p2", "p2>p1"])
-        told = await played(9.0, [
-            *(FaultTable("cut", 2.0 + 2.2 * n, 2.0, ways=list(ways)) for n, ways in enumerate(pairs)),
-            *(FaultTable("cut", 2.0 + 2.2 * n, 2.0, ways=[f"g{n}>p{n}"]) for n in range(3)),
-        ], planners=3)
+        pairs = (
+            ["p0>p1", "p1>p0", "p1>p2", "p2>p1"],
+            ["p0>p1", "p1>p0", "p0>p2", "p2>p0"],
+            ["p0>p2", "p2>p0", "p1>p2", "p2>p1"],
+        )
+        told = await played(
+            9.0,
+            [
+                *(FaultTable("cut", 2.0 + 2.2 * n, 2.0, ways=list(ways)) for n, ways in enumerate(pairs)),
+                *(FaultTable("cut", 2.0 + 2.2 * n, 2.0, ways=[f"g{n}>p{n}"]) for n in range(3)),
+            ],
+            planners=3,
+        )
         assert told["served_share"] > 0.9
         assert told["causes"]["lent_to_nobody"] < 0.02
 
@@ -152,12 +188,18 @@
 
 def test_a_parts_owner_changes_while_what_may_run_once_is_out() -> None:
     """Attempts that take long are out at every change: none that may run once runs twice (see `played`)."""
+
     async def test() -> None:
-        told = await played(9.0, [
-            FaultTable("cut", 2.0, 1.0, ways=["@forwarder>p0"]), FaultTable("stop", 3.6, 0.7, who=["p1"]),
-            FaultTable("cut", 5.0, 1.0, ways=["@forwarder>p1", "p0>p1"]),
-            FaultTable("kill", 6.6, 0.5, who=["p0"]),
-        ], spell=(0.05, 0.6))
+        told = await played(
+            9.0,
+            [
+                FaultTable("cut", 2.0, 1.0, ways=["@forwarder>p0"]),
+                FaultTable("stop", 3.6, 0.7, who=["p1"]),
+                FaultTable("cut", 5.0, 1.0, ways=["@forwarder>p1", "p0>p1"]),
+                FaultTable("kill", 6.6, 0.5, who=["p0"]),
+            ],
+            spell=(0.05, 0.6),
+        )
         assert of(told, "opens") > 5  # were handed over with attempts out
         assert told["served_share"] > 0.8
 
@@ -167,6 +209,7 @@
 @pytest.mark.parametrize(("late", "least"), [(0.1, 0.9), (0.2, 0.8), (0.4, 0.6)])
 def test_ways_that_are_late_all_the_time(late: float, least: float) -> None:
     """200, 400 and 800 ms there and back: beyond `fresh` no grant is executed, forwarders decide alone."""
+
     async def test() -> None:
         told = await played(8.0, [FaultTable("delay", 2.5, 5.0, ways=LINKS, late=late)])
         assert told["served_share"] > least
@@ -188,8 +231,11 @@
 
 def test_a_way_that_swallows_every_second_second() -> None:
     async def test() -> None:
-        told = await played(12.0, [FaultTable("swallow", 1.5 + 2 * n, 1.0, ways=["g0>p0"]) for n in range(5)],
-                            terms=patient(0.6))
+        told = await played(
+            12.0,
+            [FaultTable("swallow", 1.5 + 2 * n, 1.0, ways=["g0>p0"]) for n in range(5)],
+            terms=patient(0.6),
+        )
         # it is left once, and taken back when it has been good for long enough: not followed each time
         assert of(told, "local") == 0 and of(told, "moved") <= 2 * 3 * 64
         assert told["served_share"] > 0.9
@@ -199,11 +245,25 @@
 
 def test_drawn_troubles_on_ways_of_all_kinds_break_no_rule() -> None:
     async def test() -> None:
-        told = await played(12.0, [], [
-            DrawnTable(["cut", "swallow", "half", "delay"], (0.8, 1.4), (0.2, 1.5),
-                       ways=[*LINKS, "@planner>@planner"], part=0.4, direction="any", late=0.05, jitter=0.4),
-            DrawnTable(["kill", "stop"], (2.5, 4.0), (0.3, 1.2), who=["@planner"]),
-        ], planners=3, seed=9)
+        told = await played(
+            12.0,
+            [],
+            [
+                DrawnTable(
+                    ["cut", "swallow", "half", "delay"],
+                    (0.8, 1.4),
+                    (0.2, 1.5),
+                    ways=[*LINKS, "@planner>@planner"],
+                    part=0.4,
+                    direction="any",
+                    late=0.05,
+                    jitter=0.4,
+                ),
+                DrawnTable(["kill", "stop"], (2.5, 4.0), (0.3, 1.2), who=["@planner"]),
+            ],
+            planners=3,
+            seed=9,
+        )
         assert told["served_share"] > 0.75
 
     run(test)
--- a/tests/tiers/test_takeover.py
+++ b/tests/tiers/test_takeover.py
@@ -19,8 +19,12 @@
 def ended(bench: Bench, forwarder: str, number: int, outcome: Outcome, attempt: int = 0) -> None:
     send = bench.sends(forwarder, number)[attempt]
     over = outcome is Outcome.SERVED
-    bench.did(forwarder, bench.forwarders[forwarder].handle(
-        AttemptEnded(number, attempt, send.backend, outcome, 0.1, over, 1.0, ()), bench.now))
+    bench.did(
+        forwarder,
+        bench.forwarders[forwarder].handle(
+            AttemptEnded(number, attempt, send.backend, outcome, 0.1, over, 1.0, ()), bench.now
+        ),
+    )
 
 
 def other(name: str) -> str:
@@ -155,8 +159,10 @@
 
 def test_both_sides_of_a_partition_hold_one_ceiling() -> None:
     settings = lab_settings(2)
-    plans = tuple(replace(p, rate=100.0, burst=200.0, ceiling_rate=5.0, ceiling_depth=10.0)
-                  if p.name == "pro" else p for p in settings.plans)
+    plans = tuple(
+        replace(p, rate=100.0, burst=200.0, ceiling_rate=5.0, ceiling_depth=10.0) if p.name == "pro" else p
+        for p in settings.plans
+    )
     bench = Bench(settings=replace(settings, plans=plans))
     bench.link_all()
     bench.run(5.0)
@@ -208,8 +214,10 @@
 
 def test_no_planner_serves_each_share_and_comes_back_without_a_jump() -> None:
     settings = lab_settings(2)
-    plans = tuple(replace(p, rate=100.0, burst=200.0, ceiling_rate=5.0, ceiling_depth=10.0)
-                  if p.name == "pro" else p for p in settings.plans)
+    plans = tuple(
+        replace(p, rate=100.0, burst=200.0, ceiling_rate=5.0, ceiling_depth=10.0) if p.name == "pro" else p
+        for p in settings.plans
+    )
     bench = Bench(planners=1, settings=replace(settings, plans=plans))
     bench.link_all()
     bench.run(5.0)
@@ -572,12 +580,21 @@
             assert held[busiest] > 8.0 and held[busiest] == max(held.values())
 
 
-@pytest.mark.parametrize(("burst", "depth", "rate", "wanted"), [
-    (24.0, 48.0, 12.0, 24.0), (24.0, 30.0, 12.0, 6.0), (24.0, 24.0, 12.0, 0.0), (0.0, 48.0, 0.0, 24.0),
-    (0.0, 20.0, 0.0, 4.0),
-])
+@pytest.mark.parametrize(
+    ("burst", "depth", "rate", "wanted"),
+    [
+        (24.0, 48.0, 12.0, 24.0),
+        (24.0, 30.0, 12.0, 6.0),
+        (24.0, 24.0, 12.0, 0.0),
+        (0.0, 48.0, 0.0, 24.0),
+        (0.0, 20.0, 0.0, 4.0),
+    ],
+)
 def test_a_customers_burst_passes_at_its_planner_whatever_is_held(
-    burst: float, depth: float, rate: float, wanted: float,
+    burst: float,
+    depth: float,
+    rate: float,
+    wanted: float,
 ) -> None:
     plan = replace(lab_settings(1).plans[1], burst=burst, rate=rate, ceiling_depth=depth)
     assert most_reserved(plan, 8.0) == wanted
--- a/tests/tiers/test_wire.py
+++ b/tests/tiers/test_wire.py
@@ -12,17 +12,31 @@
 from embersill.tiers.messages import Ask, BadFrame, Batch, Beat, Grant, encoder, read_batch
 from embersill.tiers.terms import Terms
 from embersill.tiers.wire import (
-    MAGIC, Challenge, ForwarderSide, FrameReader, Numbers, PlannerSide, Proof, Secret, Stranger, digest,
-    framed, pack, turned,
+    MAGIC,
+    Challenge,
+    ForwarderSide,
+    FrameReader,
+    Numbers,
+    PlannerSide,
+    Proof,
+    Secret,
+    Stranger,
+    digest,
+    framed,
+    pack,
+    turned,
 )
 
 KNOWN = frozenset({"f1"})
 
 
-def sides(planner_key: bytes = b"k" * 32, forwarder_key: bytes = b"k" * 32, name: str = "f1",
-          planner: str = "p1") -> tuple[PlannerSide, ForwarderSide]:
-    return (PlannerSide(Secret(planner_key), "p1", "life", b"n" * 32),
-            ForwarderSide(Secret(forwarder_key), name, planner, b"m" * 32))
+def sides(
+    planner_key: bytes = b"k" * 32, forwarder_key: bytes = b"k" * 32, name: str = "f1", planner: str = "p1"
+) -> tuple[PlannerSide, ForwarderSide]:
+    return (
+        PlannerSide(Secret(planner_key), "p1", "life", b"n" * 32),
+        ForwarderSide(Secret(forwarder_key), name, planner, b"m" * 32),
+    )
 
 
 def unframed(text: bytes) -> bytes:
@@ -38,9 +52,16 @@
     assert forwarder.token == 7
 
 
-@pytest.mark.parametrize("changed", [
-    {"life": "x"}, {"session": 2}, {"via": "p3"}, {"to": "p3"}, {"name": "f2"},
-])
+@pytest.mark.parametrize(
+    "changed",
+    [
+        {"life": "x"},
+        {"session": 2},
+        {"via": "p3"},
+        {"to": "p3"},
+        {"name": "f2"},
+    ],
+)
 def test_nothing_that_a_proof_says_can_be_changed_on_its_way(changed: dict[str, Any]) -> None:
     planner, forwarder = sides()
     proof = forwarder.read(unframed(planner.challenge()))
@@ -59,9 +80,13 @@
         forwarder.read(msgspec.msgpack.encode([*welcome[:-1], 8]))
 
 
-@pytest.mark.parametrize(("key", "name", "reason"), [
-    (b"x" * 32, "f1", "a wrong secret"), (b"k" * 32, "f9", "no forwarder"),
-])
+@pytest.mark.parametrize(
+    ("key", "name", "reason"),
+    [
+        (b"x" * 32, "f1", "a wrong secret"),
+        (b"k" * 32, "f9", "no forwarder"),
+    ],
+)
 def test_a_planner_turns_strangers_away(key: bytes, name: str, reason: str) -> None:
     planner, forwarder = sides(forwarder_key=key, name=name)
     proof = forwarder.read(unframed(planner.challenge()))
@@ -99,8 +124,11 @@
 def test_files_that_differ_in_what_the_rules_rest_on_do_not_link() -> None:
     same = digest(["f1", "f2"], 64, Terms())
     assert digest(["f2", "f1"], 64, Terms()) == same
-    for other in (digest(["f1"], 64, Terms()), digest(["f1", "f2"], 32, Terms()),
-                  digest(["f1", "f2"], 64, Terms(lease=1.0))):
+    for other in (
+        digest(["f1"], 64, Terms()),
+        digest(["f1", "f2"], 32, Terms()),
+        digest(["f1", "f2"], 64, Terms(lease=1.0)),
+    ):
         planner = PlannerSide(Secret(b"k" * 32, same), "p1", "life", b"n" * 32)
         forwarder = ForwarderSide(Secret(b"k" * 32, other), "f1", "p1", b"m" * 32)
         proof = forwarder.read(unframed(planner.challenge()))
@@ -131,13 +159,15 @@
 
 
 def test_frames_come_in_any_pieces() -> None:
-    batches = [Batch(n, n, 0, [Ask(n, "lookup", "free", "c" * n, 1.0, 1.0, False), Beat(n, True, 1)])
-               for n in range(1, 40)]
+    batches = [
+        Batch(n, n, 0, [Ask(n, "lookup", "free", "c" * n, 1.0, 1.0, False), Beat(n, True, 1)])
+        for n in range(1, 40)
+    ]
     stream = b"".join(pack(batch) for batch in batches)
     for size in (1, 3, 7, 1000, len(stream)):
         reader, numbers, got = FrameReader(1 << 20), Numbers(), []
         for at in range(0, len(stream), size):
-            got += [numbers.read(frame) for frame in reader.feed(stream[at:at + size])]
+            got += [numbers.read(frame) for frame in reader.feed(stream[at : at + size])]
         assert got == batches and not reader.data
 
 
@@ -165,5 +195,6 @@
     with pytest.raises(BadFrame, match="Expected `int`"):
         read_batch(text)
     assert read_batch(msgspec.msgpack.encode([1, 0, 0, [[11, 1, 0, "b0", 1.0]]])).messages == [
-        Grant(1, 0, "b0", 1.0)]
+        Grant(1, 0, "b0", 1.0)
+    ]
     assert framed(b"ab") == b"\0\0\0\2ab"
--- a/tests/world/test_disk.py
+++ b/tests/world/test_disk.py
@@ -32,7 +32,7 @@
     def read(self) -> list[int]:
         data, found = self.disk.read("log"), list[int]()
         for at in range(0, len(data), SIZE):
-            check, body = data[at:at + 4], data[at + 4:at + SIZE]
+            check, body = data[at : at + 4], data[at + 4 : at + SIZE]
             whole = len(body) == SIZE - 4 and zlib.crc32(body) == int.from_bytes(check, "big")
             if self.checks and not whole:
                 break
@@ -65,8 +65,10 @@
 
 
 def test_a_reader_without_checksums_is_caught_by_a_torn_write() -> None:
-    assert any(crashed(seed, checks=False)[0] != list(range(1, len(crashed(seed, checks=False)[0]) + 1))
-               for seed in range(200))
+    assert any(
+        crashed(seed, checks=False)[0] != list(range(1, len(crashed(seed, checks=False)[0]) + 1))
+        for seed in range(200)
+    )
 
 
 def test_a_sync_that_lied_loses_what_it_promised() -> None:
--- a/tests/world/test_search.py
+++ b/tests/world/test_search.py
@@ -63,19 +63,26 @@
     assert digest_of(0.1 + 0.2, frozenset(), [{}]) == digest_of(0.3, frozenset(), [{}])
 
 
-SOURCE = '''
+SOURCE = """
 def f(a: int, b: int) -> int:
     if a < b and a:
         a += 1
     return min(a + b, 7)
-'''
+"""
 
 
 def test_mutants_change_one_thing_each() -> None:
     found = mutants(SOURCE)
     made = {mutant.what: mutated(SOURCE, mutant) for mutant in found}
-    assert {"Lt to LtE", "or for and", "condition denied", "left out", "Sub for Add", "max for min",
-            "7 doubled, and one more"} <= made.keys()
+    assert {
+        "Lt to LtE",
+        "or for and",
+        "condition denied",
+        "left out",
+        "Sub for Add",
+        "max for min",
+        "7 doubled, and one more",
+    } <= made.keys()
     assert "a <= b" in made["Lt to LtE"] and "a - b" in made["Sub for Add"] and "pass" in made["left out"]
     assert len({*made.values()}) == len(made)
     with pytest.raises(ValueError, match="no such mutant"):
--- a/tests/world/test_shrink.py
+++ b/tests/world/test_shrink.py
@@ -82,7 +82,8 @@
         "from embersill.world.fences import Fence, take_out\n"
         "take_out(Fence('f', 'embersill.tiers.parts', '', '% parts', '% parts + 1'))\n"
         "from embersill.tiers.forwarder import part_of\n"
-        "print(part_of('c', 1))")
+        "print(part_of('c', 1))"
+    )
     ran = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert ran.stdout == "1\n"
     with pytest.raises(NoFence, match="imported already"):
