--- a/embersill/attempts.py
+++ b/embersill/attempts.py
@@ -136,7 +136,7 @@
         else:
             job.risky = next((a for a in job.attempts if not a.unrun), None)
         if job.charge is not None:
-            attempt.nowhere = event.outcome.came_nowhere
+            attempt.nowhere = event.outcome.undelivered
             self.passed_on(job, job.charge, attempt)
         job.fleet.learn(job, attempt, event)
         self.settle(job, event.true_units)
@@ -171,7 +171,7 @@
         end = min(job.request.deadline, job.arrived + job.klass.aim)
         fleet = job.fleet
         if fleet.budgeted:  # by a budget that all gateways share: what came to a backend counts
-            free = outcome.came_nowhere
+            free = outcome.undelivered
         else:  # one turned away cost no work: only in overload does another come dear
             free = outcome.never_ran and self.turn.random.random() < fleet.passed
         useful = outcome is not Outcome.TIMED_OUT and end - self.turn.now > job.fleet.usual_for(job)
@@ -254,7 +254,7 @@
                 self.watch(klass, attempt, self.turn.now + max(late, EPS))
             else:
                 attempt.out, attempt.unrun, last = False, outcome.never_ran, outcome
-                attempt.nowhere = outcome.came_nowhere
+                attempt.nowhere = outcome.undelivered
         job.risky = next((a for a in job.attempts if not a.unrun), None)
         if any(not a.nowhere for a in job.attempts):
             job.charge = Charge(self.turn.now, request.units, True)  # taken from the ceiling where it began
--- a/embersill/edge/dataplane/attempts.py
+++ b/embersill/edge/dataplane/attempts.py
@@ -129,7 +129,7 @@
 
     def after_failure(self, job: Job, outcome: Outcome) -> None:
         """Further attempts of a slowed tenant cost the others' budget nothing."""
-        if self.squeezed and job.throttle.customer in self.squeezed and not outcome.came_nowhere:
+        if self.squeezed and job.throttle.customer in self.squeezed and not outcome.undelivered:
             return self.answer(job, PERIOD)
         return super().after_failure(job, outcome)
 
--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -29,7 +29,7 @@
         return self in (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
 
     @property
-    def came_nowhere(self) -> bool:
+    def undelivered(self) -> bool:
         """True where the attempt did not come whole to any backend: nothing of it was passed on."""
         return self in (Outcome.NO_CONNECTION, Outcome.NOT_SENT)
 
--- a/embersill/net/driver.py
+++ b/embersill/net/driver.py
@@ -279,7 +279,7 @@
         if pending.left_at:
             self.disconnects.attempt_ended(
                 self.clock() - pending.left_at,
-                written=not answer.outcome.came_nowhere,
+                written=not answer.outcome.undelivered,
                 cancelled=answer.outcome is Outcome.CANCELLED,
             )
         if pending.streamed is attempt and not pending.over:
--- a/embersill/tiers/forwarder.py
+++ b/embersill/tiers/forwarder.py
@@ -260,7 +260,7 @@
         backend, sent, _ = task.attempts[event.attempt]
         task.attempts[event.attempt] = backend, sent, event.outcome
         if task.charged is not None and all(
-            outcome is not None and outcome.came_nowhere for _, _, outcome in task.attempts
+            outcome is not None and outcome.undelivered for _, _, outcome in task.attempts
         ):
             self.ledger.unspent(task.request.customer, task.request.units, task.charged)
             task.charged = None
--- a/embersill/tiers/planner.py
+++ b/embersill/tiers/planner.py
@@ -71,7 +71,7 @@
 from embersill.tiers.terms import DRIFT, Terms
 
 OUTCOMES = {outcome.value: outcome for outcome in Outcome}
-NOWHERE = frozenset(outcome.value for outcome in Outcome if outcome.came_nowhere)
+NOWHERE = frozenset(outcome.value for outcome in Outcome if outcome.undelivered)
 KEPT_BEATS = 64  # of which the times are kept
 SWEEP_EVERY = 1.0  # seconds between looks for requests that should be over
 WORK_OFF = "~"  # key of the timer that works the backlog off; the module's begin with letters
@@ -350,7 +350,7 @@
             raise BadFrame(f"no outcome: {ended.outcome!r}")
         units = ended.units if 0.0 <= ended.units <= self.settings.most_units else 0.0
         job = self.jobs[number]
-        job.nowhere += outcome.came_nowhere
+        job.nowhere += outcome.undelivered
         if self.on_outcome is not None:
             self.on_outcome(ended.backend, outcome)
         if job.charged is not None and job.nowhere >= job.sent:
--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -321,7 +321,7 @@
             "pays-own",
             ATTEMPTS,
             "a slowed tenant's further attempts take the others' budget",
-            "in self.squeezed and not outcome.came_nowhere:",
+            "in self.squeezed and not outcome.undelivered:",
             "in self.squeezed and False:",
         ),
     ),
