--- a/embersill/backends.py
+++ b/embersill/backends.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from embersill.fleet import Fleet
-from embersill.interface import BackendList, Held, ListKind, SetTimer, Status, Subscribe
+from embersill.interface import BackendList, BackendHold, ListKind, SetTimer, Status, Subscribe
 from embersill.turn import Turn
 from embersill.work import EPS, WORST, Job, Server
 
@@ -54,7 +54,7 @@
         for service in services:
             self.fleet(service).set_order(s for s in open_to if s.backend.service == service)
 
-    def take_out(self, event: Held) -> None:
+    def take_out(self, event: BackendHold) -> None:
         """By hand: as if it drained, whatever is listed; back, it is cold, for it may have been restarted."""
         if event.out:
             self.held.add(event.backend)
--- a/embersill/control.py
+++ b/embersill/control.py
@@ -9,7 +9,7 @@
 from embersill.backends import Backends
 from embersill.fleet import Fleet
 from embersill.interface import (
-    Action, Allotted, AttemptEnded, BackendList, ClientLeft, Counted, Event, Held, Inherited, Question,
+    Action, Allotted, AttemptEnded, BackendList, ClientLeft, Counted, Event, BackendHold, Inherited, Question,
     Refuse, Request, RequestClass, Ruled, Settings, Shared, StreamBegun, Subscribe, TimerDue,
 )
 from embersill.throttle import PERIOD, Throttle
@@ -34,7 +34,7 @@
             Counted: self.totals.counted, BackendList: self.backends.list_changed,
             ClientLeft: self.attempts.client_left, StreamBegun: self.attempts.stream_begun,
             Allotted: self.admission.allotted, Inherited: self.attempts.inherited,
-            Question: self.admission.question, Ruled: self.ruled, Held: self.backends.take_out,
+            Question: self.admission.question, Ruled: self.ruled, BackendHold: self.backends.take_out,
             Shared: self.admission.share_ceilings,
         }
 
--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -269,7 +269,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class BackendHold:
     """Staff take a backend out of use, or put it back: it goes before whatever the list says of it.
 
     It is named by its id, whether the list has it now or not. One that comes back may have been restarted.
@@ -330,7 +330,7 @@
     | Inherited
     | Question
     | Ruled
-    | Held
+    | BackendHold
     | Shared
     | Configured
     | Lent
--- a/embersill/net/driver.py
+++ b/embersill/net/driver.py
@@ -17,6 +17,7 @@
     Action,
     AttemptEnded,
     Backend,
+    BackendHold,
     BackendList,
     Borrow,
     Cancel,
@@ -25,7 +26,6 @@
     Counted,
     Event,
     Fail,
-    Held,
     Lent,
     Outcome,
     Refuse,
@@ -244,7 +244,7 @@
                 self.listed.add(backend.address)
         self.post(BackendList(listing.kind, tuple(backends)))
 
-    def hold(self, held: Held) -> None:
+    def hold(self, held: BackendHold) -> None:
         """Staff's word on a backend: nothing that waits to be written goes there any more."""
         self.post(held)
         self.pool.rest_line(held.backend)
--- a/embersill/service/running.py
+++ b/embersill/service/running.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from embersill.interface import Held, Shared
+from embersill.interface import BackendHold, Shared
 from embersill.net.operators import Door
 from embersill.service.calls import route
 from embersill.service.figures import Figures
@@ -181,7 +181,7 @@
     def set_held(self, held: set[str]) -> None:
         before, self.held = self.held, held
         for backend in sorted(before ^ held):
-            self.program.driver.hold(Held(backend, backend in held))
+            self.program.driver.hold(BackendHold(backend, backend in held))
 
     async def watch(self) -> None:
         while True:
--- a/embersill/tiers/planner.py
+++ b/embersill/tiers/planner.py
@@ -18,12 +18,12 @@
     Action,
     Allotted,
     AttemptEnded,
+    BackendHold,
     BackendList,
     Cancel,
     ClientLeft,
     Event,
     Fail,
-    Held,
     Inherited,
     Outcome,
     Plan,
@@ -489,7 +489,7 @@
     def hold(self, backend: str, out: bool, now: float) -> None:
         """On a council's advice a backend is left out, or not any more."""
         self.advance(now)
-        self.tell(Held(backend, out))
+        self.tell(BackendHold(backend, out))
 
     # what is lent here
 
--- a/tests/service/test_decided.py
+++ b/tests/service/test_decided.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from embersill.interface import Held, Send, Shared, Status
+from embersill.interface import BackendHold, Send, Shared, Status
 from embersill.service.calls import route
 from embersill.service.figures import Figures
 from embersill.service.succession import Mark, Stage, held_text, read_held, sealed, stage_of
@@ -87,8 +87,8 @@
 def test_nothing_goes_to_a_backend_out_of_use_whatever_the_list_says() -> None:
     watch = Watch(gateway(listed=backends(backend("a"), backend("b"))))
     made = watch.gateway
-    made.handle(Held("a", True), 100.0)
-    made.handle(Held("a", True), 100.0)  # two calls out need one call back
+    made.handle(BackendHold("a", True), 100.0)
+    made.handle(BackendHold("a", True), 100.0)  # two calls out need one call back
     assert made.avoided() == 1
     for number in range(4):
         sent = [
@@ -101,12 +101,12 @@
         made.handle(backends(backend("a"), backend("b")), 100.0)
         made.handle(backends(backend("a", status=Status.GONE), backend("b")), 100.0)
         made.handle(backends(replace(backend("a"), started=99.0), backend("b")), 100.0)
-    made.handle(Held("a", False), 101.0)
+    made.handle(BackendHold("a", False), 101.0)
     assert made.avoided() == 0
     back = made.servers["a"]
     assert back.cold_share(101.0, made.settings) == made.settings.cold_from  # it may have been restarted
-    made.handle(Held("nobody", True), 101.0)
-    made.handle(Held("nobody", False), 101.0)
+    made.handle(BackendHold("nobody", True), 101.0)
+    made.handle(BackendHold("nobody", False), 101.0)
 
 
 def test_two_processes_never_have_more_than_one_ceiling() -> None:
