--- a/embersill/net/driver.py
+++ b/embersill/net/driver.py
@@ -17,6 +17,7 @@
     Action,
     AttemptEnded,
     Backend,
+    BackendHold,
     BackendList,
     Borrow,
     Cancel,
@@ -25,7 +26,6 @@
     Counted,
     Event,
     Fail,
-    Held,
     Lent,
     Outcome,
     Refuse,
@@ -244,7 +244,7 @@
                 self.listed.add(backend.address)
         self.post(BackendList(listing.kind, tuple(backends)))
 
-    def hold(self, held: Held) -> None:
+    def hold(self, held: BackendHold) -> None:
         """Staff's word on a backend: nothing that waits to be written goes there any more."""
         self.post(held)
         self.pool.rest_line(held.backend)
@@ -279,7 +279,7 @@
         if pending.left_at:
             self.disconnects.attempt_ended(
                 self.clock() - pending.left_at,
-                written=not answer.outcome.came_nowhere,
+                written=not answer.outcome.undelivered,
                 cancelled=answer.outcome is Outcome.CANCELLED,
             )
         if pending.streamed is attempt and not pending.over:
