--- a/embersill/council/messages.py
+++ b/embersill/council/messages.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from embersill.council.terms import MOST_KEY, MOST_KEYS, MOST_MEMBERS, MOST_VALUE
-from embersill.tiers.messages import MOST_TEXT, BadFrame
+from embersill.tiers.messages import MAX_TEXT_CHARS, BadFrame
 
 VERSION = 1
 MOST_ENTRIES = 4096  # of a batch of use; lists of other things are shorter
@@ -20,7 +20,7 @@
 MOST_AHEAD = 1 << 32
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
-Text = Annotated[str, msgspec.Meta(max_length=MOST_TEXT)]
+Text = Annotated[str, msgspec.Meta(max_length=MAX_TEXT_CHARS)]
 Key = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_KEY)]
 Data = Annotated[bytes, msgspec.Meta(max_length=MOST_VALUE)]
 Span = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
--- a/embersill/council/terms.py
+++ b/embersill/council/terms.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from embersill.tiers.terms import DRIFT
+from embersill.tiers.terms import MAX_CLOCK_DRIFT
 
 MOST_MEMBERS = 15
 MOST_KEYS = 256
@@ -36,7 +36,7 @@
     @property
     def usable(self) -> float:
         """From a renewal's beginning, for how long the owner may act on it."""
-        return self.lease * (1.0 - DRIFT)
+        return self.lease * (1.0 - MAX_CLOCK_DRIFT)
 
 
 def check_council_terms(terms: CouncilTerms) -> None:
--- a/embersill/lab/council/fences.py
+++ b/embersill/lab/council/fences.py
@@ -190,7 +190,7 @@
         "drift",
         TERMS,
         "an owner counts on its clock being no slower than the others'",
-        "return self.lease * (1.0 - DRIFT)",
+        "return self.lease * (1.0 - MAX_CLOCK_DRIFT)",
         "return self.lease",
     ),
     Fence(
--- a/embersill/lab/levels/nodes.py
+++ b/embersill/lab/levels/nodes.py
@@ -32,7 +32,7 @@
 from embersill.tiers.forwarder import Forwarder
 from embersill.tiers.messages import AnyMessage, BadFrame, Batch, Grant, Lend
 from embersill.tiers.planner import Planner, Session
-from embersill.tiers.terms import DRIFT
+from embersill.tiers.terms import MAX_CLOCK_DRIFT
 from embersill.tiers.wire import FrameReader, Numbers, pack
 from embersill.world.kernel import Node
 from embersill.world.network import Stream
@@ -412,7 +412,7 @@
         request = Request(number, klass, plan, customer, self.clock() + budget - EARLY, units, 2, 0, False)
         pending = self.pending[number] = Pending(number, request, fates)
         self.world.trace.add(
-            Asked(now, number, klass, plan, customer, units, self.name, now + budget * (1 + DRIFT))
+            Asked(now, number, klass, plan, customer, units, self.name, now + budget * (1 + MAX_CLOCK_DRIFT))
         )
         self.after(budget - GUARD, self.rescue, pending)
         self.post(request)
--- a/embersill/lab/levels/world.py
+++ b/embersill/lab/levels/world.py
@@ -15,7 +15,7 @@
 from embersill.tiers.messages import AnyMessage
 from embersill.tiers.parts import part_of
 from embersill.tiers.planner import Planner
-from embersill.tiers.terms import DRIFT, Terms, check_terms
+from embersill.tiers.terms import MAX_CLOCK_DRIFT, Terms, check_terms
 from embersill.world.kernel import Kernel
 from embersill.world.network import Network, Stream, Weather
 from embersill.world.oracles import Broken, Ceiling, ClassTerms, Rules, RuleTerms
@@ -63,7 +63,7 @@
         self.terms = terms if terms is not None else terms_for(shape)
         self.parts: int = shape.get("parts", 4)
         self.seconds: float = shape.get("seconds", 5.0)
-        self.drift = min(shape.get("drift", DRIFT * 0.95), DRIFT) / 2
+        self.drift = min(shape.get("drift", MAX_CLOCK_DRIFT * 0.95), MAX_CLOCK_DRIFT) / 2
         self.counts = {"tries": 0, "served": 0, "refused": 0, "failed": 0, "guarded": 0}
         self.settings = settings_for(shape)
         self.plans = {p.name: p for p in self.settings.plans}
@@ -476,7 +476,7 @@
 
 def rule_terms(settings: Settings) -> RuleTerms:
     return RuleTerms(
-        classes={c.name: ClassTerms(RULE_WORDS[c.repeats], c.memory * (1 + DRIFT)) for c in settings.classes},
+        classes={c.name: ClassTerms(RULE_WORDS[c.repeats], c.memory * (1 + MAX_CLOCK_DRIFT)) for c in settings.classes},
         # less than the rule's own slack of a tenth or one of the largest requests: dials and drift only
         ceilings={
             p.name: Ceiling(p.ceiling_rate, p.ceiling_depth, SLACK_TIME * p.ceiling_rate + 1.0)
--- a/embersill/ratelimit/answering.py
+++ b/embersill/ratelimit/answering.py
@@ -15,7 +15,7 @@
 from embersill.ratelimit.settings import AnswerTable, RuleTable
 
 CUSTOMER = re.compile(r"[0-9A-Fa-f]{16}")
-MOST_TEXT = 256  # characters of a domain, a key or a value
+MAX_TEXT_CHARS = 256  # characters of a domain, a key or a value
 UNITS = {1: 1.0, 2: 60.0, 3: 3600.0, 4: 86_400.0, 7: 604_800.0, 5: 2_592_000.0, 6: 31_536_000.0}
 SECOND, MINUTE = 1, 2  # by the protocol's enum, as the keys of UNITS: WEEK came later, as 7
 MOST_PER_UNIT = 1 << 32
@@ -103,14 +103,14 @@
         )
 
     def check(self, domain: str, descriptors: Sequence[Descriptor]) -> None:
-        if not domain or len(domain) > MOST_TEXT:
+        if not domain or len(domain) > MAX_TEXT_CHARS:
             raise BadQuestion("the domain is empty or too long")
         if not 0 < len(descriptors) <= self.table.most_descriptors:
             raise BadQuestion(f"descriptors must be 1 to {self.table.most_descriptors}")
         for descriptor in descriptors:
             if not 0 < len(descriptor.entries) <= self.table.most_descriptors:
                 raise BadQuestion("a descriptor has no entries or too many")
-            if any(not key or max(len(key), len(value)) > MOST_TEXT for key, value in descriptor.entries):
+            if any(not key or max(len(key), len(value)) > MAX_TEXT_CHARS for key, value in descriptor.entries):
                 raise BadQuestion("an entry's key is empty, or it is too long")
 
     def take(self, domain: str, descriptor: Descriptor, hits: int) -> Take | None | bool:
--- a/embersill/tiers/forwarder.py
+++ b/embersill/tiers/forwarder.py
@@ -62,7 +62,7 @@
     Yielded,
 )
 from embersill.tiers.parts import part_of, ranking
-from embersill.tiers.reasons import lacking
+from embersill.tiers.reasons import limiting_factor
 from embersill.tiers.terms import Terms
 
 LENT_AT_ONCE = 2000  # customers whose spends are reported in one go, or those of one part: some 20 ms
@@ -394,7 +394,9 @@
                 task.over = True
                 if isinstance(action, Refuse):
                     throttle = self.local.throttles.get(task.request.customer)
-                    self.refused(task, f"{lacking(throttle, task.request.units)}, {self.state(task.part)}")
+                    self.refused(
+                        task, f"{limiting_factor(throttle, task.request.units)}, {self.state(task.part)}"
+                    )
                 self.forget(task)
             self.actions.append(action)
 
--- a/embersill/tiers/planner.py
+++ b/embersill/tiers/planner.py
@@ -66,9 +66,9 @@
     Yielded,
 )
 from embersill.tiers.parts import part_of
-from embersill.tiers.reasons import lacking
+from embersill.tiers.reasons import limiting_factor
 from embersill.tiers.reserves import KEPT_BACK, Demand, balanced, depth_left, most_reserved
-from embersill.tiers.terms import DRIFT, Terms
+from embersill.tiers.terms import MAX_CLOCK_DRIFT, Terms
 
 OUTCOMES = {outcome.value: outcome for outcome in Outcome}
 NOWHERE = frozenset(outcome.value for outcome in Outcome if outcome.undelivered)
@@ -463,7 +463,9 @@
         part = job.part
         all_lend = len(part.lenders) >= len(self.forwarders)
         state = "whole" if part.whole else "unproven" if all_lend else "in part"
-        return f"{lacking(self.gateway.throttles.get(job.request.customer), job.request.units)}, {state}"
+        return (
+            f"{limiting_factor(self.gateway.throttles.get(job.request.customer), job.request.units)}, {state}"
+        )
 
     def timer_due(self, key: str, due: float, now: float) -> None:
         """One of `timers` is due. `now` is no earlier than that."""
@@ -726,7 +728,7 @@
         for part in self.parts:
             lender = part.lenders.get(session.name)
             if lender is not None and lender.session is session:
-                lender.bequest_until = echoed + self.terms.bequest * (1.0 - DRIFT)
+                lender.bequest_until = echoed + self.terms.bequest * (1.0 - MAX_CLOCK_DRIFT)
         self.review_at = self.now
 
     def unlend(self, part: Part, session: Session) -> None:
--- a/embersill/tiers/reasons.py
+++ b/embersill/tiers/reasons.py
@@ -1,15 +1,15 @@
-"""Why a request was refused, in few words: which limit it would have waited for the longest. No I/O."""
+"""Names the limit because of which a request was refused: the one with the longest wait. No I/O."""
 
 from __future__ import annotations
 
 from embersill.throttle import Throttle
 from embersill.work import EPS
 
-BACKENDS = "backends"  # no limit of the customer: the backends' limits, or no time left
+BACKENDS = "backends"  # not a limit of the customer: the backends' limits, or no time left
 
 
-def lacking(throttle: Throttle | None, units: float) -> str:
-    """ "ceiling", "quota" or "backends": what a request of so many units would wait for the longest."""
+def limiting_factor(throttle: Throttle | None, units: float) -> str:
+    """The limit with the longest wait for a request of so many units: "ceiling", "quota" or "backends"."""
     if throttle is None:
         return BACKENDS
     plan, waits = throttle.plan, {BACKENDS: EPS}
--- a/embersill/tiers/terms.py
+++ b/embersill/tiers/terms.py
@@ -1,80 +1,82 @@
-"""The durations that both roles keep, and why they hold without a common clock.
+"""The time-outs and leases that both roles follow, and why they are safe without a common clock.
 
-A forwarder lends its share of every ceiling to the planner it obeys. The loan rests on a beat of the planner
-that the forwarder echoed. Let the beat go out at o by the planner's clock and its echo at s by the
-forwarder's: o comes before s, whatever the clocks show.
+A forwarder lends its share of every ceiling to the planner that it follows. The loan is based on a beat of
+the planner that the forwarder echoed. Let the beat be sent at time o on the planner's clock and its echo at
+time s on the forwarder's clock: o happens before s, whatever the clocks show.
 
-- The forwarder takes its share to be lent until s + lease, and executes a grant only while the echo that the
-  planner had when it granted (the batch's basis) is no older than `fresh`.
-- The planner spends the share only until o + (lease - fresh), less what clocks may drift.
+- The forwarder counts its share as lent until s + lease, and executes a grant only while the echo that the
+  planner had received when it granted (the batch's basis) is no older than `fresh`.
+- The planner spends the share only until o + (lease - fresh), less the allowance for clock drift.
 
-So the last execution that can rest on the share comes before s + lease, when the forwarder may use it again
-or lend it to another. Clocks may run apart by DRIFT; what they show is never compared.
+So the last execution that can rely on the share happens before s + lease, when the forwarder may use the
+share again or lend it to another planner. The clocks' rates may differ by MAX_CLOCK_DRIFT; their readings
+are never compared.
 
-A forwarder that stops in order leaves its share for `bequest`, counted by the planner from the last beat that
-was echoed; one that starts takes its share to be in use for as long from its start, since it does not know
-how its last life ended. Where all forwarders obey one planner no other can have anything executed, so all
-shares are its own at once, whatever was still lent before.
+A forwarder that shuts down cleanly leaves its share to the planner for `bequest`, which the planner counts
+from the last echoed beat. A forwarder that starts treats its share as in use for the same time from its
+start, since it does not know how its previous process ended. Where all forwarders follow one planner, no
+other planner can have anything executed, so it owns all shares at once, whatever was still lent before.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-DRIFT = 0.05  # by which one clock may run faster than another: a hundred times what clocks really do
+MAX_CLOCK_DRIFT = 0.05  # ratio by which one clock may run faster than another: a hundred times real drift
 
 
 class Terms(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All in seconds."""
+    """Settings of the link between forwarders and planners; durations in seconds."""
 
     lease: float = 0.9
-    fresh: float = 0.4  # below the 500 ms of a drain: an older grant may be for a backend that drains since
+    fresh: float = 0.4  # below the 500 ms of a drain: an older grant may name a backend that drains by now
     beat_every: float = 0.05
-    silent_after: float = 0.25  # without a word from a planner, from which its parts go elsewhere
-    dead_after: float = 3.0  # without a word, from which a link is closed: it may be open at this end only
-    patience_part: float = 0.2  # of a request's budget that it waits for a planner to take it, at most
-    patience_most: float = 0.3  # seconds of it, at most
-    patience_least: float = 0.05  # for a planner that is asked after another kept it waiting
-    gather: float = 0.1  # for which a planner that takes a part over waits for all forwarders' reports
-    settle: float = 1.0  # from a planner's start until it takes parts back though not all are linked
-    bequest: float = 5.0  # for which a planner may go on with the share of a forwarder that stopped in order
-    resend_after: float = 0.0  # without a word of it, a batch goes out on another path; nought: by the others
-    probe_every: float = 1.0  # on paths that are not in use
-    recall: float = 0.1  # for which a forwarder waits for its share to be returned
+    silent_after: float = 0.25  # silence of a planner after which its parts move to another
+    dead_after: float = 3.0  # silence after which a link is closed: it may be half-open
+    patience_part: float = 0.2  # largest fraction of a request's time budget spent waiting for a planner
+    patience_most: float = 0.3  # upper bound on that wait
+    patience_least: float = 0.05  # wait for a planner that is asked after another did not answer
+    gather: float = 0.1  # a planner that takes over a part waits this long for all forwarders' reports
+    settle: float = 1.0  # from its start, after which a planner takes parts even if not all are connected
+    bequest: float = 5.0  # how long a planner may use the share of a forwarder that shut down cleanly
+    resend_after: float = 0.0  # without acknowledgement, resends a batch on another path; 0: derived
+    probe_every: float = 1.0  # on paths that carry no batches
+    recall: float = 0.1  # how long a forwarder waits for its share to be returned
 
     @property
     def usable(self) -> float:
-        """From a beat's sending, for how long the planner may spend what was lent on it."""
-        return (self.lease - self.fresh) * (1.0 - DRIFT)
+        """How long after sending a beat the planner may spend the shares lent on it."""
+        return (self.lease - self.fresh) * (1.0 - MAX_CLOCK_DRIFT)
 
     @property
     def resent_after(self) -> float:
-        """A planner says what it has seen once a beat at the least, so the third beat without it is a loss.
+        """Time without an acknowledgement after which a batch counts as lost.
 
-        That has to be mended before a silence is noticed, also with few beats to one.
+        A planner acknowledges at least once per beat, so a batch still unacknowledged at the third beat is
+        lost. It must be resent before `silent_after` passes, also where that spans only a few beats.
         """
         return self.resend_after or min(3 * self.beat_every, 0.6 * self.silent_after)
 
 
 def check_terms(terms: Terms) -> None:
-    """ValueError names what does not fit together."""
+    """Raises ValueError that names the settings that are out of bounds or inconsistent."""
     if not 0 < terms.fresh <= 0.42:
-        raise ValueError("fresh must be above nought and at most 0.42 s: drains are kept within 0.5 s")
+        raise ValueError("fresh must be above zero and at most 0.42 s: drains are kept within 0.5 s")
     if terms.lease < 2 * terms.fresh:
         raise ValueError("lease must be at least twice fresh")
     if not 0 < terms.beat_every <= min(terms.fresh / 3, terms.usable / 3):
-        raise ValueError("beat_every must be above nought and at most a third of fresh and of lease - fresh")
+        raise ValueError("beat_every must be above zero and at most a third of fresh and of lease - fresh")
     if terms.silent_after < 2 * terms.beat_every:
         raise ValueError("silent_after must be at least two beats")
     if terms.resend_after and not 1.5 * terms.beat_every <= terms.resend_after < terms.silent_after:
-        raise ValueError("resend_after must be nought, or from one and a half beats to below silent_after")
+        raise ValueError("resend_after must be zero, or from one and a half beats to below silent_after")
     if not terms.beat_every <= terms.probe_every <= terms.dead_after:
         raise ValueError("probe_every must be from a beat to dead_after")
     if terms.dead_after < 2 * terms.silent_after:
         raise ValueError("dead_after must be at least twice silent_after")
     if not 0 < terms.patience_part <= 0.5 or not 0 < terms.patience_most:
-        raise ValueError("patience_part must be above nought and at most 0.5, patience_most above nought")
+        raise ValueError("patience_part must be above zero and at most 0.5, patience_most above zero")
     if terms.bequest < terms.lease:
         raise ValueError("bequest must not be below lease")
     if min(terms.gather, terms.settle, terms.recall) < 0:
-        raise ValueError("gather, settle and recall must not be below nought")
+        raise ValueError("gather, settle and recall must not be below zero")
--- a/embersill/tiers/wire.py
+++ b/embersill/tiers/wire.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from embersill.tiers.messages import MOST_TEXT, VERSION, BadFrame, Batch, encoder, read_batch
+from embersill.tiers.messages import MAX_TEXT_CHARS, VERSION, BadFrame, Batch, encoder, read_batch
 from embersill.tiers.terms import Terms
 
 MAGIC = "embersill-tiers"
@@ -108,9 +108,9 @@
         raise Stranger("no handshake of this protocol")
     if said.version != VERSION:
         raise Stranger(f"version {said.version} where {VERSION} is spoken here")
-    if not 0 < len(said.name) <= MOST_TEXT or len(said.nonce) != NONCE:
+    if not 0 < len(said.name) <= MAX_TEXT_CHARS or len(said.nonce) != NONCE:
         raise Stranger("a handshake out of form")
-    if isinstance(said, Proof) and max(len(said.life), len(said.via), len(said.to)) > MOST_TEXT:
+    if isinstance(said, Proof) and max(len(said.life), len(said.via), len(said.to)) > MAX_TEXT_CHARS:
         raise Stranger("a handshake out of form")
 
 
@@ -226,7 +226,7 @@
             return framed(msgspec.msgpack.encode(msgspec.structs.replace(self.proof, mac=mac)))
         answer = read_handshake(frame, Welcome, Turned)
         if isinstance(answer, Turned):
-            raise Stranger(f"turned away: {answer.reason[:MOST_TEXT]}")
+            raise Stranger(f"turned away: {answer.reason[:MAX_TEXT_CHARS]}")
         assert isinstance(answer, Welcome)
         mac = self.secret.mac("planner", self.challenge, self.proof, answer.token)
         if not hmac.compare_digest(mac, answer.mac):
--- a/tests/rig/test_causes.py
+++ b/tests/rig/test_causes.py
@@ -13,7 +13,7 @@
 from embersill.rig.scenarios import FaultTable, Scenario, ShapeTable
 from embersill.rig.settings import lab_settings
 from embersill.throttle import Throttle
-from embersill.tiers.reasons import lacking
+from embersill.tiers.reasons import limiting_factor
 from tests.bed import run
 
 SETTINGS = lab_settings(1)
@@ -48,8 +48,8 @@
 def test_a_refusal_is_named_by_what_it_would_wait_for_longest(level: float, cap: float, wanted: str) -> None:
     throttle = Throttle("c", PLANS["pro"], 1, 100.0, 0.0)
     throttle.level, throttle.cap = level, cap
-    assert lacking(throttle, 2.0) == wanted
-    assert lacking(None, 2.0) == "backends"
+    assert limiting_factor(throttle, 2.0) == wanted
+    assert limiting_factor(None, 2.0) == "backends"
 
 
 def test_each_refusal_of_a_play_is_told_with_its_reason() -> None:
