--- a/benchmarks/planner_load.py
+++ b/benchmarks/planner_load.py
@@ -18,7 +18,7 @@
 from embersill.tiers.links import ForwarderLine, ForwarderLink
 from embersill.tiers.messages import AnyMessage, Ask, Batch, Beat, Echo, Ended, Grant, Lend
 from embersill.tiers.terms import Terms
-from embersill.tiers.wire import Secret, digest
+from embersill.tiers.wire import Secret, deployment_digest
 
 CUSTOMERS = 1000
 
@@ -30,7 +30,7 @@
         self, name: str, names: list[str], planner: str, port: int, secret: bytes, parts: int, most_open: int
     ) -> None:
         self.name, self.parts, self.most_open = name, parts, most_open
-        self.secret = Secret(secret, digest(names, parts, Terms()))
+        self.secret = Secret(secret, deployment_digest(names, parts, Terms()))
         self.most_frame, self.most_unsent = 1 << 20, 64 << 20
         self.loop = asyncio.get_running_loop()
         self.clock = time.monotonic
--- a/embersill/council/links.py
+++ b/embersill/council/links.py
@@ -16,7 +16,7 @@
 from embersill.council.terms import CouncilTerms
 from embersill.tiers.frames import Dialler, FrameProtocol, TakenProtocol
 from embersill.tiers.messages import BadFrame
-from embersill.tiers.wire import ForwarderSide, PlannerSide, Secret, digest_of, framed
+from embersill.tiers.wire import ForwarderSide, PlannerSide, Secret, digest_of, length_prefixed
 
 MOST_FRAME = 8 << 20  # bytes: a whole register
 MOST_UNSENT = 16 << 20
@@ -50,7 +50,7 @@
             raise BadFrame(f"{self.name!r} asks in the name of {question.ask.origin.name!r}")
 
         def say(answer: Answer) -> None:
-            self.write(framed(packed(Reply(question.number, answer))))  # type: ignore[arg-type]
+            self.write(length_prefixed(packed(Reply(question.number, answer))))  # type: ignore[arg-type]
 
         self.server.asked(self.name, question, say)
 
@@ -114,7 +114,7 @@
         if self.asked_at is not None and now - self.asked_at > SILENT_FOR:
             return self.close()
         self.asked_at = self.asked_at or now
-        return self.write(framed(packed(question)))
+        return self.write(length_prefixed(packed(question)))
 
     def turn_away(self, reason: str) -> None:
         if reason != self.line.last_reason:
--- a/embersill/lab/fuzzing/targets.py
+++ b/embersill/lab/fuzzing/targets.py
@@ -31,7 +31,14 @@
 from embersill.tiers.messages import BadFrame
 from embersill.tiers.planner import Planner
 from embersill.tiers.terms import Terms
-from embersill.tiers.wire import ForwarderSide, FrameReader, Numbers, PlannerSide, Secret, Stranger
+from embersill.tiers.wire import (
+    ForwarderSide,
+    FrameReader,
+    BatchSequence,
+    PlannerSide,
+    Secret,
+    HandshakeError,
+)
 from embersill.world.schedules import read_kept
 
 MOST_FRAME = 1 << 16  # bytes
@@ -240,7 +247,7 @@
     )
     core.list_told(backends(), 100.0)
     session = core.link_up("f0", 100.0)
-    reader, numbers = FrameReader(MOST_FRAME), Numbers()
+    reader, numbers = FrameReader(MOST_FRAME), BatchSequence()
     try:
         for number, frame in enumerate(reader.feed(data)):
             core.received(session, numbers.read(frame), 100.0 + 0.01 * number)
@@ -270,7 +277,7 @@
     for number in (1, 2):
         core.handle(Request(number, "extract", "pro", "c", 104.0, 2.0, 2, 0, False), 100.0)
     sends: list[tuple[int, str]] = []
-    reader, numbers = FrameReader(MOST_FRAME), Numbers()
+    reader, numbers = FrameReader(MOST_FRAME), BatchSequence()
     try:
         for number, frame in enumerate(reader.feed(data)):
             actions = core.received("p0", numbers.read(frame), 100.0 + 0.01 * number)
@@ -283,7 +290,7 @@
 
 
 def handshake(data: bytes) -> None:
-    """Frames ahead of any proof: Stranger, whichever end reads them."""
+    """Frames ahead of any proof: HandshakeError, whichever end reads them."""
     secret = Secret(b"0123456789abcdef", "d")
     planner = PlannerSide(secret, "p0", "1", b"n" * 32)
     forwarder = ForwarderSide(secret, "f0", "p0", b"m" * 32)
@@ -291,12 +298,12 @@
         for frame in FrameReader(1024).feed(data):
             try:
                 planner.check(frame, frozenset({"f0"}))
-            except Stranger:
+            except HandshakeError:
                 pass
             else:
                 raise Finding("a proof was taken that nobody made")
             forwarder.read(frame)
-    except (BadFrame, Stranger):
+    except (BadFrame, HandshakeError):
         return
 
 
--- a/embersill/lab/levels/fences.py
+++ b/embersill/lab/levels/fences.py
@@ -128,7 +128,7 @@
         "reserve-taken",
         PLANNER,
         "what is handed out is not taken from the planner's own level",
-        "self.allot(part, ask.customer, plan, throttle.cap - handed.units)",
+        "self.allot(part, ask.customer, plan, throttle.cap - transfer.units)",
         "self.allot(part, ask.customer, plan)",
     ),
     Fence(
--- a/embersill/lab/levels/nodes.py
+++ b/embersill/lab/levels/nodes.py
@@ -33,7 +33,7 @@
 from embersill.tiers.messages import AnyMessage, BadFrame, Batch, Grant, Lend
 from embersill.tiers.planner import Planner, Session
 from embersill.tiers.terms import MAX_CLOCK_DRIFT
-from embersill.tiers.wire import FrameReader, Numbers, pack
+from embersill.tiers.wire import FrameReader, BatchSequence, pack
 from embersill.world.kernel import Node
 from embersill.world.network import Stream
 from embersill.world.records import Answered, Asked, Dropped, Ended, Told, Written
@@ -54,7 +54,7 @@
     def __init__(self, world: World, forwarder: ForwarderNode, planner: PlannerNode) -> None:
         super().__init__(world.network, forwarder, planner)
         self.forwarder, self.planner = forwarder, planner
-        self.numbers: dict[Node, Numbers] = {forwarder: Numbers(), planner: Numbers()}
+        self.numbers: dict[Node, BatchSequence] = {forwarder: BatchSequence(), planner: BatchSequence()}
         self.readers: dict[Node, FrameReader] = {
             forwarder: FrameReader(MOST_FRAME),
             planner: FrameReader(MOST_FRAME),
--- a/embersill/lab/levels/paths.py
+++ b/embersill/lab/levels/paths.py
@@ -14,7 +14,7 @@
 from embersill.tiers.links import ForwarderLine, PlannerTrunk, PlannerTrunks
 from embersill.tiers.messages import AnyMessage, BadFrame, Batch
 from embersill.tiers.multipath import DIRECT
-from embersill.tiers.wire import MAGIC, NONCE, FrameReader, Proof, Stranger
+from embersill.tiers.wire import MAGIC, NONCE_BYTES, FrameReader, Proof, HandshakeError
 from embersill.world.kernel import Node
 from embersill.world.network import Stream
 
@@ -176,7 +176,7 @@
         hops = list(zip(route, route[1:], strict=False))
         assert isinstance(planner, PathedPlanner)
         line = self.lines[planner.name]
-        proof = Proof(MAGIC, 0, self.name, b"n" * NONCE, "", b"", f"{self.life}", line.number, via)
+        proof = Proof(MAGIC, 0, self.name, b"n" * NONCE_BYTES, "", b"", f"{self.life}", line.number, via)
         if (
             any(
                 network.is_cut(a.name, b.name) or network.is_cut(b.name, a.name) or not b.runs
@@ -187,7 +187,7 @@
             return self.dial_path(planner, via)
         try:
             trunk = planner.trunks().trunk_of(proof)
-        except Stranger:
+        except HandshakeError:
             return self.dial_path(planner, via)
         streams = [PathStream(world, a, b) for a, b in hops]
         first, last = streams[0], streams[-1]
--- a/embersill/lab/levels/world.py
+++ b/embersill/lab/levels/world.py
@@ -476,7 +476,10 @@
 
 def rule_terms(settings: Settings) -> RuleTerms:
     return RuleTerms(
-        classes={c.name: ClassTerms(RULE_WORDS[c.repeats], c.memory * (1 + MAX_CLOCK_DRIFT)) for c in settings.classes},
+        classes={
+            c.name: ClassTerms(RULE_WORDS[c.repeats], c.memory * (1 + MAX_CLOCK_DRIFT))
+            for c in settings.classes
+        },
         # less than the rule's own slack of a tenth or one of the largest requests: dials and drift only
         ceilings={
             p.name: Ceiling(p.ceiling_rate, p.ceiling_depth, SLACK_TIME * p.ceiling_rate + 1.0)
--- a/embersill/ratelimit/answering.py
+++ b/embersill/ratelimit/answering.py
@@ -110,7 +110,9 @@
         for descriptor in descriptors:
             if not 0 < len(descriptor.entries) <= self.table.most_descriptors:
                 raise BadQuestion("a descriptor has no entries or too many")
-            if any(not key or max(len(key), len(value)) > MAX_TEXT_CHARS for key, value in descriptor.entries):
+            if any(
+                not key or max(len(key), len(value)) > MAX_TEXT_CHARS for key, value in descriptor.entries
+            ):
                 raise BadQuestion("an entry's key is empty, or it is too long")
 
     def take(self, domain: str, descriptor: Descriptor, hits: int) -> Take | None | bool:
--- a/embersill/tiers/carrying.py
+++ b/embersill/tiers/carrying.py
@@ -13,7 +13,7 @@
 from typing import cast
 
 from embersill.tiers.frames import DIAL_WITHIN
-from embersill.tiers.wire import MOST_HANDSHAKE
+from embersill.tiers.wire import MAX_HANDSHAKE_BYTES
 
 MOST_WAITING = 1 << 20  # bytes of one direction that wait here before the sender is made to wait
 
@@ -40,7 +40,7 @@
     def data_received(self, data: bytes) -> None:
         if self.early is not None:
             self.early += data
-            if len(self.early) > MOST_HANDSHAKE:
+            if len(self.early) > MAX_HANDSHAKE_BYTES:
                 self.close()
         elif not self.back.is_closing():
             self.back.write(data)
--- a/embersill/tiers/forwarder.py
+++ b/embersill/tiers/forwarder.py
@@ -262,7 +262,7 @@
         if task.charged is not None and all(
             outcome is not None and outcome.undelivered for _, _, outcome in task.attempts
         ):
-            self.ledger.unspent(task.request.customer, task.request.units, task.charged)
+            self.ledger.cancel_spend(task.request.customer, task.request.units, task.charged)
             task.charged = None
         task.over = task.over or event.over
         if task.local:
@@ -405,7 +405,7 @@
         if task.charged is None:
             task.charged = self.now
             request = task.request
-            self.ledger.spent(request.customer, request.plan, request.units, self.now)
+            self.ledger.record(request.customer, request.plan, request.units, self.now)
             if task.local:
                 self.take_reserve(task)
         task.attempts.append((backend, self.now, None))
@@ -479,7 +479,7 @@
             elif isinstance(message, Withdrawn):
                 self.withdrawn.extend(message.backends)
             elif isinstance(message, Taken):
-                self.ledger.spent(message.customer, message.plan, message.units, self.now)
+                self.ledger.record(message.customer, message.plan, message.units, self.now)
             elif isinstance(message, Reserve):
                 self.reserve_told(link, message)
             elif isinstance(message, Leaving):
--- a/embersill/tiers/frames.py
+++ b/embersill/tiers/frames.py
@@ -12,7 +12,14 @@
 from typing import Generic, TypeVar, cast
 
 from embersill.tiers.messages import BadFrame
-from embersill.tiers.wire import MOST_HANDSHAKE, FrameReader, PlannerSide, Proof, Stranger, turned
+from embersill.tiers.wire import (
+    MAX_HANDSHAKE_BYTES,
+    FrameReader,
+    PlannerSide,
+    Proof,
+    HandshakeError,
+    rejection,
+)
 
 HANDSHAKE_WITHIN = 2.0  # seconds
 MOST_STRANGERS = 64  # connections at a listener that have not proved themselves yet
@@ -28,7 +35,7 @@
 
     def __init__(self, most_frame: int, most_unsent: int) -> None:
         self.most_frame, self.most_unsent = most_frame, most_unsent
-        self.reader = FrameReader(MOST_HANDSHAKE)
+        self.reader = FrameReader(MAX_HANDSHAKE_BYTES)
         self.transport: asyncio.Transport | None = None
         self.handshake: asyncio.TimerHandle | None = None
         self.proved = False
@@ -48,14 +55,14 @@
                     self.frame_came(frame)
                 else:
                     self.handshake_came(frame)
-        except Stranger as error:
+        except HandshakeError as error:
             self.turn_away(str(error))
         except BadFrame as error:
             log.warning("a link is closed: %s", error)
             self.close()
 
     def prove(self) -> None:
-        self.proved, self.reader.most = True, self.most_frame
+        self.proved, self.reader.max_bytes = True, self.most_frame
         if self.handshake is not None:
             self.handshake.cancel()
 
@@ -115,7 +122,7 @@
         return self.transport.write(self.side.challenge())
 
     def welcome(self, frame: bytes, known: frozenset[str]) -> str:
-        """Who has proved itself, by name; Stranger for one that may not link."""
+        """Who has proved itself, by name; HandshakeError for one that may not link."""
         proof = self.side.check(frame, known)
         self.accept(proof)
         return proof.name
@@ -130,7 +137,7 @@
     def turn_away(self, reason: str) -> None:
         log.warning("a link is turned away: %s", reason)
         if self.transport is not None:
-            self.transport.write(turned(reason))
+            self.transport.write(rejection(reason))
             self.transport.close()
 
     def lost(self) -> None:
--- a/embersill/tiers/ledger.py
+++ b/embersill/tiers/ledger.py
@@ -1,9 +1,9 @@
-"""What was sent on lately for each customer, and how much of a ceiling that surely leaves.
+"""Records what was recently forwarded for each customer, and derives a safe lower bound of the tokens left.
 
-A token bucket with depth d and rate r forgets: whatever was passed longer ago than d / r no longer shows
-in it once it had that time to fill. So the spends of the last few of these spans, replayed from an empty
-bucket, give a level that the true one is never below, and that equals it wherever the bucket was full once
-within them. No level is ever carried over the wire, hence none can be carried twice.
+A token bucket with depth d and rate r refills in d / r, after which older spends no longer affect its level.
+So the spends of the last few such spans, replayed from an empty bucket, give a level that the true one is
+never below, and that equals it if the bucket was full once within them. No level is ever sent over the wire,
+hence none can be counted twice.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from embersill.interface import Plan
 from embersill.tiers.parts import part_of
 
-SPANS = 2.0  # times the span in which a bucket fills that spends are kept
-LONGEST = 60.0  # seconds they are kept at most
-MOST_REPORTED = 16  # spends of one customer in a report: it has to fit a link, whoever took part
-MOST_SPENDS = 64  # of one customer: older ones are taken together, as if spent at the later time
+HORIZON_REFILL_TIMES = 2.0  # spends are kept for this many refill times of a bucket
+MAX_HORIZON_S = 60.0  # but no longer than this
+MAX_REPORTED_SPENDS = 16  # a report on all customers has to fit a link
+MAX_SPENDS_PER_CUSTOMER = 64  # older ones are merged, as if spent at the later time
 
 
 def horizon_of(plan: Plan) -> float:
-    """Seconds of spends from which a replay tells what is left of a plan's quota and ceiling."""
+    """How many seconds of spends a replay needs to tell what is left of a plan's quota and ceiling."""
     spans = [0.0]
     if plan.rate > 0:
         spans.append(plan.burst / plan.rate)
     if plan.ceiling_rate > 0:
         spans.append(plan.ceiling_depth / plan.ceiling_rate)
-    return min(SPANS * max(spans), LONGEST)
+    return min(HORIZON_REFILL_TIMES * max(spans), MAX_HORIZON_S)
 
 
 def replay(
     depth: float, rate: float, span: float, level: float, spends: Iterable[tuple[float, float]]
 ) -> float:
-    """The level now of a bucket that had `level` units `span` seconds ago, after spends of age and units.
+    """The level of a bucket that had `level` units `span` seconds ago, after spends given as age and units.
 
-    It never counts below nought after a spend: each was let through by a bucket that held its units.
+    The level never falls below zero after a spend: each was admitted by a bucket that held its units.
     """
     at = span
     for age, units in sorted(spends, reverse=True):
@@ -46,39 +46,39 @@
 
 
 class Ledger:
-    """The spends of one forwarder, or those that one planner granted. Bounded in customers and in spends."""
+    """The spends of one forwarder, or those granted by one planner. Bounded in customers and in spends."""
 
     def __init__(self, plans: Iterable[Plan], most_customers: int, now: float, parts: int = 1) -> None:
         self.horizons = {p.name: horizon_of(p) for p in plans if p.rate > 0 or p.ceiling_rate > 0}
         self.most_customers = most_customers
-        self.since = now  # all that was spent from then on is known
-        self.spends: dict[str, tuple[str, deque[tuple[float, float, str]]]] = {}  # when, units, over whom
-        self.by_part: list[set[str]] = [set() for _ in range(parts)]  # the customers of these, by part
+        self.since = now  # the record is complete from then on
+        self.spends: dict[str, tuple[str, deque[tuple[float, float, str]]]] = {}  # time, units, forwarder
+        self.by_part: list[set[str]] = [set() for _ in range(parts)]  # customers with spends, by part
 
-    def spent(self, customer: str, plan: str, units: float, now: float, who: str = "") -> None:
-        """`who` sent it on: its own report will tell of it, too."""
+    def record(self, customer: str, plan: str, units: float, now: float, forwarder: str = "") -> None:
+        """Records a spend. `forwarder`: who forwarded it and will include it in its own report."""
         if plan not in self.horizons:
             return
-        known = self.spends.pop(customer, None)  # the customer used last stands last
+        known = self.spends.pop(customer, None)  # keeps the customers in order of their last use
         if known is None:
             known = plan, deque()
             self.make_room(now)
             self.by_part[part_of(customer, len(self.by_part))].add(customer)
         self.spends[customer] = known
         spends = known[1]
-        spends.append((now, units, who))
+        spends.append((now, units, forwarder))
         while spends[0][0] < now - self.horizons[plan]:
             spends.popleft()
-        if len(spends) > MOST_SPENDS:
-            (_, first, whose), (later, second, other) = spends.popleft(), spends.popleft()
-            spends.appendleft((later, first + second, whose if whose == other else ""))
+        if len(spends) > MAX_SPENDS_PER_CUSTOMER:
+            (_, first, older), (at, second, newer) = spends.popleft(), spends.popleft()
+            spends.appendleft((at, first + second, older if older == newer else ""))
 
-    def unspent(self, customer: str, units: float, when: float) -> None:
-        """Nothing of what was spent then came to any backend.
+    def cancel_spend(self, customer: str, units: float, when: float) -> None:
+        """Removes the spend made at `when`, none of which reached a backend.
 
-        It is taken out, not given back: a replay that stands at nought forgives what it can't take, and
-        would give back what it never took. One that was taken together with others stays: that errs to the
-        safe side.
+        The spend is removed from the record instead of being refunded: a replay whose level is zero ignores
+        what it can't deduct, and a refund would add units that it never deducted. A spend that was merged
+        with others stays, which errs on the safe side.
         """
         known = self.spends.get(customer)
         spends = known[1] if known is not None else deque()
@@ -89,11 +89,12 @@
                 self.drop(customer)
 
     def drop(self, customer: str) -> None:
+        """Removes a customer with all of its spends."""
         del self.spends[customer]
         self.by_part[part_of(customer, len(self.by_part))].discard(customer)
 
     def make_room(self, now: float) -> None:
-        """Drops customers whose spends no longer matter; at the bound others too, and notes since when."""
+        """Drops customers whose spends have expired; at the bound also others, and then moves `since`."""
         while self.spends:
             customer = next(iter(self.spends))
             plan, spends = self.spends[customer]
@@ -104,13 +105,13 @@
                 self.since = max(self.since, last)
             self.drop(customer)
 
-    def of(
+    def spends_of(
         self, customer: str, now: float, reported: Mapping[str, float] | None = None
     ) -> list[tuple[float, float]]:
         """The spends of a customer, as pairs of age and units.
 
-        `reported`: since when each who has told of its own anew. What it sent on before is left out: it
-        stands in that report, or never came to anything.
+        `reported`: when each forwarder last reported its own spends. What it forwarded before is left out: it
+        is part of that report, or was never executed.
         """
         known, since = self.spends.get(customer), reported or {}
         return (
@@ -118,24 +119,24 @@
             if known is None
             else [
                 (max(now - at, 0.0), units)
-                for at, units, who in known[1]
-                if at > since.get(who, float("-inf"))
+                for at, units, forwarder in known[1]
+                if at > since.get(forwarder, float("-inf"))
             ]
         )
 
     def report(self, part: int, now: float) -> list[tuple[str, str, list[tuple[float, float]]]]:
-        """Customer, plan and spends of all in a part that still matter."""
+        """Customer, plan and spends of the customers of a part whose spends have not expired."""
         return [
-            (customer, plan, taken_together(self.of(customer, now)))
+            (customer, plan, merge_oldest(self.spends_of(customer, now)))
             for customer in self.by_part[part]
             for plan, spends in (self.spends[customer],)
             if spends[-1][0] >= now - self.horizons[plan]
         ]
 
 
-def taken_together(spends: list[tuple[float, float]]) -> list[tuple[float, float]]:
-    """At most MOST_REPORTED spends: the older ones as one, as if spent when the last of them was."""
-    surplus = len(spends) - MOST_REPORTED
+def merge_oldest(spends: list[tuple[float, float]]) -> list[tuple[float, float]]:
+    """At most MAX_REPORTED_SPENDS spends: merges the older ones, as if spent when the last of them was."""
+    surplus = len(spends) - MAX_REPORTED_SPENDS
     if surplus <= 0:
         return spends
     older = spends[: surplus + 1]
--- a/embersill/tiers/links.py
+++ b/embersill/tiers/links.py
@@ -24,7 +24,7 @@
 from embersill.tiers.multipath import DIRECT, Multipath
 from embersill.tiers.parts import weight
 from embersill.tiers.planner import Planner, Session
-from embersill.tiers.wire import ForwarderSide, PlannerSide, Proof, Secret, Stranger
+from embersill.tiers.wire import ForwarderSide, PlannerSide, Proof, Secret, HandshakeError
 
 log = logging.getLogger("embersill")
 
@@ -126,7 +126,7 @@
             if trunk.number == proof.session:
                 return trunk
             if trunk.number > proof.session:
-                raise Stranger("an older session")
+                raise HandshakeError("an older session")
         if trunk is not None:
             self.end(trunk)
         self.last_token += 1
@@ -197,7 +197,7 @@
         proof = self.side.check(frame, self.server.core.forwarders)
         if proof.to:
             if proof.to not in self.server.carrier.others:
-                raise Stranger(f"no planner {proof.to!r} to be carried to")
+                raise HandshakeError(f"no planner {proof.to!r} to be carried to")
             self.dialling = self.server.loop.create_task(self.carry(proof))
             return
         self.path = proof.via
--- a/embersill/tiers/planner.py
+++ b/embersill/tiers/planner.py
@@ -67,7 +67,7 @@
 )
 from embersill.tiers.parts import part_of
 from embersill.tiers.reasons import limiting_factor
-from embersill.tiers.reserves import KEPT_BACK, Demand, balanced, depth_left, most_reserved
+from embersill.tiers.reserves import PLANNER_MIN_LEVEL, Demand, rebalance, depth_left, max_reserved
 from embersill.tiers.terms import MAX_CLOCK_DRIFT, Terms
 
 OUTCOMES = {outcome.value: outcome for outcome in Outcome}
@@ -168,7 +168,7 @@
         # towards the backends the planners are what several gateways were: each takes part of the load
         self.gateway = Gateway(replace(settings, gateways=planners, counter=False), seed, now)
         self.plans = {p.name: p for p in settings.plans}
-        self.reserved = {p.name: most_reserved(p, settings.most_units) for p in settings.plans}
+        self.reserved = {p.name: max_reserved(p, settings.most_units) for p in settings.plans}
         self.parts = [Part(n) for n in range(parts)]
         self.unconfirmed: set[int] = set()  # parts that are lent and not whole
         self.unproven: set[int] = set()  # parts with a new lender, of whose others not all have echoed since
@@ -354,7 +354,7 @@
         if self.on_outcome is not None:
             self.on_outcome(ended.backend, outcome)
         if job.charged is not None and job.nowhere >= job.sent:
-            self.ledger.unspent(job.request.customer, job.request.units, job.charged)
+            self.ledger.cancel_spend(job.request.customer, job.request.units, job.charged)
             job.charged = None
             if self.on_use is not None:
                 self.on_use(job.request.customer, -job.request.units)
@@ -389,7 +389,7 @@
             for take, state, lender in zip(question.takes, verdict.states, lenders, strict=True):
                 if state.granted and take.units > 0:
                     name = lender.session.name
-                    self.ledger.spent(take.customer, take.plan.name, take.units, self.now, name)
+                    self.ledger.record(take.customer, take.plan.name, take.units, self.now, name)
                     if self.on_use is not None:
                         self.on_use(take.customer, take.units)
                     lender.session.outbox.append(Taken(take.customer, take.plan.name, take.units))
@@ -441,7 +441,7 @@
             if job.charged is None:
                 job.charged = self.now
                 request = job.request
-                self.ledger.spent(request.customer, request.plan, request.units, self.now, job.session.name)
+                self.ledger.record(request.customer, request.plan, request.units, self.now, job.session.name)
                 if self.on_use is not None:
                     self.on_use(request.customer, request.units)
             out.append(Grant(job.ask, job.sent, action.backend, action.timeout))
@@ -597,7 +597,7 @@
         reported = {name: lender.lent_at for name, lender in part.lenders.items()}
         spends += [
             (age, units)
-            for age, units in self.ledger.of(customer, self.now, reported)
+            for age, units in self.ledger.spends_of(customer, self.now, reported)
             if age <= self.now - part.taken_at
         ]
         horizon = horizon_of(plan)
@@ -637,22 +637,22 @@
         demand = part.demands.get(ask.customer)
         if demand is None:
             demand = part.demands[ask.customer] = Demand(self.now)
-        demand.asked(session.name, ask.units, self.now)
+        demand.record(session.name, ask.units, self.now)
         throttle = self.gateway.throttles.get(ask.customer)
         if not part.whole or throttle is None:
             return
         throttle.refill(self.now)
         held = {name: lender.reserves.get(ask.customer, 0.0) for name, lender in part.lenders.items()}
-        to_spare = max(throttle.cap - KEPT_BACK * throttle.cap_depth, 0.0)
-        for handed in balanced(demand, held, self.reserved[plan.name], to_spare, self.now):
-            lender = part.lenders[handed.who]
-            if self.sessions.get(handed.who) is not lender.session:
+        to_spare = max(throttle.cap - PLANNER_MIN_LEVEL * throttle.cap_depth, 0.0)
+        for transfer in rebalance(demand, held, self.reserved[plan.name], to_spare, self.now):
+            lender = part.lenders[transfer.forwarder]
+            if self.sessions.get(transfer.forwarder) is not lender.session:
                 continue
-            if handed.units > 0:
-                lender.reserves[ask.customer] = held[handed.who] + handed.units
-                self.allot(part, ask.customer, plan, throttle.cap - handed.units)
+            if transfer.units > 0:
+                lender.reserves[ask.customer] = held[transfer.forwarder] + transfer.units
+                self.allot(part, ask.customer, plan, throttle.cap - transfer.units)
             lender.session.outbox.append(
-                Reserve(ask.customer, plan.name, lender.term, handed.units, handed.portion)
+                Reserve(ask.customer, plan.name, lender.term, transfer.units, transfer.portion)
             )
 
     def reserve_left(self, session: Session, customer: str, units: float) -> Part | None:
@@ -671,7 +671,7 @@
         plan = self.plans.get(message.plan)
         if part is None or plan is None:
             return
-        self.ledger.spent(message.customer, message.plan, message.units, self.now, session.name)
+        self.ledger.record(message.customer, message.plan, message.units, self.now, session.name)
         if message.customer in self.gateway.throttles:
             self.allot(part, message.customer, plan)
 
--- a/embersill/tiers/roles.py
+++ b/embersill/tiers/roles.py
@@ -18,7 +18,7 @@
 from embersill.tiers.forwarder import Forwarder
 from embersill.tiers.links import ForwarderLinks, PlannerServer
 from embersill.tiers.planner import Planner
-from embersill.tiers.wire import Secret, digest
+from embersill.tiers.wire import Secret, deployment_digest
 
 LINKED_WITHIN = 0.5  # seconds that a forwarder waits for a planner before it is ready without one
 HANDED_OVER = 2.0  # seconds for forwarders to lend their parts elsewhere when a planner stops
@@ -40,7 +40,7 @@
 
 
 def secret_of(tiers: Tiers) -> Secret:
-    return Secret(tiers.secret, digest(tiers.forwarders, tiers.parts, tiers.terms))
+    return Secret(tiers.secret, deployment_digest(tiers.forwarders, tiers.parts, tiers.terms))
 
 
 class ForwarderProgram(Program):
--- a/tests/council/test_processes.py
+++ b/tests/council/test_processes.py
@@ -274,7 +274,7 @@
         secret.write_text("another secret, of sixteen bytes and more")
         await stranger.start()
         async with asyncio.timeout(60.0):
-            while not any("a wrong secret" in line for line in deployment.logs()):
+            while not any("wrong shared secret" in line for line in deployment.logs()):
                 await asyncio.sleep(0.05)
         assert not stranger.status.get("council", {}).get("votes")
         secret.write_text(kept)
--- a/tests/tiers/test_ledger.py
+++ b/tests/tiers/test_ledger.py
@@ -7,7 +7,7 @@
 
 from embersill.configuration.operator import REPORT_BYTES
 from embersill.interface import Plan
-from embersill.tiers.ledger import MOST_REPORTED, MOST_SPENDS, Ledger, horizon_of, replay
+from embersill.tiers.ledger import MAX_REPORTED_SPENDS, MAX_SPENDS_PER_CUSTOMER, Ledger, horizon_of, replay
 from embersill.tiers.messages import Batch, Spent, encoder
 from embersill.tiers.parts import part_of, ranking
 
@@ -25,9 +25,9 @@
         level = min(PRO.ceiling_depth, level + PRO.ceiling_rate * wait)
         if units <= level:
             level -= units
-            ledger.spent("c", "pro", units, now)
+            ledger.record("c", "pro", units, now)
     span = min(horizon_of(PRO), now - ledger.since)
-    told = replay(PRO.ceiling_depth, PRO.ceiling_rate, span, 0.0, ledger.of("c", now))
+    told = replay(PRO.ceiling_depth, PRO.ceiling_rate, span, 0.0, ledger.spends_of("c", now))
     assert 0.0 <= told <= level + 1e-6
 
 
@@ -39,33 +39,33 @@
 def test_a_ledger_at_its_bound_says_since_when_it_knows_all() -> None:
     ledger = Ledger((PRO, FREE), 3, 100.0)
     for number in range(5):
-        ledger.spent(f"c{number}", "pro", 1.0, 101.0 + number / 10)
+        ledger.record(f"c{number}", "pro", 1.0, 101.0 + number / 10)
     assert len(ledger.spends) == 3
     assert ledger.since == 101.1  # the last spend of those that were dropped
-    ledger.spent("x", "free", 1.0, 102.0)
+    ledger.record("x", "free", 1.0, 102.0)
     assert "x" not in ledger.spends
 
 
 def test_many_spends_of_one_customer_are_kept_as_few() -> None:
     ledger = Ledger((PRO,), 3, 100.0)
-    for number in range(10 * MOST_SPENDS):
-        ledger.spent("c", "pro", 0.01, 100.0 + number / 1000)
-    assert len(ledger.of("c", 101.0)) == MOST_SPENDS
-    assert abs(sum(units for _, units in ledger.of("c", 101.0)) - 0.1 * MOST_SPENDS) < 1e-9
+    for number in range(10 * MAX_SPENDS_PER_CUSTOMER):
+        ledger.record("c", "pro", 0.01, 100.0 + number / 1000)
+    assert len(ledger.spends_of("c", 101.0)) == MAX_SPENDS_PER_CUSTOMER
+    assert abs(sum(units for _, units in ledger.spends_of("c", 101.0)) - 0.1 * MAX_SPENDS_PER_CUSTOMER) < 1e-9
 
 
 def test_a_report_is_bounded_and_claims_no_more_than_the_spends() -> None:
     ledger = Ledger((PRO,), 10, 100.0)
     for number in range(40):
-        ledger.spent("c", "pro", 1.0, 100.0 + number / 10)
+        ledger.record("c", "pro", 1.0, 100.0 + number / 10)
     ((_, _, told),) = ledger.report(0, 104.0)
-    assert len(told) == MOST_REPORTED and sum(units for _, units in told) == 40.0
-    whole = ledger.of("c", 104.0)
+    assert len(told) == MAX_REPORTED_SPENDS and sum(units for _, units in told) == 40.0
+    whole = ledger.spends_of("c", 104.0)
     assert replay(40.0, 20.0, 4.0, 0.0, told) <= replay(40.0, 20.0, 4.0, 0.0, whole)
 
 
 def test_a_report_of_one_customer_takes_the_bytes_that_its_bound_allows() -> None:
-    spends = [(1.23456789 * n, 7.654321) for n in range(MOST_REPORTED)]
+    spends = [(1.23456789 * n, 7.654321) for n in range(MAX_REPORTED_SPENDS)]
     spent = Spent([("0" * 16, "p" * 64, spends)])
     assert len(encoder.encode(Batch(1, 0, 0, [spent]))) <= REPORT_BYTES
 
@@ -73,7 +73,7 @@
 def test_old_customers_go_as_new_ones_come() -> None:
     ledger = Ledger((PRO,), 1000, 100.0)
     for number in range(5000):
-        ledger.spent(f"c{number}", "pro", 1.0, 100.0 + number / 100)
+        ledger.record(f"c{number}", "pro", 1.0, 100.0 + number / 100)
     assert len(ledger.spends) <= 100 * horizon_of(PRO) + 1 and ledger.since == 100.0
 
 
@@ -98,11 +98,11 @@
 def test_what_came_nowhere_is_taken_out_and_not_given_back() -> None:
     """A ledger that begins late stands at nought where the true bucket held the units: it never took them."""
     ledger = Ledger((PRO,), 100, 100.0)
-    ledger.spent("c", "pro", 8.0, 100.1)
-    ledger.spent("c", "pro", 1.0, 100.1)
-    ledger.unspent("c", 8.0, 100.1)
-    told = replay(PRO.ceiling_depth, PRO.ceiling_rate, 0.1, 0.0, ledger.of("c", 100.1))
+    ledger.record("c", "pro", 8.0, 100.1)
+    ledger.record("c", "pro", 1.0, 100.1)
+    ledger.cancel_spend("c", 8.0, 100.1)
+    told = replay(PRO.ceiling_depth, PRO.ceiling_rate, 0.1, 0.0, ledger.spends_of("c", 100.1))
     assert abs(told - 1.0) < 1e-9  # 0.1 s of 20 a second, less the one; a refund would tell of 9
-    ledger.unspent("c", 8.0, 100.1)  # not there any more: nothing happens
-    ledger.unspent("c", 1.0, 100.1)
-    assert ledger.of("c", 100.1) == [] and ledger.report(0, 100.1) == []
+    ledger.cancel_spend("c", 8.0, 100.1)  # not there any more: nothing happens
+    ledger.cancel_spend("c", 1.0, 100.1)
+    assert ledger.spends_of("c", 100.1) == [] and ledger.report(0, 100.1) == []
--- a/tests/tiers/test_links.py
+++ b/tests/tiers/test_links.py
@@ -18,7 +18,7 @@
 from embersill.tiers.messages import Ask, Batch, Lend
 from embersill.tiers.planner import Planner
 from embersill.tiers.terms import Terms
-from embersill.tiers.wire import ForwarderSide, FrameReader, Secret, framed, pack
+from embersill.tiers.wire import ForwarderSide, FrameReader, Secret, length_prefixed, pack
 from embersill.world.oracles import Rules, judge
 from embersill.world.records import Written
 from tests.bed import run
@@ -72,7 +72,7 @@
 def test_strangers_are_told_and_closed(key: bytes, name: str) -> None:
     async def test() -> None:
         server = await planner()
-        with pytest.raises(Exception, match="turned away"):
+        with pytest.raises(Exception, match="rejected by the other end"):
             await linked(server, key, name)
         assert not server.trunks and not server.core.sessions
         server.close()
@@ -85,7 +85,7 @@
     [
         b"GET / HTTP/1.1\r\n\r\n",
         (1 << 20).to_bytes(4, "big"),
-        framed(b"\xc1" * 10),
+        length_prefixed(b"\xc1" * 10),
     ],
 )
 def test_what_is_no_handshake_is_closed_at_once(text: bytes) -> None:
@@ -124,7 +124,7 @@
     "text",
     [
         (1 << 19).to_bytes(4, "big"),
-        framed(b"\x00"),
+        length_prefixed(b"\x00"),
         pack(Batch(9999, 0, 0, [])),  # far too many are missing
         pack(Batch(1, 0, 0, [], 99)),  # of which none was sent
         pack(Batch(0, 0, 0, [Lend([1], 0.0, 0.0)])),  # out of order
--- a/tests/tiers/test_takeover.py
+++ b/tests/tiers/test_takeover.py
@@ -12,7 +12,7 @@
 from embersill.tiers.forwarder import Forwarder
 from embersill.tiers.messages import Batch, Grant, Recall, Refused, Reserve
 from embersill.tiers.parts import part_of
-from embersill.tiers.reserves import Demand, balanced, depth_left, most_reserved
+from embersill.tiers.reserves import Demand, rebalance, depth_left, max_reserved
 from tests.tiers.helpers import PARTS, TERMS, Bench, backends
 
 
@@ -426,7 +426,7 @@
     bench = Bench(forwarders=1, planners=1)
     forwarder = bench.forwarders["f0"]
     for number in range(12_000):
-        forwarder.ledger.spent(f"{number:016x}", "pro", 1.0, bench.now)
+        forwarder.ledger.record(f"{number:016x}", "pro", 1.0, bench.now)
     bench.link("f0", "p0")
     held = [sum(part.holder is not None for part in forwarder.parts)]
     while held[-1] < PARTS:
@@ -491,7 +491,7 @@
     assert bench.sends("f0", 1) and forwarder.reserves["c"].units == pytest.approx(held - 3.0)
     bench.to_planner("f0", planner)
     assert core.held_of(part, "c") == pytest.approx(held - 3.0)
-    assert 3.0 in [u for _, u in core.ledger.of("c", bench.now)]
+    assert 3.0 in [u for _, u in core.ledger.spends_of("c", bench.now)]
 
 
 def test_one_that_is_cut_off_spends_its_reserve_at_once_and_no_more() -> None:
@@ -569,10 +569,10 @@
         now += 0.05
         if step % 800 == 400:
             busiest = {"f0": "f1", "f1": "f2", "f2": "f0"}[busiest]
-        demand.asked(busiest if chance.random() < 0.9 else chance.choice(list(held)), 2.0, now)
-        for handed in balanced(demand, held, 24.0, chance.uniform(0.0, 20.0), now):
-            held[handed.who] = max(held[handed.who] + handed.units, 0.0)
-            assert 0.0 <= handed.portion <= 1.0
+        demand.record(busiest if chance.random() < 0.9 else chance.choice(list(held)), 2.0, now)
+        for transfer in rebalance(demand, held, 24.0, chance.uniform(0.0, 20.0), now):
+            held[transfer.forwarder] = max(held[transfer.forwarder] + transfer.units, 0.0)
+            assert 0.0 <= transfer.portion <= 1.0
         if step % 40 == 0:
             held[busiest] = max(held[busiest] - chance.uniform(0.0, 8.0), 0.0)
         assert sum(held.values()) <= 24.0 + 1e-9
@@ -597,14 +597,14 @@
     wanted: float,
 ) -> None:
     plan = replace(lab_settings(1).plans[1], burst=burst, rate=rate, ceiling_depth=depth)
-    assert most_reserved(plan, 8.0) == wanted
+    assert max_reserved(plan, 8.0) == wanted
 
 
 @pytest.mark.parametrize("forwarders", [1, 2, 3, 5, 200])
 def test_depths_add_up_to_no_more_than_the_ceilings(forwarders: int) -> None:
     """Of a planner that some lend to, and of the others on their own, whatever each of them holds."""
     plan, chance = lab_settings(1).plans[1], random.Random(forwarders)
-    most = most_reserved(plan, 8.0)
+    most = max_reserved(plan, 8.0)
     for _ in range(2000):
         lenders = chance.randint(0, forwarders)
         drawn = [chance.random() ** 4 for _ in range(forwarders)]
--- a/tests/tiers/test_wire.py
+++ b/tests/tiers/test_wire.py
@@ -16,15 +16,15 @@
     Challenge,
     ForwarderSide,
     FrameReader,
-    Numbers,
+    BatchSequence,
     PlannerSide,
     Proof,
     Secret,
-    Stranger,
-    digest,
-    framed,
+    HandshakeError,
+    deployment_digest,
+    length_prefixed,
     pack,
-    turned,
+    rejection,
 )
 
 KNOWN = frozenset({"f1"})
@@ -67,7 +67,7 @@
     proof = forwarder.read(unframed(planner.challenge()))
     assert proof is not None
     said: Proof = msgspec.msgpack.decode(unframed(proof), type=Proof)
-    with pytest.raises(Stranger, match="a wrong secret"):
+    with pytest.raises(HandshakeError, match="wrong shared secret"):
         planner.check(msgspec.msgpack.encode(msgspec.structs.replace(said, **changed)), KNOWN)
 
 
@@ -76,14 +76,14 @@
     proof = forwarder.read(unframed(planner.challenge()))
     assert proof is not None
     welcome = msgspec.msgpack.decode(unframed(planner.welcome(planner.check(unframed(proof), KNOWN), 7)))
-    with pytest.raises(Stranger, match="a wrong secret"):
+    with pytest.raises(HandshakeError, match="wrong shared secret"):
         forwarder.read(msgspec.msgpack.encode([*welcome[:-1], 8]))
 
 
 @pytest.mark.parametrize(
     ("key", "name", "reason"),
     [
-        (b"x" * 32, "f1", "a wrong secret"),
+        (b"x" * 32, "f1", "wrong shared secret"),
         (b"k" * 32, "f9", "no forwarder"),
     ],
 )
@@ -91,7 +91,7 @@
     planner, forwarder = sides(forwarder_key=key, name=name)
     proof = forwarder.read(unframed(planner.challenge()))
     assert proof is not None
-    with pytest.raises(Stranger, match=reason):
+    with pytest.raises(HandshakeError, match=reason):
         planner.check(unframed(proof), KNOWN)
 
 
@@ -99,11 +99,11 @@
     planner, forwarder = sides()
     false, _ = sides(planner_key=b"x" * 32)
     forwarder.read(unframed(planner.challenge()))
-    mac = false.secret.mac("planner", planner.said, forwarder.proof)
-    with pytest.raises(Stranger, match="a wrong secret"):
+    mac = false.secret.mac("planner", planner.sent_challenge, forwarder.proof)
+    with pytest.raises(HandshakeError, match="wrong shared secret"):
         forwarder.read(msgspec.msgpack.encode(["welcome", mac]))
-    with pytest.raises(Stranger, match="turned away: too late"):
-        forwarder.read(unframed(turned("too late")))
+    with pytest.raises(HandshakeError, match="rejected by the other end: too late"):
+        forwarder.read(unframed(rejection("too late")))
 
 
 def test_a_proof_is_good_for_one_challenge_only() -> None:
@@ -111,38 +111,38 @@
     proof = forwarder.read(unframed(planner.challenge()))
     assert proof is not None
     other = PlannerSide(Secret(b"k" * 32), "p1", "life", b"o" * 32)
-    with pytest.raises(Stranger):
+    with pytest.raises(HandshakeError):
         other.check(unframed(proof), KNOWN)
 
 
 def test_a_forwarder_links_only_to_the_planner_it_meant() -> None:
     planner, forwarder = sides(planner="p2")
-    with pytest.raises(Stranger, match="where 'p2' should be"):
+    with pytest.raises(HandshakeError, match="where 'p2' is expected"):
         forwarder.read(unframed(planner.challenge()))
 
 
 def test_files_that_differ_in_what_the_rules_rest_on_do_not_link() -> None:
-    same = digest(["f1", "f2"], 64, Terms())
-    assert digest(["f2", "f1"], 64, Terms()) == same
+    same = deployment_digest(["f1", "f2"], 64, Terms())
+    assert deployment_digest(["f2", "f1"], 64, Terms()) == same
     for other in (
-        digest(["f1"], 64, Terms()),
-        digest(["f1", "f2"], 32, Terms()),
-        digest(["f1", "f2"], 64, Terms(lease=1.0)),
+        deployment_digest(["f1"], 64, Terms()),
+        deployment_digest(["f1", "f2"], 32, Terms()),
+        deployment_digest(["f1", "f2"], 64, Terms(lease=1.0)),
     ):
         planner = PlannerSide(Secret(b"k" * 32, same), "p1", "life", b"n" * 32)
         forwarder = ForwarderSide(Secret(b"k" * 32, other), "f1", "p1", b"m" * 32)
         proof = forwarder.read(unframed(planner.challenge()))
         assert proof is not None
-        with pytest.raises(Stranger, match="the operator files differ"):
+        with pytest.raises(HandshakeError, match="the operator files differ"):
             planner.check(unframed(proof), KNOWN)
 
 
 def test_another_version_is_named() -> None:
     _, forwarder = sides()
-    with pytest.raises(Stranger, match="version 99 where 2"):
+    with pytest.raises(HandshakeError, match="version 99 where 2"):
         forwarder.read(msgspec.msgpack.encode(Challenge(MAGIC, 99, "p1", "life", b"n" * 32, "")))
     planner, _ = sides()
-    with pytest.raises(Stranger, match="version 99 where 2"):
+    with pytest.raises(HandshakeError, match="version 99 where 2"):
         planner.check(msgspec.msgpack.encode(Proof(MAGIC, 99, "f1", b"m" * 32, "", b"")), KNOWN)
 
 
@@ -150,9 +150,9 @@
 @given(st.binary(max_size=200))
 def test_noise_is_a_stranger_or_a_bad_frame(noise: bytes) -> None:
     planner, forwarder = sides()
-    with pytest.raises(Stranger):
+    with pytest.raises(HandshakeError):
         planner.check(noise, KNOWN)
-    with pytest.raises(Stranger):
+    with pytest.raises(HandshakeError):
         forwarder.read(noise)
     with pytest.raises(BadFrame):
         read_batch(noise)
@@ -165,7 +165,7 @@
     ]
     stream = b"".join(pack(batch) for batch in batches)
     for size in (1, 3, 7, 1000, len(stream)):
-        reader, numbers, got = FrameReader(1 << 20), Numbers(), []
+        reader, numbers, got = FrameReader(1 << 20), BatchSequence(), []
         for at in range(0, len(stream), size):
             got += [numbers.read(frame) for frame in reader.feed(stream[at : at + size])]
         assert got == batches and not reader.data
@@ -173,13 +173,13 @@
 
 def test_a_frame_over_the_bound_is_refused_before_it_has_come() -> None:
     reader = FrameReader(1000)
-    with pytest.raises(BadFrame, match="over the bound of 1000"):
+    with pytest.raises(BadFrame, match="exceeds the limit of 1000"):
         list(reader.feed((1001).to_bytes(4, "big")))
 
 
 @pytest.mark.parametrize("numbers", [(1, 1), (1, 3), (2,)])
 def test_doubled_and_missing_batches_are_refused(numbers: tuple[int, ...]) -> None:
-    reader = Numbers()
+    reader = BatchSequence()
     with pytest.raises(BadFrame):
         for number in numbers:
             reader.read(encoder.encode(Batch(number, 0, 0, [])))
@@ -197,4 +197,4 @@
     assert read_batch(msgspec.msgpack.encode([1, 0, 0, [[11, 1, 0, "b0", 1.0]]])).messages == [
         Grant(1, 0, "b0", 1.0)
     ]
-    assert framed(b"ab") == b"\0\0\0\2ab"
+    assert length_prefixed(b"ab") == b"\0\0\0\2ab"
