--- a/embersill/edge/dataplane/__init__.py
+++ b/embersill/edge/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""From clients to backends: decisions, handlers of connections, and what they tell the control side."""
+"""The data plane: admission, attempts at backends, HTTP handlers, and reports to the control plane."""
--- a/embersill/edge/dataplane/admission.py
+++ b/embersill/edge/dataplane/admission.py
@@ -1,4 +1,7 @@
-"""What goes on, waits or is turned away, where slices of quotas borrow from a reserve. No I/O."""
+"""Admission control: requests are admitted, queued or rejected by their tenant's slice of its quota. No I/O.
+
+A slice that runs out of tokens borrows from the tenant's reserve, which one gateway of the core holds.
+"""
 
 from __future__ import annotations
 
@@ -12,77 +15,84 @@
 from embersill.totals import READING_LIFE
 from embersill.work import EPS, Job
 
-SHORT_FOR = 1.0  # seconds after a reserve had nothing in which its tenant counts as short
-REPEATS_FROM = 0.5  # of a short tenant's bank, from which those that come again get a token
-HELD_PART = 0.22  # of the aim that a request may wait for a token: who is turned away by then loses least
-SLOWED_PATIENCE = 0.1  # of the wait bound, for a slowed tenant: a long one differs with how many come
-DRY_FOR = 0.2  # seconds after which a reserve that had nothing is asked again
+SHORTAGE_S = 1.0  # how long a tenant counts as short of tokens after its reserve was empty
+RETRY_MIN_LEVEL_SHARE = 0.5  # of a short tenant's bucket that must be full before client retries get a token
+# share of the latency target that a request may wait for a token: a rejection by then costs the client least
+QUEUE_WAIT_SHARE = 0.22
+# of the usual wait bound, for a slowed tenant: with a long bound the wait depends on how many callers it has
+SLOWED_QUEUE_WAIT_SHARE = 0.1
+RESERVE_RETRY_S = 0.2  # how long after an empty reserve it is asked again
 
 
 class EdgeAdmission(Admission):
-    """What a slice lacks is borrowed from the tenant's reserve, as long as that has any."""
+    """Admission that borrows the tokens a slice lacks from the tenant's reserve while that has any."""
 
-    hold_share, strict = HELD_PART, True
-    squeezed: Mapping[str, Slowed] = {}
+    hold_share, strict = QUEUE_WAIT_SHARE, True
+    slowed_tenants: Mapping[str, Slowed] = {}
 
     def admit(self, job: Job) -> None:
-        """Where a tenant's reserve is dry, one that comes again goes behind those that come first.
+        """Admits, queues or rejects a request; with an empty reserve, first tries go before retries.
 
-        Both would take the same token, and the first one's answer is worth more.
+        Both would take the same token, and the answer to a first try is worth more.
         """
         throttle = job.throttle
         throttle.refill(self.turn.now)
-        short = self.turn.now < throttle.dry_until + SHORT_FOR and throttle.plan.rate > 0
-        if short and job.request.repeat and throttle.level < REPEATS_FROM * throttle.bank:
+        short = self.turn.now < throttle.dry_until + SHORTAGE_S and throttle.plan.rate > 0
+        if short and job.request.repeat and throttle.level < RETRY_MIN_LEVEL_SHARE * throttle.bank:
             throttle.note_demand(job.request.units, self.turn.now)
             self.totals.start_counting(throttle)
             return self.overflow(job, PERIOD)
-        if not self.squeezed or throttle.customer not in self.squeezed:
+        if not self.slowed_tenants or throttle.customer not in self.slowed_tenants:
             return super().admit(job)
         usual = self.hold_share
-        self.hold_share = usual * SLOWED_PATIENCE
+        self.hold_share = usual * SLOWED_QUEUE_WAIT_SHARE
         super().admit(job)
         self.hold_share = usual
         return None
 
     def join(self, customer: str, width: int, plan: Plan, first: int = -1) -> Throttle:
-        """Where many share a quota, a full bank of less than a token would be one more request at each."""
+        """Adds a tenant's throttle, which needs whole tokens if several gateways share the quota.
+
+        A full bucket of less than one token would otherwise admit one more request at each gateway.
+        """
         throttle = super().join(customer, width, plan, first)
         throttle.whole = throttle.width > 1
         return throttle
 
     def may_borrow(self, throttle: Throttle) -> bool:
-        """True if a tenant's throttle may ask for more than its slice now."""
+        """True if a tenant's throttle may ask the reserve for tokens beyond its slice now."""
         return throttle.plan.rate > 0 and not throttle.asking and self.turn.now >= throttle.dry_until
 
     def borrow(self, throttle: Throttle) -> None:
-        """Asks for the tokens that the throttle lacks."""
+        """Asks the reserve for the tokens that the throttle lacks."""
         throttle.asking = True
         self.turn.actions.append(Borrow(throttle.customer, max(math.ceil(-throttle.level), 1.0)))
 
     def lent(self, event: Lent) -> None:
-        """What the reserve gave goes to those that wait; what it lacks is waited for, or refused."""
+        """Gives borrowed tokens to queued requests; the requests beyond them keep waiting or are rejected."""
         throttle = self.throttles.get(event.customer)
         if throttle is None or not throttle.asking:
             return
         throttle.asking = False
         throttle.refill(self.turn.now)
         throttle.level += max(event.units, 0.0)
-        # on its own it goes by its bank, however thin: with nobody to borrow from it would serve none
+        # without a reachable reserve the throttle uses its bucket, however small: else it would serve nothing
         throttle.whole = event.units >= 0.0 and throttle.width > 1
         if event.units < 1.0:
-            throttle.dry_until = self.turn.now + DRY_FOR
+            throttle.dry_until = self.turn.now + RESERVE_RETRY_S
         elif throttle.level < -EPS and throttle.queue:
             return self.borrow(throttle)
         return self.release(throttle)
 
     def sliced(self, event: Sliced) -> None:
-        """The slice is told by whoever sums the demand, and never gives away more than the quota."""
+        """Applies the slice set by the summing member; slices never add up to more than the quota."""
         throttle = self.throttles.get(event.customer)
         if throttle is None or throttle.plan.rate <= 0:
             return
         until = throttle.read_until
-        if event.age is not None:  # from the question on: who told it counts with it for longer, however late
+        # the age counts from the question: the member that set the slice reserves it for longer than it is
+        # used here, however late the answer comes
+        if event.age is not None:
             until = self.turn.now + READING_LIFE * PERIOD - event.age
         if until > self.turn.now:
             throttle.read_until = until
@@ -90,7 +100,7 @@
             self.release(throttle)
 
     def replan(self) -> None:
-        """Quotas or the number of gateways have changed: a throttle goes on with its level."""
+        """Applies changed quotas or a changed number of gateways; throttles keep their levels."""
         for throttle in self.throttles.values():
             plan = self.turn.plans.get(throttle.plan.name, throttle.plan)
             if throttle.plan != plan or throttle.width != self.turn.settings.gateways:
--- a/embersill/edge/dataplane/attempts.py
+++ b/embersill/edge/dataplane/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at backends that tell their load: who hears of them, what they cost, which are retried. No I/O."""
+"""Attempts at backends that report their load: in-flight counts, quota refunds and retries. No I/O."""
 
 from __future__ import annotations
 
@@ -16,65 +16,67 @@
 from embersill.turn import Turn
 from embersill.work import EPS, Attempt, Job, Server
 
-SPREAD_MOST = 15.0  # seconds that callers of a slowed tenant are told to wait, times one to two
+MAX_SPREAD_WAIT_S = (
+    15.0  # longest Retry-After for a slowed tenant's callers, before a random factor of 1 to 2
+)
 
 
 class EdgeAttempts(Attempts):
-    """Attempts whose comings and goings are told to the keepers of the backends' zones."""
+    """Attempts whose starts and ends are reported to the gateways that keep the backends' zones."""
 
-    on_flight: Callable[[Server], None] = staticmethod(lambda server: None)
-    squeezed: Mapping[str, Slowed] = {}  # tenants that are slowed down
-    figures: Figures | None = None  # where there are orders about any
-    observed: Watch | None = None  # while a policy is on its way
+    on_in_flight_change: Callable[[Server], None] = staticmethod(lambda server: None)
+    slowed_tenants: Mapping[str, Slowed] = {}  # the tenants that are slowed down
+    figures: Figures | None = None  # set while there are slow-down orders
+    rollout_watch: Watch | None = None  # set while a policy rollout is in progress
 
     def __init__(self, turn: Turn, totals: Totals, backends: Backends) -> None:
         super().__init__(turn, totals, backends)
         self.lingering = LingeringAttempts(
-            lambda server: self.on_flight(server),
+            lambda server: self.on_in_flight_change(server),
             lambda seconds, key: self.turn.actions.append(SetTimer(seconds, key)),
         )
 
     def count_out(self, job: Job, attempt: Attempt) -> None:
-        """An attempt is out; others are told how many are."""
+        """Counts an attempt as in flight and reports the backend's new count."""
         super().count_out(job, attempt)
-        self.on_flight(attempt.server)
+        self.on_in_flight_change(attempt.server)
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """An attempt has ended; others are told, and a staged policy is judged by how."""
+        """Handles the end of an attempt; the outcome also counts in judging a policy rollout."""
         job = self.jobs.get(event.request)
         if job is None or not 0 <= event.attempt < len(job.attempts) or not job.attempts[event.attempt].out:
             return
         attempt = job.attempts[event.attempt]
         super().attempt_ended(event)
-        self.on_flight(attempt.server)
+        self.on_in_flight_change(attempt.server)
         if event.outcome is Outcome.CANCELLED and not attempt.begun:
-            self.broken_off(job, attempt)
-        elif event.load and self.lingering.by_server:
-            self.lingering.load_told(attempt.server, sum(event.load[:2]))
+            self.count_lingering(job, attempt)
+        elif event.load and self.lingering.serials_by_server:
+            self.lingering.end_freed(attempt.server, sum(event.load[:2]))
         if event.over and not job.out and job.risky is None:
-            self.give_back(job)
-        if self.observed is not None and event.over:
-            self.note_end(self.observed, job, event.outcome)
+            self.refund_quota(job)
+        if self.rollout_watch is not None and event.over:
+            self.record_outcome(self.rollout_watch, job, event.outcome)
 
-    def broken_off(self, job: Job, attempt: Attempt) -> None:
-        """A backend's connection was closed while it had a request: it may work on for as long as usual."""
+    def count_lingering(self, job: Job, attempt: Attempt) -> None:
+        """Keeps counting an attempt with a closed connection: the backend may work on for the usual time."""
         left = job.fleet.usual_for(job) - (self.turn.now - attempt.sent)
         if left > EPS:
             self.lingering.add(attempt.server, left)
 
-    def note_end(self, watch: Watch, job: Job, outcome: Outcome) -> None:
-        """Counts how a request ended, for whoever judges a staged policy."""
+    def record_outcome(self, watch: Watch, job: Job, outcome: Outcome) -> None:
+        """Counts how a request ended, for judging the policy rollout."""
         if outcome is Outcome.SERVED:
             watch.served(job.request.id, job.klass.name, self.turn.now - job.arrived)
-        elif outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):  # its client has left: nothing has failed
+        elif outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):  # the client has left: not a failure
             watch.left(job.request.id)
         else:
             watch.failed(job.request.id, job.klass.name)
 
     def client_left(self, event: ClientLeft) -> None:
-        """The client of a request has left: what waits is dropped, what may be repeated is broken off."""
-        if self.observed is not None:
-            self.observed.left(event.request)
+        """Handles a client's disconnect: drops its queued request, cancels attempts safe to repeat."""
+        if self.rollout_watch is not None:
+            self.rollout_watch.left(event.request)
         job = self.jobs.get(event.request)
         if job is not None and job in job.throttle.queue:
             job.ended = True
@@ -83,16 +85,16 @@
         super().client_left(event)
 
     def call_off(self, job: Job) -> None:
-        """Breaks off the attempts of a request that nobody waits for.
+        """Cancels the attempts of a request that nobody waits for any more.
 
-        One that must not be repeated may have begun to take effect, and its client may ask what came of it:
-        it runs to its end.
+        A request that must not be repeated runs to its end: it may have begun to take effect, and its
+        client may ask for the outcome.
         """
         if job.klass.repeats is Repeats.SAFE:
             super().call_off(job)
 
-    def give_back(self, job: Job) -> None:
-        """A request that none of its backends ran has used nothing of its quota. Called once a request."""
+    def refund_quota(self, job: Job) -> None:
+        """Refunds the quota of a request that no backend executed. Called once per request."""
         throttle = job.throttle
         if job.attempts and not job.beyond:
             throttle.refill(self.turn.now)
@@ -100,55 +102,58 @@
             throttle.level = min(throttle.level + job.request.units, most)
 
     def place(self, job: Job) -> None:
-        """Sends a request that may go on to a backend."""
+        """Sends an admitted request to a backend."""
         if self.figures is not None and not job.attempts:
             self.figures.let(job.throttle.customer, self.turn.now - job.arrived)
-        if self.observed is not None and not job.attempts:
-            self.observed.let_on(job.request.id, job.klass.name)
+        if self.rollout_watch is not None and not job.attempts:
+            self.rollout_watch.let_on(job.request.id, job.klass.name)
         super().place(job)
 
     def send(self, job: Job, server: Server) -> None:
-        """Sends an attempt, unless others of its backend go first; counts what is sent twice."""
-        if self.squeezed and self.behind(job, server):
+        """Sends an attempt unless a slowed tenant has to yield; counts non-repeatable requests sent twice."""
+        if self.slowed_tenants and self.must_yield(job, server):
             return self.give_up(job)
-        if self.observed is None or job.risky is None or job.klass.repeats is not Repeats.ONCE:
+        if self.rollout_watch is None or job.risky is None or job.klass.repeats is not Repeats.ONCE:
             return super().send(job, server)
         before = len(job.attempts)
         super().send(job, server)
         if len(job.attempts) > before:
-            self.observed.doubled(job.request.id, job.klass.name)
+            self.rollout_watch.doubled(job.request.id, job.klass.name)
         return None
 
-    def behind(self, job: Job, server: Server) -> bool:
-        """True where a slowed tenant's request would wait at its backend before others' that come later.
+    def must_yield(self, job: Job, server: Server) -> bool:
+        """True if a slowed tenant's request would queue at its backend ahead of others' later requests.
 
-        Its place falls with its share: with the whole it may wait as one in each slot does, with none never.
+        The allowed queue shrinks with the tenant's share: at the full share one request per slot may wait, at
+        none no request may.
         """
-        slowed, slots = self.squeezed.get(job.throttle.customer), server.backend.slots
+        slowed, slots = self.slowed_tenants.get(job.throttle.customer), server.backend.slots
         return slowed is not None and server.work(self.turn.now) + 1.0 > max(slots, 1) * (1.0 + slowed.share)
 
     def after_failure(self, job: Job, outcome: Outcome) -> None:
-        """Further attempts of a slowed tenant cost the others' budget nothing."""
-        if self.squeezed and job.throttle.customer in self.squeezed and not outcome.undelivered:
+        """Retries a failed attempt; a slowed tenant's only if undelivered, to spare the retry budget."""
+        if self.slowed_tenants and job.throttle.customer in self.slowed_tenants and not outcome.undelivered:
             return self.answer(job, PERIOD)
         return super().after_failure(job, outcome)
 
     def answer(self, job: Job, retry_after: float, over_quota: bool = False) -> None:
-        """A request that came to backends and that none of them ran has used nothing of its quota."""
+        """Answers a request without a backend's answer, with a quota refund if no backend executed it."""
         throttle = job.throttle
         if not job.ended and job.risky is None:
-            self.give_back(job)
+            self.refund_quota(job)
         if self.figures is not None and over_quota and not job.ended:
             self.figures.turned_away(throttle.customer)
-        if self.observed is not None and not (job.ended or job.streaming):
-            unrun = job.risky is None or job.klass.repeats is not Repeats.ONCE
-            (self.observed.refused if unrun else self.observed.failed)(job.request.id, job.klass.name)
+        if self.rollout_watch is not None and not (job.ended or job.streaming):
+            not_executed = job.risky is None or job.klass.repeats is not Repeats.ONCE
+            (self.rollout_watch.refused if not_executed else self.rollout_watch.failed)(
+                job.request.id, job.klass.name
+            )
         super().answer(job, retry_after, over_quota)
 
     def advice(self, job: Job, wait: float, over_quota: bool) -> float:
-        """Callers of a tenant that is slowed down are spread over what its rate can serve."""
+        """The Retry-After in seconds; callers of a slowed tenant are spread over what its rate can serve."""
         throttle = job.throttle
-        if throttle.customer not in self.squeezed:
+        if throttle.customer not in self.slowed_tenants:
             return super().advice(job, wait, over_quota)
         longest = max(wait, 1.0 / max(throttle.rate, EPS))
-        return min(longest, SPREAD_MOST) * self.turn.random.uniform(1.0, 2.0)
+        return min(longest, MAX_SPREAD_WAIT_S) * self.turn.random.uniform(1.0, 2.0)
--- a/embersill/edge/dataplane/dialect.py
+++ b/embersill/edge/dataplane/dialect.py
@@ -1,4 +1,4 @@
-"""What gateways and backends say to one another in the heads of their messages, in the system's protocol."""
+"""The headers that gateways and backends of this system exchange in addition to plain HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from embersill.interface import Outcome
 from embersill.net.backends import Answer, Attempt, BackendConnection
 
-# of one connection, or worded anew at the other end
-OWN = frozenset(
+# headers that concern one connection only, or that the other end writes itself
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -22,18 +22,18 @@
         b"proxy-authorization",
     )
 )
-MISDIRECTED = 421
+MISDIRECTED_STATUS = 421
 
 
 class EdgeDialect:
-    """What backends of this system add to HTTP/1.1: who is asked, who answers, how long, with which load."""
+    """The headers between gateway and backend: expected instance, attempt id, deadline, load and seal."""
 
     def __init__(self, misdirected: Callable[[str], None] = lambda backend: None) -> None:
-        """`misdirected`: hears of a backend at whose address there is another one."""
+        """`misdirected`: called with a backend's id when another backend answers at its address."""
         self.misdirected = misdirected
 
     def head(self, attempt: Attempt, wait: float) -> bytes:
-        """The head of an attempt as it is sent now; `wait`: seconds that are left for it."""
+        """The request head of an attempt; `wait`: seconds left until its deadline."""
         return b"%bX-Deadline-Remaining-Ms: %d\r\nX-Expected-Instance: %b\r\n\r\n" % (
             attempt.head,
             max(int(wait * 1000), 1),
@@ -41,7 +41,7 @@
         )
 
     def header(self, connection: BackendConnection, name: bytes, value: bytes) -> None:
-        """Notes one header of a backend's answer."""
+        """Handles one header of a backend's response."""
         if name == b"x-request-not-executed":
             connection.rejected = True
         elif name == b"x-backend-load":
@@ -52,32 +52,32 @@
             connection.idles = read_keep_alive(value)
         elif name == b"x-backend-seal":
             connection.units = 1.0
-        if name not in OWN:
+        if name not in HOP_BY_HOP_HEADERS:
             connection.headers += b"%b: %b\r\n" % (name, value)
 
     def belongs(self, connection: BackendConnection, attempt: Attempt) -> bool:
-        """True if an answer whose head has been read is the attempt's own."""
+        """True if a response whose head has been read answers this attempt."""
         return connection.answers_to == attempt.id and bool(connection.units)
 
     def judge(self, connection: BackendConnection, attempt: Attempt, body: bytes) -> Answer:
-        """What a whole answer means for the attempt that it came for."""
+        """The outcome of an attempt, from a complete response."""
         status, load = connection.status, connection.load
         if connection.answers_to != attempt.id and (connection.answers_to or status < 300):
-            return Answer(Outcome.BROKEN)  # another request's
+            return Answer(Outcome.BROKEN)  # it answers another request
         if connection.idles:
             connection.pool.keeps(connection.idles)
-        if connection.rejected or status == MISDIRECTED:
-            if status == MISDIRECTED:
+        if connection.rejected or status == MISDIRECTED_STATUS:
+            if status == MISDIRECTED_STATUS:
                 self.misdirected(attempt.backend)
             return Answer(Outcome.TURNED_AWAY, load=load)
         if status < 300 and not connection.units:
-            return Answer(Outcome.BROKEN)  # without its seal it is not the backend's
+            return Answer(Outcome.BROKEN)  # without the seal it did not come from the backend
         outcome = Outcome.ERROR if status >= 500 or status < 200 else Outcome.SERVED
         return Answer(outcome, body, 0.0, connection.headers, status, load)
 
 
 def read_load(value: bytes) -> tuple[float, ...]:
-    """Requests running, requests waiting and slots; empty for anything else."""
+    """Running requests, queued requests and slots, from an X-Backend-Load value; empty if malformed."""
     parts = value.split(b",")
     if len(parts) != 3 or not all(part.strip().isdigit() and len(part) < 8 for part in parts):
         return ()
@@ -85,7 +85,7 @@
 
 
 def read_keep_alive(value: bytes) -> float:
-    """Seconds of `timeout=`; nought if it tells none."""
+    """The seconds of `timeout=` in a Keep-Alive value; 0.0 if there are none."""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.lower() == b"timeout" and number.isdigit() and len(number) < 6:
--- a/embersill/edge/dataplane/gateway.py
+++ b/embersill/edge/dataplane/gateway.py
@@ -1,7 +1,8 @@
-"""The decisions of a gateway of the system: those of the program in service, where backends tell their load.
+"""The decisions of a gateway of the whole system, on top of the single gateway's in `Gateway`. No I/O.
 
-Admission, attempts and answers are `Gateway`'s. What is added: backends tell their slots and load, slices
-borrow from a reserve, the configuration changes, and a request that no backend ran is not charged. No I/O.
+`Gateway` does admission, attempts and answers. Added here: backends report their slots and load, quota slices
+borrow from a reserve, the configuration changes at run time, and a request that no backend executed is not
+charged.
 """
 
 from __future__ import annotations
@@ -15,17 +16,17 @@
 from embersill.control import Gateway
 from embersill.edge.configuration.lapses import Slowed
 from embersill.edge.configuration.policy import Policy
-from embersill.edge.dataplane.admission import HELD_PART, EdgeAdmission
+from embersill.edge.dataplane.admission import QUEUE_WAIT_SHARE, EdgeAdmission
 from embersill.edge.dataplane.attempts import EdgeAttempts
-from embersill.edge.dataplane.backend_choice import FAR, EdgeBackends, LoadedFleet
-from embersill.edge.dataplane.lingering import TIMER as LINGERING
+from embersill.edge.dataplane.backend_choice import REMOTE_ZONE_PENALTY_SHARE, EdgeBackends, LoadedFleet
+from embersill.edge.dataplane.lingering import TIMER_KEY_PREFIX as LINGERING_KEY_PREFIX
 from embersill.edge.rollout.watch import ByKind, Watch
 from embersill.edge.throttling.figures import Figures
 from embersill.interface import Configured, Lent, Others, Settings, Sliced, TimerDue
 
 
 class EdgeGateway(Gateway):
-    """Decides for one gateway of the system."""
+    """The request decisions of one gateway of the system."""
 
     attempts: EdgeAttempts
     admission: EdgeAdmission
@@ -41,49 +42,49 @@
         }
 
     def slow(self, tenants: Mapping[str, Slowed], figures: Figures | None) -> None:
-        """These tenants are slowed down from now on; `figures` counts requests where there are orders."""
-        self.attempts.squeezed, self.attempts.figures = tenants, figures
-        self.admission.squeezed = tenants  # what they hold already keeps the bound it came with
+        """Slows down these tenants from now on; `figures` counts requests while there are orders."""
+        self.attempts.slowed_tenants, self.attempts.figures = tenants, figures
+        self.admission.slowed_tenants = tenants  # requests queued already keep their wait bound
 
     def follow(self, policy: Policy, label: str) -> None:
-        """Decides by this policy from now on; `label`: the stretch of a run in which requests are counted."""
-        self.admission.hold_share = policy.get("wait_share", HELD_PART)
-        self.backends.set_far(policy.get("far_share", FAR))
+        """Applies this policy from now on; `label`: the rollout stage to count requests under, if any."""
+        self.admission.hold_share = policy.get("wait_share", QUEUE_WAIT_SHARE)
+        self.backends.set_remote_zone_penalty(policy.get("far_share", REMOTE_ZONE_PENALTY_SHARE))
         if not label:
-            self.attempts.observed = None
+            self.attempts.rollout_watch = None
             return
-        self.attempts.observed = self.attempts.observed or Watch()
-        self.attempts.observed.follow(label)
+        self.attempts.rollout_watch = self.attempts.rollout_watch or Watch()
+        self.attempts.rollout_watch.follow(label)
 
     def seen(self) -> dict[str, ByKind]:
-        """What was counted here, by stretch, while a policy is on its way."""
-        watch = self.attempts.observed
+        """The counts of this gateway by rollout stage; empty if there is no rollout."""
+        watch = self.attempts.rollout_watch
         if watch is None:
             return {}
         watch.look_for_missing(self.attempts.jobs.keys())
         return watch.stretches
 
     def parts(self) -> tuple[Backends, Attempts, Admission]:
-        """The parts of the decisions, with those of this gateway in place of the usual ones."""
+        """The backends, attempts and admission of this kind of gateway."""
         backends = EdgeBackends(self.turn)
         attempts = EdgeAttempts(self.turn, self.totals, backends)
         return backends, attempts, EdgeAdmission(self.turn, self.totals, attempts)
 
     def timer_due(self, event: TimerDue) -> None:
-        """A timer of the decisions is due."""
-        if event.key.startswith(LINGERING):
-            return self.attempts.lingering.end(int(event.key[len(LINGERING) :]))
+        """Handles a timer, here those of lingering attempts."""
+        if event.key.startswith(LINGERING_KEY_PREFIX):
+            return self.attempts.lingering.end(int(event.key[len(LINGERING_KEY_PREFIX) :]))
         return super().timer_due(event)
 
     def others(self, event: Others) -> None:
-        """What other gateways have out at backends, by their keepers."""
+        """Takes the counts of other gateways' in-flight attempts at backends, from the zones' keepers."""
         for name, count in event.out.items():
             server = self.servers.get(name)
             if server is not None:
                 server.others = count
 
     def configured(self, event: Configured) -> None:
-        """Takes over classes and plans; what is under way keeps its class."""
+        """Applies changed classes and plans; requests in progress keep their class."""
         self.turn.configure(event.settings)
         for klass in event.settings.classes:
             self.attempts.late.setdefault(klass.name, deque())
@@ -92,5 +93,5 @@
                 self.totals.granted.setdefault((plan.name, sure), float(sure))
         for fleet in self.backends.fleets.values():
             if isinstance(fleet, LoadedFleet):
-                fleet.resettle()
+                fleet.apply_settings()
         self.admission.replan()
--- a/embersill/edge/dataplane/handlers.py
+++ b/embersill/edge/dataplane/handlers.py
@@ -1,4 +1,4 @@
-"""What becomes of requests at a gateway's listeners: clients', the platform's probe, calls of control."""
+"""Request handlers of a gateway's listeners: client traffic, readiness and metrics, control API."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from embersill.edge.dataplane.dialect import OWN
+from embersill.edge.dataplane.dialect import HOP_BY_HOP_HEADERS
 from embersill.edge.dataplane.metrics import CONTENT_TYPE, Metrics
 from embersill.edge.configuration.routes import PUBLIC, Table, Way
 from embersill.edge.verdict import Verdict
@@ -22,8 +22,8 @@
 from embersill.net.clients import ClientConnection, Exchange
 from embersill.net.driver import Call, Driver
 
-LEFT = re.compile(rb"\d{1,9}(\.\d{1,9})?")
-NOT_PASSED = OWN | {
+REMAINING_MS = re.compile(rb"\d{1,9}(\.\d{1,9})?")
+NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {
     b"x-key",
     b"x-tenant-name",
     b"x-deadline-remaining-ms",
@@ -32,21 +32,23 @@
     b"host",
     b"expect",
 }
-SOON = b"Retry-After: 0.2\r\n"  # until a gateway that has just started knows more
-JSON = b"Content-Type: application/json\r\n"
-REPEAT_BELOW = 0.985  # of the longest time left that a first try has, less what its way takes
-FADES = 0.9995  # times, by each request, that the longest is remembered
-MOST_EARLY = 1000  # requests that wait for the first configuration
-EARLY_FOR = 0.5  # seconds that one does at most: by then a gateway that can be told it has been told
-EARLY_PART = 0.4  # and of the time that its client has left: the rest must do for a backend
-STOPPED_FOR = 15.0, 30.0  # seconds that callers of a tenant that is squeezed to nought are told to wait
-MOST_LEFT = 3600.0  # seconds that a client may say it waits
-INTERFACE = Path(__file__).parent.with_name("openapi.json")
+RETRY_SOON = b"Retry-After: 0.2\r\n"  # while a gateway that has just started has no configuration or majority
+JSON_CONTENT = b"Content-Type: application/json\r\n"
+# a request with less than this part of the longest remaining time on its route is taken for a client's retry;
+# first tries lose a little on their way here
+RETRY_BUDGET_RATIO = 0.985
+LONGEST_DECAY = 0.9995  # factor per request by which the remembered longest time decays
+MAX_EARLY = 1000  # requests that may wait for the first configuration
+EARLY_WAIT_S = 0.5  # longest wait for it: by then a gateway that can get a configuration has got it
+EARLY_WAIT_SHARE = 0.4  # and the part of the client's remaining time: the rest is needed for a backend
+STOPPED_RETRY_AFTER_S = 15.0, 30.0  # range of Retry-After for a tenant whose rate is reduced to zero
+MAX_BUDGET_S = 3600.0  # longest deadline that a client may ask for
+OPENAPI_PATH = Path(__file__).parent.with_name("openapi.json")
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
-    """A request as its connection read it; the connection may read another meanwhile."""
+class ReceivedRequest:
+    """A copy of a received request; its connection may read the next one meanwhile."""
 
     target: bytes
     headers: dict[bytes, bytes]
@@ -55,61 +57,61 @@
     received: float
 
 
-def left_of(headers: dict[bytes, bytes]) -> bytes:
-    """Milliseconds that the client waits from when its request was received, as it words them."""
+def remaining_ms(headers: dict[bytes, bytes]) -> bytes:
+    """The client's X-Deadline-Remaining-Ms, unparsed; empty if there is none."""
     return headers.get(b"x-deadline-remaining-ms", b"").strip()
 
 
 @dataclass(frozen=True, slots=True)
-class Early:
-    """A request that came before there was a configuration, and until when it may wait for one."""
+class EarlyRequest:
+    """A request received before the first configuration, and until when it may wait for one."""
 
-    arrived: Arrived
+    arrived: ReceivedRequest
     exchange: Exchange
     method: bytes
     until: float
 
 
 class ClientHandler:
-    """Turns clients' requests into calls: their route, whose key they carry, how long they may take."""
+    """Turns client requests into calls: finds their route, tenant and deadline."""
 
     def __init__(self, driver: Callable[[], Driver], chance: random.Random) -> None:
         self.driver, self.chance = driver, chance
         self.table: Table | None = None
-        self.early: list[Early] = []
-        self.on_stopped: Callable[[str], None] = lambda tenant: None  # one of its requests is turned away
-        # True while the process is behind: a client may have left between its request and now
+        self.early: list[EarlyRequest] = []
+        self.on_stopped: Callable[[str], None] = lambda tenant: None  # called per rejected request
+        # True while the event loop lags: a client may have disconnected since it sent its request
         self.is_behind: Callable[[], bool] = lambda: False
-        # calls something once the sockets have been looked at again, so that a client's leave is known
+        # calls a function once the sockets have been polled again, so that a client's disconnect is known
         self.after_next_look: Callable[[Callable[[], None]], None] = lambda call: call()
-        self.longest: dict[str, float] = {}  # by route, the most time that clients come with
+        self.longest_budget: dict[str, float] = {}  # seconds by route
 
-    def is_repeat(self, way: Way, left: float) -> bool:
-        """One that comes with less time than others on its route was here before, or at another gateway."""
-        longest = self.longest.get(way.name, 0.0)
-        self.longest[way.name] = max(longest * FADES, left)
-        return left < REPEAT_BELOW * longest
+    def looks_like_retry(self, way: Way, left: float) -> bool:
+        """True if a request has less time left than others on its route, as a retry has."""
+        longest_budget = self.longest_budget.get(way.name, 0.0)
+        self.longest_budget[way.name] = max(longest_budget * LONGEST_DECAY, left)
+        return left < RETRY_BUDGET_RATIO * longest_budget
 
     def take(self, connection: ClientConnection, exchange: Exchange, method: bytes) -> None:
-        """Takes a client's request whose head is read; BadRequest for one that is turned away."""
+        """Handles a client request whose head has been read; raises BadRequest to reject it."""
         if self.table is not None and not self.is_behind():
             return self.place(self.table, connection, exchange, method)
-        arrived = Arrived(
+        arrived = ReceivedRequest(
             connection.target, connection.headers, connection.body, connection.body_size, connection.received
         )
         if self.table is not None:
-            return self.after_next_look(lambda: self.place_late(arrived, exchange, method))
-        # a gateway that has just started: where clients come again only once, a 503 would lose them
-        if len(self.early) >= MOST_EARLY:
-            raise BadRequest(503, "no configuration yet", SOON)
-        told = left_of(arrived.headers)
-        left = float(told) / 1000.0 if LEFT.fullmatch(told) else EARLY_FOR
-        until = arrived.received + min(EARLY_FOR, EARLY_PART * left)
-        self.early.append(Early(arrived, exchange, method, until))
+            return self.after_next_look(lambda: self.place_after_look(arrived, exchange, method))
+        # the gateway has just started: a client that retries only once would be lost by a 503
+        if len(self.early) >= MAX_EARLY:
+            raise BadRequest(503, "no configuration yet", RETRY_SOON)
+        remaining = remaining_ms(arrived.headers)
+        left = float(remaining) / 1000.0 if REMAINING_MS.fullmatch(remaining) else EARLY_WAIT_S
+        until = arrived.received + min(EARLY_WAIT_S, EARLY_WAIT_SHARE * left)
+        self.early.append(EarlyRequest(arrived, exchange, method, until))
         return None
 
-    def place_late(self, arrived: Arrived, exchange: Exchange, method: bytes) -> None:
-        """Places a request that was read by a process that is behind, unless its client has left by now."""
+    def place_after_look(self, arrived: ReceivedRequest, exchange: Exchange, method: bytes) -> None:
+        """Places a request that was read while the event loop lagged, unless its client has left by now."""
         if exchange.connection.left or self.table is None:
             return
         try:
@@ -117,30 +119,30 @@
         except BadRequest as error:
             exchange.connection.refuse(exchange, error)
 
-    def begin(self, table: Table) -> None:
-        """This configuration holds from now on, also for requests that came before there was any."""
+    def apply_table(self, table: Table) -> None:
+        """Applies a configuration, also to the requests that waited for the first one."""
         self.table = table
         early, self.early = self.early, []
-        for one in early:
-            if one.exchange.connection.left:
-                continue  # its client has gone
+        for waiting in early:
+            if waiting.exchange.connection.left:
+                continue
             try:
-                self.place(table, one.arrived, one.exchange, one.method)
+                self.place(table, waiting.arrived, waiting.exchange, waiting.method)
             except BadRequest as error:
-                one.exchange.answer(error.status, f"{error}\n".encode(), error.headers)
+                waiting.exchange.answer(error.status, f"{error}\n".encode(), error.headers)
 
-    def give_up(self, now: float) -> None:
-        """Turns away those that have waited for a configuration as long as they may."""
-        late = [one for one in self.early if now >= one.until]
-        if late:
-            self.early = [one for one in self.early if now < one.until]
-            for one in late:
-                one.exchange.answer(503, b"no configuration yet\n", SOON)
+    def expire_early(self, now: float) -> None:
+        """Rejects requests that have waited for the first configuration for as long as they may."""
+        expired = [waiting for waiting in self.early if now >= waiting.until]
+        if expired:
+            self.early = [waiting for waiting in self.early if now < waiting.until]
+            for waiting in expired:
+                waiting.exchange.answer(503, b"no configuration yet\n", RETRY_SOON)
 
     def place(
-        self, table: Table, arrived: Arrived | ClientConnection, exchange: Exchange, method: bytes
+        self, table: Table, arrived: ReceivedRequest | ClientConnection, exchange: Exchange, method: bytes
     ) -> None:
-        """Finds where a request goes and whose it is, and hands it to the decisions."""
+        """Finds a request's route and tenant, and hands it to the decisions."""
         driver, headers = self.driver(), arrived.headers
         path = arrived.target.partition(b"?")[0].decode("latin-1")
         way = table.find(headers.get(b"host", b"").decode("latin-1"), path)
@@ -149,13 +151,15 @@
         tenant = self.tenant(table, way, headers)
         if table.stopped(tenant):
             self.on_stopped(tenant)
-            return exchange.answer(429, b"", b"Retry-After: %.1f\r\n" % self.chance.uniform(*STOPPED_FOR))
-        left = left_of(headers)
-        budget = min(float(left) / 1000.0, MOST_LEFT) if LEFT.fullmatch(left) else way.timeout
+            return exchange.answer(
+                429, b"", b"Retry-After: %.1f\r\n" % self.chance.uniform(*STOPPED_RETRY_AFTER_S)
+            )
+        left = remaining_ms(headers)
+        budget = min(float(left) / 1000.0, MAX_BUDGET_S) if REMAINING_MS.fullmatch(left) else way.timeout
         call_id = headers.get(b"x-attempt-id", b"")
         if call_id and driver.is_open(call_id):
             raise BadRequest(409, "a request with this X-Attempt-Id is open")
-        repeat = bool(left) and self.is_repeat(way, budget)
+        repeat = bool(left) and self.looks_like_retry(way, budget)
         body, rest = arrived.body, None
         if arrived.body_size > 65536:
             body, rest = [], arrived.body
@@ -181,7 +185,7 @@
         )
 
     def tenant(self, table: Table, way: Way, headers: dict[bytes, bytes]) -> str:
-        """Whose key the request carries; the public plan's name where it needs none."""
+        """The tenant whose key the request carries; `PUBLIC` where no key is needed."""
         if way.public or not table.keyed:
             return PUBLIC
         found = table.keys.get(headers.get(b"x-key", b"").decode("latin-1"))
@@ -198,12 +202,12 @@
         call_id: bytes,
         tenant: str,
     ) -> bytes:
-        """What goes on to a backend; the time left and the instance are added as it is sent."""
+        """The request head for a backend; `EdgeDialect` adds deadline and instance when it is sent."""
         parts = [b"%b %b HTTP/1.1\r\nHost: %b\r\n" % (method, target, headers.get(b"host", b""))]
         named = headers.get(b"connection")
         dropped = frozenset(n.strip().lower() for n in named.split(b",")) if named else frozenset()
         for name, value in headers.items():
-            if name not in NOT_PASSED and name not in dropped:
+            if name not in NOT_FORWARDED_HEADERS and name not in dropped:
                 parts.append(b"%b: %b\r\n" % (name, value))
         if call_id:
             parts.append(b"X-Attempt-Id: %b\r\n" % call_id)
@@ -215,13 +219,13 @@
 
 
 class ReadinessHandler:
-    """The platform asks whether new clients may come here, and how the gateway fares."""
+    """Serves the readiness probe and the metrics."""
 
     def __init__(self, is_ready: Callable[[], bool], metrics: Metrics) -> None:
         self.is_ready, self.metrics = is_ready, metrics
 
     def take(self, connection: ClientConnection, exchange: Exchange, method: bytes) -> None:
-        """Answers the platform's question."""
+        """Answers a probe or a scrape; raises BadRequest for anything else."""
         path = connection.target.partition(b"?")[0]
         if path not in (b"/api/readiness", b"/api/metrics"):
             raise BadRequest(404, "no such path")
@@ -234,8 +238,8 @@
 
 @lru_cache(maxsize=1)
 def operations() -> dict[tuple[bytes, str], str]:
-    """What the interface's file names: (method, path with `{id}` cut off) to the operation's id."""
-    paths = json.loads(INTERFACE.read_text())["paths"]
+    """The operation ids of the OpenAPI file by method and path, with `{id}` cut off the path."""
+    paths = json.loads(OPENAPI_PATH.read_text())["paths"]
     return {
         (method.upper().encode(), path.partition("{")[0]): operation["operationId"]
         for path, methods in paths.items()
@@ -244,13 +248,13 @@
 
 
 class ControlHandler:
-    """Calls of backends and operators, as the interface's file has them."""
+    """The control API for backends and operators, as the OpenAPI file describes it."""
 
     def __init__(self, call: Callable[[str, Any, Callable[[Verdict], None]], None]) -> None:
         self.call = call
 
     def take(self, connection: ClientConnection, exchange: Exchange, method: bytes) -> None:
-        """Takes a call of a backend or an operator; BadRequest for one that there is none like."""
+        """Handles a call of a backend or an operator; raises BadRequest for an unknown or malformed one."""
         path = connection.target.partition(b"?")[0].decode("latin-1")
         known, name = operations(), ""
         operation = known.get((method, path))
@@ -258,8 +262,8 @@
             folder, _, name = path.rpartition("/")
             operation = known.get((method, folder + "/")) if name else None
         if operation is None:
-            there = {path, path.rpartition("/")[0] + "/"}
-            allowed = [m for m, p in known if p in there]
+            candidates = {path, path.rpartition("/")[0] + "/"}
+            allowed = [m for m, p in known if p in candidates]
             if allowed:
                 raise BadRequest(405, "no such method here", b"Allow: %b\r\n" % b", ".join(allowed))
             raise BadRequest(404, "no such path")
@@ -275,7 +279,7 @@
             body = {**body, "id": unquote(name)}
 
         def answered(verdict: Verdict) -> None:
-            advice = JSON if verdict.status != 503 else JSON + SOON
+            advice = JSON_CONTENT if verdict.status != 503 else JSON_CONTENT + RETRY_SOON
             exchange.answer(verdict.status, msgspec.json.encode(verdict.body), advice)
 
         self.call(operation, body, answered)
--- a/embersill/edge/dataplane/in_flight.py
+++ b/embersill/edge/dataplane/in_flight.py
@@ -1,4 +1,4 @@
-"""What a gateway has out at backends, gathered for a moment before the keepers of their zones are told."""
+"""Reports a gateway's in-flight counts in small batches to the keepers of the backends' zones."""
 
 from __future__ import annotations
 
@@ -8,35 +8,38 @@
 from embersill.interface import Others
 from embersill.work import Server
 
-SHARED_AFTER = 0.002  # seconds in which what has moved is gathered
+REPORT_DELAY_S = 0.002  # changes are batched for this long
 
 
 class InFlight:
-    """Between the data plane's attempts and the node's loads."""
+    """Connects the data plane's attempts with the node's load reports."""
 
     def __init__(
-        self, node: Node, told: Callable[[Others], None], later: Callable[[float, Callable[[], None]], object]
+        self,
+        node: Node,
+        post: Callable[[Others], None],
+        call_later: Callable[[float, Callable[[], None]], object],
     ) -> None:
-        """`later`: calls something after so many seconds; one that is called after the end does nothing."""
-        self.node, self.later = node, later
-        self.moved: dict[str, Server] = {}  # backends at which more or less is out since it was told
-        self.flushed: Callable[[], None] = lambda: None
-        node.loads.on_others = lambda others: told(Others(others))
-        node.loads.on_due = lambda delay: later(delay, self.due)
+        """`call_later`: calls a function after a delay in seconds; a call after shutdown does no harm."""
+        self.node, self.call_later = node, call_later
+        self.changed_servers: dict[str, Server] = {}  # by backend; since the last report
+        self.on_flush: Callable[[], None] = lambda: None
+        node.loads.on_others = lambda others: post(Others(others))
+        node.loads.on_due = lambda delay: call_later(delay, self.flush_loads)
 
     def changed(self, server: Server) -> None:
-        """The number of requests out at a backend has changed."""
-        if not self.moved:
-            self.later(SHARED_AFTER, self.share)
-        self.moved[server.backend.address] = server
-
-    def share(self) -> None:
-        """Tells the changes that were gathered."""
-        moved, self.moved = self.moved, {}
-        self.node.loads.share({name: (s.backend.zone, s.flight) for name, s in moved.items()})
-        self.flushed()
-
-    def due(self) -> None:
-        """Passes on what was gathered for gateways of this zone."""
+        """Notes that the number of attempts in flight at a backend has changed."""
+        if not self.changed_servers:
+            self.call_later(REPORT_DELAY_S, self.report)
+        self.changed_servers[server.backend.address] = server
+
+    def report(self) -> None:
+        """Reports the collected changes."""
+        changed_servers, self.changed_servers = self.changed_servers, {}
+        self.node.loads.report({name: (s.backend.zone, s.flight) for name, s in changed_servers.items()})
+        self.on_flush()
+
+    def flush_loads(self) -> None:
+        """Sends the sums collected for the gateways of this zone."""
         self.node.loads.flush()
-        self.flushed()
+        self.on_flush()
--- a/embersill/edge/dataplane/metrics.py
+++ b/embersill/edge/dataplane/metrics.py
@@ -1,7 +1,4 @@
-"""Figures of one gateway's data plane as text, for whoever collects metrics.
-
-The format is Prometheus' text exposition format 0.0.4. Gauges are of the moment, counters since the start.
-"""
+"""Metrics of one gateway's data plane, in Prometheus' text exposition format 0.0.4."""
 
 from __future__ import annotations
 
@@ -13,18 +10,18 @@
 
 
 class Metrics:
-    """Reads the figures where they arise; keeps none but the longest delay of the event loop."""
+    """Reads metrics from the data plane's objects; itself it keeps only the longest event loop delay."""
 
     def __init__(self, driver: Driver, gateway: EdgeGateway, front: Front) -> None:
         self.driver, self.gateway, self.front = driver, gateway, front
-        self.loop_delay = 0.0  # seconds that a timer came late, at most, since the figures were last read
+        self.loop_delay = 0.0  # longest delay of a timer in seconds since the metrics were last read
 
-    def timer_late(self, seconds: float) -> None:
-        """A periodic timer came so many seconds after it was due."""
+    def note_timer_delay(self, seconds: float) -> None:
+        """Notes that a periodic timer fired so many seconds late."""
         self.loop_delay = max(self.loop_delay, seconds)
 
     def gauges(self) -> dict[str, float]:
-        """Figures of the moment, by name."""
+        """The current gauges by name; resets the event loop delay."""
         driver, pool = self.driver, self.driver.pool
         delay, self.loop_delay = self.loop_delay, 0.0
         return {
@@ -40,7 +37,7 @@
         }
 
     def text(self) -> bytes:
-        """All figures, a line each."""
+        """All metrics, one per line; counters count since the start."""
         lines = [f"embersill_{name} {value}" for name, value in self.gauges().items()]
         lines.append(f"embersill_requests_total {self.driver.taken}")
         lines.append(f"embersill_attempts_total {self.driver.pool.tries}")
--- a/embersill/edge/dataplane/tally.py
+++ b/embersill/edge/dataplane/tally.py
@@ -1,4 +1,4 @@
-"""Where a gateway's counts of demand go: to the members of the core that sum them, over held links."""
+"""Reports a gateway's demand to the core members that sum it; fetches slices and loans of quotas."""
 
 from __future__ import annotations
 
@@ -7,84 +7,85 @@
 from embersill.edge.node import Node
 from embersill.interface import Borrow, Count, Lent, Sliced
 
-GATHER = 0.02  # seconds in which counts are gathered into one message
-UNREACHED = -1.0  # units lent where nobody could be asked
-LENT_WITHIN = 0.1  # seconds that a request waits for what a reserve may lend
+GATHER_S = 0.02  # counts are batched into one message for this long
+UNREACHABLE_UNITS = -1.0  # reported as lent if the lender could not be asked
+BORROW_TIMEOUT_S = 0.1  # how long a request waits for a loan from the reserve
 
 
-class Tally:
-    """The module's counter, as the driver sees it: nothing is stored, and what is lost is told anew.
+class QuotaClient:
+    """The driver's counter of quotas. Nothing is stored, and lost messages are made up for by the next ones.
 
-    A second's demand goes to the tenant's summing member; the reading that the module asks for a moment later
-    is the slice which that member gives. What does not come is silence: the module takes the even slice then.
+    Each second's demand goes to the member that sums the tenant's demand; the reading that the decisions
+    request a moment later is the slice which that member assigns. If no answer comes the decisions use the
+    even slice.
     """
 
     def __init__(
         self,
         node: Node,
         clock: Callable[[], float],
-        told: Callable[[Lent | Sliced], None],
-        later: Callable[[float, Callable[[], None]], object],
+        post: Callable[[Lent | Sliced], None],
+        call_later: Callable[[float, Callable[[], None]], object],
     ) -> None:
-        """`later`: calls something after so many seconds; one that is called after the end does nothing."""
-        self.node, self.clock, self.told, self.later = node, clock, told, later
+        """`call_later`: calls a function after a delay in seconds; a call after shutdown does no harm."""
+        self.node, self.clock, self.post, self.call_later = node, clock, post, call_later
         self.closed = False
         self.use: dict[str, float] = {}
-        self.wanted: set[str] = set()
+        self.slices_wanted: set[str] = set()
         self.gathering = False
-        self.lenders: dict[str, float] = {}  # by tenant, until when what was asked of its reserve may come
-        self.flushed: Callable[[], None] = lambda: None
+        self.borrow_deadlines: dict[str, float] = {}  # by tenant, for open requests to its reserve
+        self.on_flush: Callable[[], None] = lambda: None
         node.demand.on_slices, node.demand.on_lent = self.slices, self.lent
 
     def count(self, action: Count) -> None:
-        """Notes what a tenant uses here, or that its slice is wanted."""
+        """Notes a tenant's use, or, with no amount, that its slice is wanted."""
         tenant = action.name.rpartition(".")[0]
         if action.amount > 0:
             self.use[tenant] = action.amount
         else:
-            self.wanted.add(tenant)
+            self.slices_wanted.add(tenant)
         if not self.gathering:
             self.gathering = True
-            self.later(GATHER, self.flush)
+            self.call_later(GATHER_S, self.flush)
 
     def flush(self) -> None:
-        """Tells the members that sum what was gathered."""
+        """Sends the batched counts and slice requests to the summing members."""
         self.gathering = False
         if self.closed:
             return
-        use, self.use, wanted, self.wanted = self.use, {}, self.wanted, set()
-        telling: dict[str, dict[str, float]] = {}
-        reading: dict[str, list[str]] = {}
+        use, self.use, slices_wanted, self.slices_wanted = self.use, {}, self.slices_wanted, set()
+        uses_by_member: dict[str, dict[str, float]] = {}
+        tenants_by_member: dict[str, list[str]] = {}
         for tenant, amount in use.items():
-            telling.setdefault(self.node.demand.summing(tenant), {})[tenant] = amount
-        for tenant in sorted(wanted):
-            reading.setdefault(self.node.demand.summing(tenant), []).append(tenant)
+            uses_by_member.setdefault(self.node.demand.summing(tenant), {})[tenant] = amount
+        for tenant in sorted(slices_wanted):
+            tenants_by_member.setdefault(self.node.demand.summing(tenant), []).append(tenant)
         me, mail = self.node.me.name, self.node.effects.mail
-        for name, told in telling.items():
+        for name, reported in uses_by_member.items():
             if name == me:
-                self.node.demand.sums.tell(me, told, self.node.now)
+                self.node.demand.sums.tell(me, reported, self.node.now)
             else:
-                mail.append((name, {"kind": "use", "use": told}))
-        for name, tenants in reading.items():
+                mail.append((name, {"kind": "use", "use": reported}))
+        for name, tenants in tenants_by_member.items():
             if name == me:
                 self.slices(self.node.demand.slices(me, tenants, self.node.now), self.clock())
             else:
                 mail.append((name, {"kind": "totals", "names": tenants, "at": round(self.clock(), 4)}))
-        self.flushed()
+        self.on_flush()
 
     def slices(self, slices: dict[str, float], at: float | None) -> None:
-        """Slices have come; `at`: when they were reckoned."""
+        """Passes received slices on; `at`: when they were requested, by this gateway's clock."""
         age = max(self.clock() - at, 0.0) if at is not None else None
         for tenant, rate in slices.items():
-            self.told(Sliced(tenant, rate, age))
+            self.post(Sliced(tenant, rate, age))
 
     def borrow(self, action: Borrow) -> None:
-        """Asks the one gateway that has the tenant's reserve; where it can't be reached there is nothing."""
+        """Asks the holder of the tenant's reserve for tokens; an unreachable one lends none."""
         asked = {action.customer: action.units}
         lender = self.node.demand.summing(action.customer)
-        self.lenders[action.customer] = self.clock() + LENT_WITHIN
+        self.borrow_deadlines[action.customer] = self.clock() + BORROW_TIMEOUT_S
         if lender == self.node.me.name:
-            self.later(0.0, lambda: self.lend_here(asked))
+            self.call_later(0.0, lambda: self.lend_locally(asked))
         elif lender in self.node.peers.linked:
             message = {
                 "kind": "borrow",
@@ -93,32 +94,32 @@
                 "life": self.node.me.boot,
             }
             self.node.effects.mail.append((lender, message))
-            self.flushed()
+            self.on_flush()
         else:
-            self.later(0.0, lambda: self.lent({action.customer: UNREACHED}))
+            self.call_later(0.0, lambda: self.lent({action.customer: UNREACHABLE_UNITS}))
 
-    def lend_here(self, asked: dict[str, float]) -> None:
-        """This gateway sums for these tenants itself."""
+    def lend_locally(self, asked: dict[str, float]) -> None:
+        """Borrows from a reserve that this gateway holds itself."""
         lent, slices = self.node.demand.lend(self.node.me.name, asked, self.node.now)
         self.lent(lent)
         self.slices(slices, self.clock())
 
     def lent(self, units: dict[str, float]) -> None:
-        """The reserve has lent, or not."""
+        """Passes on what a reserve has lent, which may be nothing."""
         for tenant, lent in units.items():
-            if self.lenders.pop(tenant, None) is not None:
-                self.told(Lent(tenant, lent))
+            if self.borrow_deadlines.pop(tenant, None) is not None:
+                self.post(Lent(tenant, lent))
 
     def tick(self) -> None:
-        """Gives up loans that nobody has answered in time."""
+        """Gives up on loan requests that were not answered in time."""
         now = self.clock()
-        for tenant, until in list(self.lenders.items()):
+        for tenant, until in list(self.borrow_deadlines.items()):
             if now >= until:
-                self.lent({tenant: UNREACHED})
+                self.lent({tenant: UNREACHABLE_UNITS})
 
     def move(self, address: tuple[str, int]) -> None:
-        """There is no counter that could move."""
+        """Does nothing: there is no external counter whose address could change."""
 
     def close(self) -> None:
-        """Nothing is told any more."""
+        """Stops sending counts."""
         self.closed = True
--- a/embersill/edge/discovery/loads.py
+++ b/embersill/edge/discovery/loads.py
@@ -34,7 +34,7 @@
 
     # as a gateway
 
-    def share(self, out: Mapping[str, tuple[str, int]]) -> None:
+    def report(self, out: Mapping[str, tuple[str, int]]) -> None:
         """What is out from here now, by backend, with its zone: only what has changed."""
         by_keeper: dict[str, dict[str, int]] = {}
         for backend, (zone, count) in out.items():
--- a/embersill/edge/program.py
+++ b/embersill/edge/program.py
@@ -34,7 +34,7 @@
 from embersill.edge.configuration.routes import WARM_WITHIN, Table, settings_for
 from embersill.edge.storage.store import Store
 from embersill.edge.dataplane.metrics import Metrics
-from embersill.edge.dataplane.tally import Tally
+from embersill.edge.dataplane.tally import QuotaClient
 from embersill.interface import Backend, Configured, ListKind, Settings, Status
 from embersill.net.backends import Pool
 from embersill.net.clients import Front
@@ -101,11 +101,11 @@
         self.driver = Driver(self.gateway, self.clock, self.pool)
         self.driver.busy = 503
         self.in_flight = InFlight(self.node, self.driver.post, self.loop.call_later)
-        self.in_flight.flushed = self.carry_out
-        self.gateway.attempts.on_flight = self.in_flight.changed
-        self.tally = Tally(self.node, self.clock, self.driver.post, self.loop.call_later)
-        self.tally.flushed = self.carry_out
-        self.driver.counter, self.driver.reserve = self.tally, self.tally.borrow
+        self.in_flight.on_flush = self.carry_out
+        self.gateway.attempts.on_in_flight_change = self.in_flight.changed
+        self.quota_client = QuotaClient(self.node, self.clock, self.driver.post, self.loop.call_later)
+        self.quota_client.on_flush = self.carry_out
+        self.driver.counter, self.driver.reserve = self.quota_client, self.quota_client.borrow
         sums = self.node.demand.sums
         sums.overshoot, sums.slack = bound(local, "quota_overshoot", 0.0), bound(local, "quota_slack", 0.0)
         self.handler = ClientHandler(lambda: self.driver, self.chance)
@@ -163,7 +163,7 @@
         self.front.idle_limit = limits.get("idle_timeout_s", 15.0) + 0.5
         self.gateway.slow(table.squeezed, self.node.figures)
         self.driver.post(Configured(self.settings()))
-        self.handler.begin(table)
+        self.handler.apply_table(table)
         log.info("configuration version=%d routes=%d", table.version, len(table.document["routes"]))
 
     def policy_came(self, policy: Policy, label: str) -> None:
@@ -229,8 +229,8 @@
         try:
             self.node.tick(self.clock())
             self.links.tick()
-            self.tally.tick()
-            self.handler.give_up(self.clock())
+            self.quota_client.tick()
+            self.handler.expire_early(self.clock())
             if self.node.peers.count != self.count:
                 self.count = self.node.peers.count
                 self.driver.post(Configured(self.settings()))
@@ -242,7 +242,7 @@
         """Notes by how much a tick came late: by so much all else that has come is read late."""
         late = now - self.tick_due
         self.tick_due = now + TICK
-        self.metrics.timer_late(late)
+        self.metrics.note_timer_delay(late)
         if late > BEHIND_BY:
             self.behind_until = now + BEHIND_FOR
 
@@ -300,7 +300,7 @@
         self.front.close_idle()
         await self.driver.wait_answered(max(end - self.clock() - 5 * SHORT, SHORT))
         self.driver.rescue_all()
-        self.handler.give_up(math.inf)
+        self.handler.expire_early(math.inf)
         self.front.close_idle()
         await self.front.wait_drained(4 * SHORT)
         while not self.node.agreement.handover.complete and self.clock() < end:
@@ -312,7 +312,7 @@
             self.ticker.cancel()
         self.links.close()
         self.pool.close()
-        self.tally.close()
+        self.quota_client.close()
         if self.store is not None:
             self.store.close()
         log.info("stopped node=%s", self.node.me.name)
--- a/embersill/lab/edge/lapsing.py
+++ b/embersill/lab/edge/lapsing.py
@@ -95,7 +95,7 @@
         """The lapsed tenant has this share of its rate from now on."""
         self.share = share
         if self.way == "lower priority":
-            self.decider.attempts.squeezed = {LAPSED: Slowed(0.0, 0.0, share - 1.0)}
+            self.decider.attempts.slowed_tenants = {LAPSED: Slowed(0.0, 0.0, share - 1.0)}
 
     def ask(
         self, tenant: str, patience: float, route: str = "r0", repeat: bool = False, caller: str = ""
--- a/embersill/lab/edge/town.py
+++ b/embersill/lab/edge/town.py
@@ -1,8 +1,8 @@
 """Gateways with their data plane in the world's time: the control plane of `fleet`, and requests on it.
 
-Each machine decides by the classes that are in service (`Node`, `EdgeGateway`, `Tally`); clients, backends
-and the network are the world's. What every request came to is written down, and what each tenant ran is held
-against its quota after every send.
+Each machine decides by the classes that are in service (`Node`, `EdgeGateway`, `QuotaClient`); clients,
+backends and the network are the world's. What every request came to is written down, and what each tenant
+ran is held against its quota after every send.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from embersill.edge.dataplane.in_flight import InFlight
 from embersill.edge.configuration.policy import Policy
 from embersill.edge.configuration.routes import Table, settings_for
-from embersill.edge.dataplane.tally import Tally
+from embersill.edge.dataplane.tally import QuotaClient
 from embersill.interface import (
     AttemptEnded,
     Backend,
@@ -103,11 +103,13 @@
         assert self.node is not None
         self.first, self.count = first, 1
         self.decider = EdgeGateway(self.settings(), self.fleet.chance.getrandbits(32), self.fleet.kernel.now)
-        self.tally = Tally(self.node, lambda: self.fleet.kernel.now, self.post, self.process.after)
-        self.tally.flushed = self.carry_out
+        self.quota_client = QuotaClient(
+            self.node, lambda: self.fleet.kernel.now, self.post, self.process.after
+        )
+        self.quota_client.on_flush = self.carry_out
         self.flights = InFlight(self.node, self.post, self.process.after)
-        self.flights.flushed = self.carry_out
-        self.decider.attempts.on_flight = self.flights.changed
+        self.flights.on_flush = self.carry_out
+        self.decider.attempts.on_in_flight_change = self.flights.changed
         self.node.on_table = self.table_came
         self.node.on_policy = self.policy_came
         self.node.roller.counts = self.decider.seen
@@ -152,7 +154,7 @@
     def tick(self) -> None:
         """What is due by now, of decisions too."""
         if self.node is not None:
-            self.tally.tick()
+            self.quota_client.tick()
             if self.node.peers.count != self.count:
                 self.count = self.node.peers.count
                 self.post(Configured(self.settings()))
@@ -161,7 +163,7 @@
     def kill(self) -> None:
         """The process dies, and with it what it had under way."""
         if self.node is not None:
-            self.tally.close()
+            self.quota_client.close()
             for one in self.open.values():
                 one.end, one.ended_at = "failed", self.fleet.kernel.now
             self.open.clear()
@@ -201,9 +203,9 @@
         if isinstance(action, SetTimer):
             self.process.after(action.delay, lambda: self.post(TimerDue(action.key)))
         elif isinstance(action, Count):
-            self.tally.count(action)
+            self.quota_client.count(action)
         elif isinstance(action, Borrow):
-            self.tally.borrow(action)
+            self.quota_client.borrow(action)
         elif isinstance(action, Send):
             self.send(action)
         elif isinstance(action, Refuse):
--- a/tests/edge/test_lapses.py
+++ b/tests/edge/test_lapses.py
@@ -405,7 +405,7 @@
 def test_at_a_step_of_nought_callers_are_turned_away_at_the_door_and_told_when_to_come() -> None:
     driven = Driven()
     desk = ClientHandler(lambda: driven, random.Random(1))  # type: ignore[arg-type,return-value]
-    desk.begin(Table(document(1), {"t": STOPPED}))  # type: ignore[arg-type]
+    desk.apply_table(Table(document(1), {"t": STOPPED}))  # type: ignore[arg-type]
     asked = [Asked(b"/p0/1") for _ in range(20)]
     for one in asked:
         desk.take(one, one, b"GET")  # type: ignore[arg-type]
--- a/tests/edge/test_leave_invariants.py
+++ b/tests/edge/test_leave_invariants.py
@@ -187,7 +187,7 @@
     carrier = Carrier(gateway, seed)
     carrier.play(moves=True)
     assert_calm(gateway)
-    assert not gateway.attempts.lingering.servers and not gateway.attempts.lingering.by_server
+    assert not gateway.attempts.lingering.servers and not gateway.attempts.lingering.serials_by_server
     throttle = gateway.throttles["t"]
     assert throttle.level <= max(throttle.bank, 10.0 + carrier.borrowed)
     assert not any(server.flight for server in gateway.servers.values())
--- a/tests/edge/test_loads.py
+++ b/tests/edge/test_loads.py
@@ -62,7 +62,7 @@
     for _ in range(300):
         name, backend = zone.chance.choice(sorted(ZONES)), zone.chance.choice(["x1", "x2", "y1"])
         out[name][backend] = {"x": "a", "y": "b"}[backend[0]], zone.chance.randrange(4)
-        zone.loads[name].share(out[name])
+        zone.loads[name].report(out[name])
         zone.carry(least=1)
         if zone.chance.random() < 0.05:
             keeper, gateway = zone.chance.choice(["k1", "k2"]), zone.chance.choice(["g1", "g2", "g3"])
@@ -86,8 +86,8 @@
 
 def test_a_gateway_hears_what_the_others_have_out_and_not_its_own() -> None:
     zone = Zone(1)
-    zone.loads["g1"].share({"x1": ("a", 2)})
-    zone.loads["g3"].share({"x1": ("a", 1)})
+    zone.loads["g1"].report({"x1": ("a", 2)})
+    zone.loads["g3"].report({"x1": ("a", 1)})
     zone.carry()
     assert zone.others["g1"] == {"x1": 1} and zone.others["g2"] == {"x1": 3} and zone.others["g3"] == {}
     zone.rolls["g1"].unlink("k1", 0.0)
--- a/tests/edge/test_parts.py
+++ b/tests/edge/test_parts.py
@@ -11,7 +11,7 @@
 from embersill.edge.configuration.check import checked
 from embersill.edge.dataplane.gateway import EdgeGateway
 from embersill.edge.configuration.document import EMPTY, State, changed, read_version, write_version
-from embersill.edge.dataplane.handlers import MOST_EARLY, SOON, ClientHandler
+from embersill.edge.dataplane.handlers import MAX_EARLY, RETRY_SOON, ClientHandler
 from embersill.edge.discovery.instances import Instance, Instances
 from embersill.edge.local import Local, read_local
 from embersill.edge.peers.ring import by_place
@@ -439,24 +439,26 @@
     for one in (known, hasty, unknown, gone):
         desk.take(one, one, b"POST")  # type: ignore[arg-type]
     known.target, known.headers = b"/other", {}  # the connection reads its next request
-    desk.give_up(10.2)
-    assert hasty.answers == [(503, SOON)] and not known.answers  # a tenth of a second is all it may wait
+    desk.expire_early(10.2)
+    assert (
+        hasty.answers == [(503, RETRY_SOON)] and not known.answers
+    )  # a tenth of a second is all it may wait
     gone.left = True
-    desk.begin(Table(document(1)))  # type: ignore[arg-type]
+    desk.apply_table(Table(document(1)))  # type: ignore[arg-type]
     assert unknown.answers[0][0] == 404 and known.number == 1 and not known.answers and not gone.answers
     assert [call.head.split(b" ")[1] for call in driven.taken] == [b"/p0/1"]
     assert driven.taken[0].customer == "t" and driven.taken[0].received == 10.0
-    desk.give_up(math.inf)
+    desk.expire_early(math.inf)
     assert not desk.early and [len(one.answers) for one in (known, hasty, unknown)] == [0, 1, 1]
 
 
 def test_early_requests_have_a_bound() -> None:
     desk = ClientHandler(lambda: Driven(), random.Random(1))  # type: ignore[arg-type,return-value]
-    crowd = [Asked(b"/p0/1") for _ in range(MOST_EARLY)]
+    crowd = [Asked(b"/p0/1") for _ in range(MAX_EARLY)]
     for one in crowd:
         desk.take(one, one, b"GET")  # type: ignore[arg-type]
     with pytest.raises(BadRequest) as refused:
         desk.take(crowd[0], crowd[0], b"GET")  # type: ignore[arg-type]
-    assert refused.value.status == 503 and refused.value.headers == SOON
-    desk.give_up(math.inf)
-    assert not desk.early and all(one.answers == [(503, SOON)] for one in crowd)
+    assert refused.value.status == 503 and refused.value.headers == RETRY_SOON
+    desk.expire_early(math.inf)
+    assert not desk.early and all(one.answers == [(503, RETRY_SOON)] for one in crowd)
--- a/tests/edge/test_rollout.py
+++ b/tests/edge/test_rollout.py
@@ -252,7 +252,7 @@
     for machine in town.machines:
         assert isinstance(machine, Gateway) and machine.node is not None
         assert machine.node.policy == (GOOD, "") and machine.decider.backends.far == 0.2
-        assert machine.decider.attempts.observed is None
+        assert machine.decider.attempts.rollout_watch is None
 
 
 @pytest.mark.parametrize("harm", HARMS)
--- a/tests/edge/test_sockets.py
+++ b/tests/edge/test_sockets.py
@@ -13,7 +13,7 @@
 
 from embersill.edge.records import Stored
 from embersill.edge.__main__ import main
-from embersill.edge.dataplane.handlers import INTERFACE, operations
+from embersill.edge.dataplane.handlers import OPENAPI_PATH, operations
 from embersill.edge.local import Local
 from embersill.edge.logs import line
 from embersill.edge.program import System, first_vote
@@ -285,7 +285,7 @@
         address = f"127.0.0.4:{ports[2]}"
         status = await asyncio.to_thread(main, ["status", address])
         told = json.loads(capsys.readouterr().out)
-        schema = json.loads(INTERFACE.read_text())["components"]["schemas"]["Status"]
+        schema = json.loads(OPENAPI_PATH.read_text())["components"]["schemas"]["Status"]
         assert status == 0 and set(told) == set(schema["required"]) == set(schema["properties"])
         assert told["members"] == {"n1": True, "n2": True, "n3": True} and told["epoch"] == 1
         assert told["version"] == "00000001" and told["backends"] == {"s": {"ready": 1}}
