--- a/embersill/edge/dataplane/gateway.py
+++ b/embersill/edge/dataplane/gateway.py
@@ -22,7 +22,7 @@
 from embersill.edge.dataplane.lingering import TIMER_KEY_PREFIX as LINGERING_KEY_PREFIX
 from embersill.edge.rollout.watch import ByKind, Watch
 from embersill.edge.throttling.figures import Figures
-from embersill.interface import Configured, Lent, Others, Settings, Sliced, TimerDue
+from embersill.interface import Configured, Lent, PeerLoad, Settings, Sliced, TimerDue
 
 
 class EdgeGateway(Gateway):
@@ -38,7 +38,7 @@
             Configured: self.configured,
             Lent: self.admission.lent,
             Sliced: self.admission.sliced,
-            Others: self.others,
+            PeerLoad: self.others,
         }
 
     def slow(self, tenants: Mapping[str, Slowed], figures: Figures | None) -> None:
@@ -76,7 +76,7 @@
             return self.attempts.lingering.end(int(event.key[len(LINGERING_KEY_PREFIX) :]))
         return super().timer_due(event)
 
-    def others(self, event: Others) -> None:
+    def others(self, event: PeerLoad) -> None:
         """Takes the counts of other gateways' in-flight attempts at backends, from the zones' keepers."""
         for name, count in event.out.items():
             server = self.servers.get(name)
--- a/embersill/edge/dataplane/in_flight.py
+++ b/embersill/edge/dataplane/in_flight.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from embersill.edge.node import Node
-from embersill.interface import Others
+from embersill.interface import PeerLoad
 from embersill.work import Server
 
 REPORT_DELAY_S = 0.002  # changes are batched for this long
@@ -17,14 +17,14 @@
     def __init__(
         self,
         node: Node,
-        post: Callable[[Others], None],
+        post: Callable[[PeerLoad], None],
         call_later: Callable[[float, Callable[[], None]], object],
     ) -> None:
         """`call_later`: calls a function after a delay in seconds; a call after shutdown does no harm."""
         self.node, self.call_later = node, call_later
         self.changed_servers: dict[str, Server] = {}  # by backend; since the last report
         self.on_flush: Callable[[], None] = lambda: None
-        node.loads.on_others = lambda others: post(Others(others))
+        node.loads.on_others = lambda others: post(PeerLoad(others))
         node.loads.on_due = lambda delay: call_later(delay, self.flush_loads)
 
     def changed(self, server: Server) -> None:
--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -280,7 +280,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Others:
+class PeerLoad:
     """Attempts that other gateways have out at backends; below nought where that is not known."""
 
     out: dict[str, int]
@@ -335,7 +335,7 @@
     | Configured
     | Lent
     | Sliced
-    | Others
+    | PeerLoad
 )
 
 
--- a/tests/edge/test_slowed.py
+++ b/tests/edge/test_slowed.py
@@ -5,7 +5,7 @@
 import pytest
 
 from embersill.edge.configuration.lapses import Slowed
-from embersill.interface import Borrow, Lent, Others, Outcome, Refuse, Send, TimerDue
+from embersill.interface import Borrow, Lent, Outcome, PeerLoad, Refuse, Send, TimerDue
 from embersill.lab.edge.lapsing import SHARES, TROUBLES, WAYS, measured, play
 from tests.edge.test_parts import ask, edge, ended, of
 
@@ -28,7 +28,7 @@
 def test_a_slowed_tenant_waits_at_no_backend_before_others_and_is_given_its_token_back() -> None:
     made = edge(rate=200.0)
     names = list(made.servers)
-    made.handle(Others(dict.fromkeys(names, 3)), 100.0)  # two slots each, and one that waits
+    made.handle(PeerLoad(dict.fromkeys(names, 3)), 100.0)  # two slots each, and one that waits
     assert of(made.handle(ask(1), 100.0), Send)
     made.slow(HALF, None)
     before = made.throttles["t"].level
@@ -36,7 +36,7 @@
     assert refused and not refused[0].over_quota and refused[0].retry_after > 0
     assert made.throttles["t"].level == pytest.approx(before)
     assert of(made.handle(ask(3, tenant=""), 100.0), Send)  # whoever is not slowed waits there
-    made.handle(Others(dict.fromkeys(names, 1)), 100.0)
+    made.handle(PeerLoad(dict.fromkeys(names, 1)), 100.0)
     assert of(made.handle(ask(4), 100.0), Send)
 
 
