--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -1,7 +1,7 @@
-"""The types between a gateway and its decisions: settings, events and actions. All times are seconds.
+"""The types that a gateway and its decision logic exchange: settings, events and actions.
 
-None is changed once it is made. The four that every request makes are not marked frozen: that would double
-what making them costs.
+All times are in seconds. No object is changed after it is made. The four types made for every request are
+not marked frozen, because that would double the cost of creating them.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
     @property
     def never_ran(self) -> bool:
-        """True where this outcome proves that the backend did not run the attempt."""
+        """Whether this outcome proves that the backend did not run the attempt."""
         return self in (Outcome.TURNED_AWAY, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
 
     @property
     def undelivered(self) -> bool:
-        """True where the attempt did not come whole to any backend: nothing of it was passed on."""
+        """Whether no backend received the attempt whole, so that none can have passed on any of it."""
         return self in (Outcome.NO_CONNECTION, Outcome.NOT_SENT)
 
 
 class Repeats(Enum):
-    """What a class allows once an attempt may have run."""
+    """Whether requests of a class may be repeated once an attempt may have run."""
 
     SAFE = "safe"
     BY_KEY = "by key"
@@ -43,7 +43,7 @@
 
 
 class Scope(Enum):
-    """Which backends drop a repeat of a keyed request."""
+    """Which backends share their memory of idempotency keys, and so drop a repeat of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -51,6 +51,8 @@
 
 
 class ListKind(Enum):
+    """What a list of backends is: changes, a whole list, one kept from before, or a failed call."""
+
     CHANGES = "changes"
     WHOLE = "whole"
     REMEMBERED = "remembered"
@@ -58,6 +60,8 @@
 
 
 class Status(Enum):
+    """The state of a backend according to discovery."""
+
     SERVING = "serving"
     DRAINING = "draining"
     GONE = "gone"
@@ -65,6 +69,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """The rules for one kind of request, and what its answers are worth.
+
+    `memory` is how long backends remember an idempotency key. An answer within `aim` seconds has its full
+    worth; a later one, until the deadline, has the part `late_share` of it.
+    """
+
     name: str
     repeats: Repeats
     scope: Scope
@@ -74,11 +84,17 @@
     late_share: float
     worth: float
     stream: bool
-    attempts: int = 0  # backends that one try may be sent to; nought for the settings' most
+    attempts: int = 0  # most backends that one request may be sent to; 0: the settings' max_attempts
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
+    """A customer's contract: its quota (`rate`, `burst`), its hard ceiling, and the price of excess use.
+
+    Rates are in units a second, `burst` and `ceiling_depth` in units. A rate of 0 means that there is no
+    such limit.
+    """
+
     name: str
     rate: float
     burst: float
@@ -92,6 +108,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """The settings of one gateway; `me` is its own number among all `gateways`.
+
+    A restarted backend begins with the part `cold_from` of its capacity and has all of it after
+    `warm_within` seconds. `counter_patience` is the time-out of a call to the counter service.
+    """
+
     me: int
     gateways: int
     classes: tuple[RequestClass, ...]
@@ -115,15 +137,17 @@
     report_fields: tuple[str, ...]
     most_units: float
     settles: bool
-    late_at: float = 0.35  # of the aim from which an answer counts as late: short queues push none over
-    retry_store: float = -1.0  # further attempts saved up, of each service; below nought: a default
-    retry_share: float = 0.15  # further ones earned by each first one: bounds what they add in a bad hour
-    counts_all: bool = False  # each customer's demand is told, however far from its quota
-    banks_from: float = 1.0  # part of its bank that a throttle begins with
+    late_at: float = 0.35  # part of the aim above which an answer is late: short queues do not reach it
+    retry_store: float = -1.0  # most retries saved up for each service; negative: the default
+    retry_share: float = 0.15  # retries earned by each first attempt: bounds the load they add
+    counts_all: bool = False  # report every customer's demand, however far from its quota
+    banks_from: float = 1.0  # part of its burst that a new throttle starts with
 
 
 @dataclass(frozen=True, slots=True)
 class Backend:
+    """One backend as discovery lists it; `started` is its last start, None if it counts as warm."""
+
     address: str
     zone: str
     kind: str
@@ -131,13 +155,13 @@
     status: Status
     rating: float
     started: float | None
-    service: str = ""  # what it serves, where there are several
-    slots: int = 0  # requests that it works on at once, where it says so and tells its load
+    service: str = ""  # the service that it belongs to, where there are several
+    slots: int = 0  # requests that it serves at once, if it reports that and its load; else 0
 
 
 @dataclass(slots=True)
 class Request:
-    """A client's try that has arrived; the gateway owes it one final answer."""
+    """A request that has arrived from a client; the gateway owes it exactly one final answer."""
 
     id: int
     klass: str
@@ -148,28 +172,39 @@
     width: int
     first_gateway: int
     repeat: bool
-    service: str = ""  # whose backends it goes to
+    service: str = ""  # the service whose backends it goes to
 
 
 @dataclass(frozen=True, slots=True)
 class BackendList:
+    """What discovery answered."""
+
     kind: ListKind
     backends: tuple[Backend, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
+    """The client has disconnected or no longer waits for its answer."""
+
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class StreamBegun:
+    """The first part of an attempt's answer is being passed on to the client."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """How an attempt ended; `over` means that the request ended with it.
+
+    `true_units` is the request's measured cost, 0 if unknown; `load` is what the backend reported.
+    """
+
     request: int
     attempt: int
     backend: str
@@ -182,9 +217,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Counted:
-    """How a call of the counter ended. `alone`: it tells of this name, and nothing of the others' calls.
+    """How a call of the counter service ended.
 
-    `call` is the number of the Count that it ends; nought where ends come in the order of the calls.
+    With `alone` set, the outcome says nothing about calls for other names. `call` is the number of the Count
+    action that it answers; 0 where answers come in the order of the calls.
     """
 
     name: str
@@ -197,6 +233,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Probed:
+    """How a probe of a backend ended."""
+
     backend: str
     outcome: Outcome
     elapsed: float
@@ -205,16 +243,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
+    """A timer set by SetTimer has fired."""
+
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Allotted:
-    """This instance's part of a customer's quota and ceiling from now on, where two levels deal them out.
+    """This instance's part of a customer's quota and ceiling from now on, in the two-tier deployment.
 
-    `share` and `ceiling` are parts, 0 to 1, of the plan's rates and amounts. `cap` and `level` set what is
-    left now of the ceiling (below nought: in debt) and of the quota, in units; None leaves each as it is.
-    `depth` is the most that its part of the ceiling may hold, where that is not that part of the plan's.
+    `share` and `ceiling` are fractions, 0 to 1, of the plan's rates and amounts. `cap` and `level` set how
+    many units are left now of the ceiling (negative: in debt) and of the quota; None leaves them unchanged.
+    `depth` is the capacity of its part of the ceiling, where that is not the same fraction of the plan's.
     """
 
     customer: str
@@ -228,10 +268,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Inherited:
-    """A request that another instance began, and all that became of its attempts: it is decided here now.
+    """A request that another instance began and this one takes over, with the history of its attempts.
 
     `age` is the time since it arrived. Each attempt has its backend, the time since it was sent, and its
-    outcome, None while it is out. Its units were taken when it was first sent on.
+    outcome, None while it is in flight. The request's units were charged when it was first sent.
     """
 
     request: Request
@@ -241,19 +281,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Take:
-    """Units that a question asks for from one customer's throttle."""
+    """The units that a question asks for from one customer's throttle."""
 
     customer: str
     plan: Plan
-    units: float  # nought only looks
+    units: float  # 0 only reads the state
     width: int  # gateways over which the customer's requests are spread, as in a Request
-    shadow: bool = False  # counted, and never a reason to refuse
-    settles: bool = False  # has been used already: taken in any case, also below nought
+    shadow: bool = False  # charged if granted, but never a reason to refuse
+    settles: bool = False  # used already: charged in any case, even below zero
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """Another program asks whether something may use units; all of it is granted or nothing is taken."""
+    """Another program's rate limit check: either all of its takes are granted, or nothing is charged."""
 
     id: int
     takes: tuple[Take, ...]
@@ -261,7 +301,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ruled:
-    """A request whose quota another service has ruled on: it is not charged here, but its ceiling holds."""
+    """A request whose quota another service has decided on: no quota is charged here, its ceiling holds."""
 
     request: Request
     allowed: bool
@@ -270,9 +310,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendHold:
-    """Staff take a backend out of use, or put it back: it goes before whatever the list says of it.
+    """An operator takes a backend out of use, or puts it back, whatever discovery's list says of it.
 
-    It is named by its id, whether the list has it now or not. One that comes back may have been restarted.
+    The backend is named by its id and need not be listed now. One put back may have been restarted.
     """
 
     backend: str
@@ -281,23 +321,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerLoad:
-    """Attempts that other gateways have out at backends; below nought where that is not known."""
+    """Attempts in flight from other gateways, by backend; negative where the number is unknown."""
 
     out: dict[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Sliced:
-    """This gateway's slice of a customer's quota, in units a second, by whoever sums the demand."""
+    """This gateway's rate of a customer's quota, in units a second, from the service that sums the demand."""
 
     customer: str
     rate: float
-    age: float | None = 0.0  # seconds since it was asked for; None: it was not, and holds as long as the last
+    age: float | None = 0.0  # seconds since it was asked for; None: it was not, and expires with the last
 
 
 @dataclass(frozen=True, slots=True)
 class Lent:
-    """What a reserve gave of the units that were asked for; below nought: it could not be asked."""
+    """The units that the quota reserve granted for a Borrow; negative: the reserve could not be asked."""
 
     customer: str
     units: float
@@ -305,14 +345,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Configured:
-    """Classes, plans and gateways are these from now on; what is under way keeps its class."""
+    """Replaces the settings (classes, plans, number of gateways); requests in progress keep their class."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class Shared:
-    """Another process of this same gateway lives, or does so no more: both keep its ceilings together."""
+    """A second process of this gateway has started (`on`) or ended; both split its ceilings."""
 
     on: bool
 
@@ -341,50 +381,54 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; a request's attempts are numbered from 0 in the order of their sends."""
+    """Start an attempt; a request's attempts are numbered from 0 in the order of their Send actions."""
 
     request: int
     backend: str
     timeout: float
-    write_by: float = math.inf  # after which it must not begin: whoever decided may know better since
+    write_by: float = math.inf  # it must not start later: the decision may be outdated by then
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: turned away, and trying again does no harm."""
+    """Final answer: the request is rejected, and it is safe for the client to try again."""
 
     request: int
     retry_after: float
-    over_quota: bool = False  # what it asks for is beyond its customer's quota
+    over_quota: bool = False  # rejected because it exceeds its customer's quota
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise about its effect."""
+    """Final answer: the request failed, and may or may not have had an effect."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Stop an attempt that is in flight."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Ask for a TimerDue event with this key after a delay."""
+
     delay: float
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Add to a named number of the counter service and get its total.
+    """Add an amount to a named number of the counter service and get its total.
 
-    The rest tells whoever keeps the counts what they are for: the customer's gateways (`width` in a row from
-    number `first`, counted round; -1: not known), its quota in units a second, whether the name is a sum that
-    runs on through an epoch or the demand of one second, which part of the amount is no use but puts the
-    sum right, and a number of its own.
+    The other fields tell the keeper of the counts what they are for. `width` gateways serve the customer:
+    those numbered from `first` on, modulo their total (-1: unknown). `rate` is its quota in units a second.
+    `running` marks a sum over a whole epoch, not the demand of one second. `corrects` is the part of the
+    amount that is no use but corrects the sum. `call` numbers the action.
     """
 
     name: str
@@ -400,7 +444,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Borrow:
-    """Ask the customer's reserve for units that its slice here lacks; Lent tells what came of it."""
+    """Ask the customer's quota reserve for units that its slice here lacks; Lent is the answer."""
 
     customer: str
     units: float
@@ -408,22 +452,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for the list and its changes from now on."""
+    """Ask discovery for the list of backends and for its changes from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class LimitState:
-    """One take's part of a verdict, as the throttle is after it."""
+    """One take's part of a verdict: the state of its throttle after the decision."""
 
     granted: bool
-    remaining: float  # units that could be taken at once
-    wait: float  # seconds until this take could be granted; nought if it was
-    full_in: float  # seconds until all of the burst is there again, with no use
+    remaining: float  # units available now
+    wait: float  # seconds until this take could be granted; 0 if it was
+    full_in: float  # seconds until the whole burst is available again, if unused
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The answer to a question, with a state for each of its takes."""
+    """The answer to a question, with the state of each take's throttle."""
 
     question: int
     granted: bool
