--- a/embersill/admission.py
+++ b/embersill/admission.py
@@ -9,7 +9,7 @@
 from embersill.throttle import PERIOD, Throttle
 from embersill.totals import Totals
 from embersill.turn import Turn
-from embersill.work import EPS, Job, Outcomes
+from embersill.work import EPS, Job, AdmissionSink
 
 HOLD_SHARE = 0.4  # of the aim that a request may wait for credit: the rest must do for the backend
 ROOMY = 0.5  # of the limit on what is out, below which requests beyond a quota that pays for them go on
@@ -21,7 +21,7 @@
     hold_share = HOLD_SHARE
     strict = False  # what can't be had within the wait bound is turned away as soon as that is known
 
-    def __init__(self, turn: Turn, totals: Totals, after: Outcomes) -> None:
+    def __init__(self, turn: Turn, totals: Totals, after: AdmissionSink) -> None:
         self.turn, self.totals, self.after, self.born = turn, totals, after, turn.now
         self.throttles = totals.throttles
         self.sweep: deque[str] = deque()
--- a/embersill/attempts.py
+++ b/embersill/attempts.py
@@ -13,7 +13,7 @@
 from embersill.throttle import PERIOD, Charge
 from embersill.totals import Totals
 from embersill.turn import Turn
-from embersill.work import EPS, Attempt, Job, Server, group_of
+from embersill.work import EPS, Attempt, Job, Server, dedup_group
 
 WORTH_WAITING = 0.5  # of the worth left after the aim for which an attempt is kept on until the deadline
 
@@ -44,7 +44,7 @@
 
     def may_send(self, job: Job, server: Server) -> bool:
         """The rules for one more attempt, each checked here and nowhere else."""
-        settings, first, plan = self.turn.settings, job.risky, job.throttle.plan
+        settings, first, plan = self.turn.settings, job.may_have_run, job.throttle.plan
         if job.ended or job.streaming or self.turn.now >= job.request.deadline:
             return False
         known = self.backends.servers.get(server.backend.address) is server and server.flight < server.limit
@@ -58,7 +58,7 @@
         if first is not None and job.klass.repeats is Repeats.ONCE:
             return False
         if first is not None and job.klass.repeats is Repeats.BY_KEY:
-            apart = group_of(job.klass, first.server) != group_of(job.klass, server)
+            apart = dedup_group(job.klass, first.server) != dedup_group(job.klass, server)
             if apart or self.turn.now - first.sent >= job.klass.memory:
                 return False
         if not server.warm and not server.backend.slots and server is not job.fleet.drawn:
@@ -79,10 +79,10 @@
         self.count_out(job, attempt)
         job.attempts.append(attempt)
         send = Send(job.request.id, server.backend.address, self.useful_until(job) - self.turn.now)
-        if job.risky is None:
-            job.risky = attempt
+        if job.may_have_run is None:
+            job.may_have_run = attempt
         elif job.klass.repeats is Repeats.BY_KEY:  # a dial may outlast what the key is remembered for
-            send.write_by = job.risky.sent + job.klass.memory
+            send.write_by = job.may_have_run.sent + job.klass.memory
         self.turn.actions.append(send)
         self.watch(job.klass, attempt, self.turn.now + max(self.turn.settings.late_at * job.klass.aim, EPS))
 
@@ -124,7 +124,7 @@
         if job is None or not 0 <= event.attempt < len(job.attempts) or not job.attempts[event.attempt].out:
             return
         attempt = job.attempts[event.attempt]
-        attempt.out, attempt.unrun = False, event.outcome.never_ran
+        attempt.out, attempt.did_not_run = False, event.outcome.never_ran
         if not attempt.begun:
             attempt.server.flight -= 1
             attempt.server.overdue -= attempt.overdue
@@ -132,11 +132,11 @@
         job.out -= 1
         job.throttle.open -= 1
         if len(job.attempts) == 1:
-            job.risky = None if attempt.unrun else attempt
+            job.may_have_run = None if attempt.did_not_run else attempt
         else:
-            job.risky = next((a for a in job.attempts if not a.unrun), None)
+            job.may_have_run = next((a for a in job.attempts if not a.did_not_run), None)
         if job.charge is not None:
-            attempt.nowhere = event.outcome.undelivered
+            attempt.not_delivered = event.outcome.undelivered
             self.passed_on(job, job.charge, attempt)
         job.fleet.learn(job, attempt, event)
         self.settle(job, event.true_units)
@@ -150,9 +150,9 @@
 
     def passed_on(self, job: Job, charge: Charge, attempt: Attempt) -> None:
         """A ceiling is taken from with the first attempt that comes to a backend, not with one before it."""
-        if not attempt.nowhere:
+        if not attempt.not_delivered:
             charge.final = True
-        elif all(a.nowhere for a in job.attempts):
+        elif all(a.not_delivered for a in job.attempts):
             job.throttle.uncharge(charge, self.turn.now)
             job.charge = None
 
@@ -188,7 +188,7 @@
         job.ended = True
         keyed = job.klass.repeats is Repeats.BY_KEY and job.klass.scope is Scope.ALL
         harmless = keyed or job.klass.repeats is Repeats.SAFE
-        if job.risky is not None and not harmless:
+        if job.may_have_run is not None and not harmless:
             self.turn.actions.append(Fail(job.request.id))
         else:
             wait = self.advice(job, retry_after, over_quota)
@@ -253,9 +253,9 @@
                 late = self.turn.settings.late_at * klass.aim - age
                 self.watch(klass, attempt, self.turn.now + max(late, EPS))
             else:
-                attempt.out, attempt.unrun, last = False, outcome.never_ran, outcome
-                attempt.nowhere = outcome.undelivered
-        job.risky = next((a for a in job.attempts if not a.unrun), None)
-        if any(not a.nowhere for a in job.attempts):
+                attempt.out, attempt.did_not_run, last = False, outcome.never_ran, outcome
+                attempt.not_delivered = outcome.undelivered
+        job.may_have_run = next((a for a in job.attempts if not a.did_not_run), None)
+        if any(not a.not_delivered for a in job.attempts):
             job.charge = Charge(self.turn.now, request.units, True)  # taken from the ceiling where it began
         return None if job.out else self.after_failure(job, last)
--- a/embersill/backends.py
+++ b/embersill/backends.py
@@ -7,7 +7,7 @@
 from embersill.fleet import Fleet
 from embersill.interface import BackendList, BackendHold, ListKind, SetTimer, Status, Subscribe
 from embersill.turn import Turn
-from embersill.work import EPS, WORST, Job, Server
+from embersill.work import EPS, MAX_PENALTY, Job, Server
 
 
 class Backends:
@@ -71,5 +71,5 @@
         """Listed backends that get nothing now: by the list's word, by hand, or for what they did."""
         serving = [server for fleet in self.fleets.values() for server in fleet.order]
         for server in serving:
-            server.fade(self.turn.now)
-        return len(self.servers) - len(serving) + sum(s.bad >= WORST / 2 for s in serving)
+            server.decay_penalty(self.turn.now)
+        return len(self.servers) - len(serving) + sum(s.bad >= MAX_PENALTY / 2 for s in serving)
--- a/embersill/edge/dataplane/attempts.py
+++ b/embersill/edge/dataplane/attempts.py
@@ -53,7 +53,7 @@
             self.count_lingering(job, attempt)
         elif event.load and self.lingering.serials_by_server:
             self.lingering.end_freed(attempt.server, sum(event.load[:2]))
-        if event.over and not job.out and job.risky is None:
+        if event.over and not job.out and job.may_have_run is None:
             self.refund_quota(job)
         if self.rollout_watch is not None and event.over:
             self.record_outcome(self.rollout_watch, job, event.outcome)
@@ -113,7 +113,7 @@
         """Sends an attempt unless a slowed tenant has to yield; counts non-repeatable requests sent twice."""
         if self.slowed_tenants and self.must_yield(job, server):
             return self.give_up(job)
-        if self.rollout_watch is None or job.risky is None or job.klass.repeats is not Repeats.ONCE:
+        if self.rollout_watch is None or job.may_have_run is None or job.klass.repeats is not Repeats.ONCE:
             return super().send(job, server)
         before = len(job.attempts)
         super().send(job, server)
@@ -128,7 +128,7 @@
         none no request may.
         """
         slowed, slots = self.slowed_tenants.get(job.throttle.customer), server.backend.slots
-        return slowed is not None and server.work(self.turn.now) + 1.0 > max(slots, 1) * (1.0 + slowed.share)
+        return slowed is not None and server.load(self.turn.now) + 1.0 > max(slots, 1) * (1.0 + slowed.share)
 
     def after_failure(self, job: Job, outcome: Outcome) -> None:
         """Retries a failed attempt; a slowed tenant's only if undelivered, to spare the retry budget."""
@@ -139,12 +139,12 @@
     def answer(self, job: Job, retry_after: float, over_quota: bool = False) -> None:
         """Answers a request without a backend's answer, with a quota refund if no backend executed it."""
         throttle = job.throttle
-        if not job.ended and job.risky is None:
+        if not job.ended and job.may_have_run is None:
             self.refund_quota(job)
         if self.figures is not None and over_quota and not job.ended:
             self.figures.turned_away(throttle.customer)
         if self.rollout_watch is not None and not (job.ended or job.streaming):
-            not_executed = job.risky is None or job.klass.repeats is not Repeats.ONCE
+            not_executed = job.may_have_run is None or job.klass.repeats is not Repeats.ONCE
             (self.rollout_watch.refused if not_executed else self.rollout_watch.failed)(
                 job.request.id, job.klass.name
             )
--- a/embersill/edge/dataplane/backend_choice.py
+++ b/embersill/edge/dataplane/backend_choice.py
@@ -52,12 +52,12 @@
     def cost_by_load(self, job: Job, server: Server, usual: float) -> float:
         """The expected seconds of a request there, plus penalties against the backend expressed as time."""
         now, slots = self.turn.now, max(server.backend.slots, 1)
-        work = server.work(now)
-        ahead = max(work + 1.0 - slots, 0.0) / slots + 0.25 * work / slots
+        load = server.load(now)
+        ahead = max(load + 1.0 - slots, 0.0) / slots + 0.25 * load / slots
         slow = self.kinds.get(server.backend.kind, 1.0) * (1.0 + ahead)
         if not server.warm:
             slow /= max(server.cold_share(now, self.turn.settings), 0.1)
-        server.fade(now)
+        server.decay_penalty(now)
         penalty = server.bad + server.overdue
         if job.attempts:
             penalty += sum(1 for a in job.attempts if a.server is server)
@@ -78,7 +78,7 @@
     def has_free_slot(self) -> bool:
         """True if one backend of a random sample has fewer requests than slots."""
         drawn = self.turn.random.sample(self.order, min(2 * SAMPLE_SIZE, len(self.order)))
-        return any(server.work(self.turn.now) < server.backend.slots for server in drawn)
+        return any(server.load(self.turn.now) < server.backend.slots for server in drawn)
 
     def judge(self, late: bool, server: Server) -> None:
         """Adjusts the backend's in-flight limit after an answer, which was late or not.
@@ -86,7 +86,7 @@
         A late answer from a backend with a free slot means long work, not overload: sending less would not
         make it faster.
         """
-        super().judge(late and server.work(self.turn.now) > max(server.backend.slots, 1), server)
+        super().judge(late and server.load(self.turn.now) > max(server.backend.slots, 1), server)
 
     def apply_settings(self) -> None:
         """Applies changed settings; a smaller retry budget takes effect at once."""
--- a/embersill/fleet.py
+++ b/embersill/fleet.py
@@ -11,7 +11,7 @@
 from embersill.interface import AttemptEnded, Backend, Outcome, Repeats, Status
 from embersill.turn import Turn
 from embersill.work import (
-    FORGET, LEAST_LIMIT, START_LIMIT, WORST, Attempt, Job, Server, group_of, moved,
+    HALF_LIFE_S, INITIAL_LIMIT, MAX_PENALTY, MIN_LIMIT, Attempt, Job, Server, adjusted_limit, dedup_group,
 )
 
 BLEND = 0.15  # weight of one sample in a backend's learned figures: about the last dozen answers count
@@ -58,23 +58,23 @@
         self.most_credit = turn.settings.retry_store if self.budgeted else RETRY_STORE
         self.retry_credit = self.most_credit * turn.settings.banks_from
         # each gateway finds out by itself, and again when it has forgotten: what that costs adds up over all
-        self.forget = FORGET * min(max(turn.settings.gateways / FEW_GATEWAYS, 1.0), LONGEST_MEMORY)
+        self.half_life = HALF_LIFE_S * min(max(turn.settings.gateways / FEW_GATEWAYS, 1.0), LONGEST_MEMORY)
         self.passed, self.judged = 1.0, turn.now
         self.flight, self.limit = 0, float("inf")  # attempts out and not late, and how many may be
 
     def usual_for(self, job: Job) -> float:
         """Seconds such a request takes on the fleet."""
         fallback = self.usual.get((job.klass.name, 0.0), job.klass.aim / 8)
-        return self.usual.get(job.usual_key, fallback)
+        return self.usual.get(job.latency_key, fallback)
 
     def choose(self, job: Job) -> Server | None:
         """The better of two that are drawn; more replace the unfit, and those that failed unless all did."""
         if self.turn.now >= self.warmth_until:
             self.look_around()
         pool = self.near
-        if job.risky is not None and job.klass.repeats is Repeats.BY_KEY:
-            group = group_of(job.klass, job.risky.server)
-            pool = [s for s in self.order if group_of(job.klass, s) == group]
+        if job.may_have_run is not None and job.klass.repeats is Repeats.BY_KEY:
+            group = dedup_group(job.klass, job.may_have_run.server)
+            pool = [s for s in self.order if dedup_group(job.klass, s) == group]
         best, least, found = None, 0.0, 0
         usual, self.drawn = self.usual_for(job), None
         if self.near_cold and pool is self.near and self.turn.random.random() < self.cold_draws:
@@ -94,7 +94,7 @@
         return best or next((s for s in self.order if self.may_send(job, s)), None)
 
     def cost(self, job: Job, server: Server, usual: float) -> float:
-        server.fade(self.turn.now)
+        server.decay_penalty(self.turn.now)
         held = server.bad + server.overdue
         if job.attempts:
             held += sum(1 for a in job.attempts if a.server is server)
@@ -108,8 +108,7 @@
     def cold_chance(self, server: Server) -> float:
         """The part kept of draws that fall on a cold backend, alike at all gateways: of a warm one's work."""
         part = min(1.0, self.turn.settings.fall_multiple * COLD_PART)
-        # what is kept from the cold ones is the warm ones' load: where most are cold, all take their share,
-        # and some more where the warm ones are late for all that
+        # warm ones carry the rest: if most are cold, all take their share, and more if warm ones are late
         lift = min((1.0 + self.warm_late) / self.warmth, COLD_LIFT)
         return part * server.cold_share(self.turn.now, self.turn.settings) * lift
 
@@ -137,7 +136,7 @@
         size = max(LEAST_NEAR, math.ceil(COVER * count / self.turn.settings.gateways))
         if size >= count:
             return servers
-        servers.sort(key=lambda s: s.place)
+        servers.sort(key=lambda s: s.order_key)
         begin = int(self.phase * count)
         return (servers + servers)[begin:begin + size]
 
@@ -151,11 +150,11 @@
 
     def judge(self, late: bool, server: Server) -> None:
         """Moves the limits and the part that is sent on, whose steps scale with itself at any width."""
-        server.limit = moved(server.limit, late, server.flight, server.least)
+        server.limit = adjusted_limit(server.limit, late, server.flight, server.least)
         if server.warm:
             self.warm_late += BLEND / 2 * (late - self.warm_late)
-        least = max(LEAST_OUT, LEAST_LIMIT * len(self.order) / self.turn.settings.gateways)
-        self.limit = moved(self.limit, late, self.flight, least)
+        least = max(LEAST_OUT, MIN_LIMIT * len(self.order) / self.turn.settings.gateways)
+        self.limit = adjusted_limit(self.limit, late, self.flight, least)
         weight = min(1.0, (self.turn.now - self.judged) / JUDGE_EVERY)
         self.judged = self.turn.now
         self.passed *= (PASS_LESS if late else PASS_MORE) ** weight
@@ -168,15 +167,15 @@
 
     def new_server(self, backend: Backend) -> Server:
         """What is known of a backend that is seen for the first time."""
-        return Server(backend, max(1.0, START_LIMIT / self.turn.settings.gateways), self.turn.now)
+        return Server(backend, max(1.0, INITIAL_LIMIT / self.turn.settings.gateways), self.turn.now)
 
     def learn(self, job: Job, attempt: Attempt, event: AttemptEnded) -> None:
         server, outcome = attempt.server, event.outcome
         if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
-        server.fade(self.turn.now)
+        server.decay_penalty(self.turn.now)
         if event.load:
-            server.tell_load(event.load, self.turn.now)
+            server.set_load(event.load, self.turn.now)
         kind = (job.klass.name, job.throttle.plan.name)
         if outcome is Outcome.TURNED_AWAY:  # maybe for no other plan or class: no sign of its health
             return server.full.update({kind: self.turn.now + FULL_FOR})
@@ -185,15 +184,15 @@
             self.judge(late, server)
         if bad:
             dead = outcome is Outcome.NO_CONNECTION  # no slowness of the fleet looks like this
-            server.bad = max(min(2 * server.bad + 1.0, WORST), WORST / 2 if dead else 0.0)
+            server.bad = max(min(2 * server.bad + 1.0, MAX_PENALTY), MAX_PENALTY / 2 if dead else 0.0)
             server.proven = False
             # what is late may be crowded, and is soon tried again; one that answers errors goes on with it
-            server.forget = self.forget if outcome is Outcome.ERROR else FORGET
+            server.half_life = self.half_life if outcome is Outcome.ERROR else HALF_LIFE_S
             return None
         server.bad /= 2
         server.proven = True
         server.full.pop(kind, None)
-        for key in (job.usual_key, (job.klass.name, 0.0)):
+        for key in (job.latency_key, (job.klass.name, 0.0)):
             before = self.usual.get(key, event.elapsed)
             self.usual[key] = before + BLEND / 3 * (event.elapsed - before)
         name, slow = server.backend.kind, event.elapsed / max(attempt.weight, 1e-4)
--- a/embersill/lab/levels/fences.py
+++ b/embersill/lab/levels/fences.py
@@ -302,7 +302,7 @@
         "if apart or self.turn.now - first.sent >= job.klass.memory:",
         "if apart:",
         (
-            (ATTEMPTS, "send.write_by = job.risky.sent + job.klass.memory", "pass"),
+            (ATTEMPTS, "send.write_by = job.may_have_run.sent + job.klass.memory", "pass"),
             (
                 FORWARDER,
                 "self.remembered_until(task))\n        self.actions",
@@ -319,7 +319,7 @@
         (
             (
                 FLEET,
-                "pool = [s for s in self.order if group_of(job.klass, s) == group]",
+                "pool = [s for s in self.order if dedup_group(job.klass, s) == group]",
                 "pass",
             ),
         ),
@@ -328,15 +328,15 @@
         "honest-refusal",
         ATTEMPTS,
         "one that may have run is refused",
-        "if job.risky is not None and not harmless:",
+        "if job.may_have_run is not None and not harmless:",
         "if False:",
     ),
     Fence(
         "may-have-run",
         ATTEMPTS,
         "a broken attempt counts as one that never ran",
-        "attempt.out, attempt.unrun = False, event.outcome.never_ran",
-        "attempt.out, attempt.unrun = False, event.outcome is not Outcome.SERVED",
+        "attempt.out, attempt.did_not_run = False, event.outcome.never_ran",
+        "attempt.out, attempt.did_not_run = False, event.outcome is not Outcome.SERVED",
     ),
     Fence(
         "ceiling",
@@ -351,7 +351,7 @@
         "charged-when-passed",
         ATTEMPTS,
         "a ceiling is charged when a try is first sent, though nothing came",
-        "elif all(a.nowhere for a in job.attempts):",
+        "elif all(a.not_delivered for a in job.attempts):",
         "elif False:",
     ),
     Fence(
--- a/embersill/turn.py
+++ b/embersill/turn.py
@@ -1,4 +1,4 @@
-"""What the parts of a gateway share while they decide: time, settings, chance, what is to be done."""
+"""What the parts of a gateway share while they decide: time, settings, random numbers, pending actions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Turn:
-    """One event's turn: `now` in seconds, and the actions that the event brings about, in their order."""
+    """The context of handling one event: `now` in seconds, and the resulting actions in order."""
 
     __slots__ = ("actions", "classes", "now", "plans", "random", "settings")
 
@@ -19,7 +19,7 @@
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """These settings hold from now on; ValueError names one that makes no sense."""
+        """Uses these settings from now on; ValueError names one that is out of range."""
         check(settings)
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
@@ -27,7 +27,7 @@
 
 
 def check(settings: Settings) -> None:
-    """ValueError with the name of a setting that makes no sense."""
+    """Raises a ValueError that names a setting out of range, if there is one."""
     if settings.gateways < 1 or settings.max_attempts < 1:
         raise ValueError(f"settings: {'gateways' if settings.gateways < 1 else 'max_attempts'} is below 1")
     names = ("warm_within", "overload_for", "fall_multiple", "cold_from", "max_retry_after", "ask_every")
@@ -38,4 +38,4 @@
     for source, where, keys in sets:
         for name in keys:
             if getattr(source, name) < 0:
-                raise ValueError(f"settings: {name}{where} is below nought")
+                raise ValueError(f"settings: {name}{where} is negative")
