--- a/embersill/edge/dataplane/tally.py
+++ b/embersill/edge/dataplane/tally.py
@@ -63,7 +63,7 @@
         me, mail = self.node.me.name, self.node.effects.mail
         for name, reported in uses_by_member.items():
             if name == me:
-                self.node.demand.sums.tell(me, reported, self.node.now)
+                self.node.demand.sums.record_demand(me, reported, self.node.now)
             else:
                 mail.append((name, {"kind": "use", "use": reported}))
         for name, tenants in tenants_by_member.items():
--- a/embersill/edge/node.py
+++ b/embersill/edge/node.py
@@ -17,7 +17,7 @@
 from embersill.edge.records import Effects, Message, Roster, Save, Stored
 from embersill.edge.calls import Answered, Calls
 from embersill.edge.discovery.registry import Registry
-from embersill.edge.quota.demand import DEMAND, Demand
+from embersill.edge.quota.demand import QUOTA_MESSAGE_KINDS, Demand
 from embersill.edge.consensus.distribution import Distribution
 from embersill.edge.configuration.document import EMPTY, State, read_document, revision
 from embersill.edge.consensus.election import KIND as ELECTION
@@ -195,7 +195,10 @@
             "watched": self.roller.gather.heard,
             "call": lambda peer, told: self.calls.called(peer, told, self.now),
             "result": lambda peer, told: self.calls.result(told, self.now),
-            **{kind: lambda peer, told: self.demand.heard(peer, told, self.now) for kind in DEMAND},
+            **{
+                kind: lambda peer, told: self.demand.heard(peer, told, self.now)
+                for kind in QUOTA_MESSAGE_KINDS
+            },
         }
 
     def tick(self, now: float) -> None:
--- a/embersill/edge/quota/__init__.py
+++ b/embersill/edge/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Demand of tenants over all gateways, and the slices that follow from it. No I/O."""
+"""Quotas over all gateways: demand, and the slices and reserves that follow from it. No I/O."""
--- a/embersill/edge/quota/demand.py
+++ b/embersill/edge/quota/demand.py
@@ -1,4 +1,4 @@
-"""Tenants' demand on the links: what each gateway tells, and what the member that sums it gives. No I/O."""
+"""Quota messages between gateways: demand reports, slices, and loans from reserves. No I/O."""
 
 from __future__ import annotations
 
@@ -11,61 +11,61 @@
 from embersill.edge.configuration.routes import Table
 from embersill.edge.quota.sums import Sums
 
-FORGET_EVERY = 0.25  # seconds: a look at all accounts costs tenants times gateways
-DEMAND = frozenset(("use", "holds", "totals", "sliced", "borrow", "lent"))  # kinds of messages
+CLEANUP_INTERVAL_S = 0.25  # a pass over all accounts costs tenants times gateways
+QUOTA_MESSAGE_KINDS = frozenset(("use", "holds", "totals", "sliced", "borrow", "lent"))
 
 
 def amounts(told: object) -> dict[str, float]:
-    """Amounts by tenant, as a message has them; TypeError, ValueError for anything else."""
+    """Amounts by tenant from a message; raises TypeError or ValueError for anything else."""
     if not isinstance(told, dict):
         raise TypeError("not amounts by name")
     return {str(name): float(amount) for name, amount in told.items()}
 
 
 class Demand:
-    """One gateway's part: it tells and asks, and deals out the quotas that the ring gives it to deal out."""
+    """One gateway's side of the quota protocol; it assigns slices for the tenants the ring maps to it."""
 
     def __init__(self, me: Hello, peers: PeerSet, agreement: Agreement, effects: Effects, now: float) -> None:
         self.me, self.peers, self.agreement, self.effects = me, peers, agreement, effects
         self.sums = Sums(now)
         self.table: Table | None = None
-        self.silent: set[str] = set()  # as of the last look
-        self.forgot_at = now
-        # slices by tenant, and when they were asked for by this gateway's clock; None: they weren't
+        self.silent: set[str] = set()  # as of the last tick
+        self.cleaned_at = now
+        # slices by tenant, and when this gateway requested them by its own clock; None if it did not
         self.on_slices: Callable[[dict[str, float], float | None], None] = lambda slices, at: None
         self.on_lent: Callable[[dict[str, float]], None] = lambda lent: None
         self.on_holding: Callable[[], dict[str, float]] = dict
 
     def linked(self, peer: Hello) -> None:
-        """A member that has just started does not know which slices are still used here."""
+        """Tells a newly linked core member which slices are in use here: it may have just started."""
         holding = self.on_holding() if peer.core else {}
         if holding:
             self.effects.mail.append((peer.name, {"kind": "holds", "slices": holding}))
 
     def tick(self, now: float) -> None:
-        """Who falls silent may go on by the even slice: what the others may use is told anew at once."""
-        if now - self.forgot_at >= FORGET_EVERY:
-            self.forgot_at = now
+        """Recomputes all slices when a gateway falls silent, since it may go on using the even slice."""
+        if now - self.cleaned_at >= CLEANUP_INTERVAL_S:
+            self.cleaned_at = now
             self.sums.forget(now)
         silent = set(self.peers.silent(now))
-        fell, self.silent = silent - self.silent, silent
-        if not fell:
+        newly_silent, self.silent = silent - self.silent, silent
+        if not newly_silent:
             return
-        for gateway, tenants in self.sums.goes_by(now).items():
+        for gateway, tenants in self.sums.tenants_by_gateway(now).items():
             if gateway == self.me.name:
                 self.on_slices(self.slices(gateway, tenants, now), now)
             elif gateway not in silent:
-                # with no time of asking they are no older than what the gateway goes by
+                # without a request time the gateway gives them the age of the slices that it uses already
                 mail = {"kind": "sliced", "slices": self.slices(gateway, tenants, now), "at": None}
                 self.effects.mail.append((gateway, mail))
 
     def heard(self, peer: str, message: Message, now: float) -> None:
-        """A message about quotas of another gateway's; KeyError, TypeError, ValueError for none."""
+        """Handles another gateway's quota message; raises KeyError, TypeError or ValueError if malformed."""
         kind, mail = message["kind"], self.effects.mail
         if kind == "use":
-            self.sums.tell(peer, amounts(message["use"]), now)
+            self.sums.record_demand(peer, amounts(message["use"]), now)
         elif kind == "holds":
-            self.sums.holds(peer, amounts(message["slices"]), now)
+            self.sums.restore_slices(peer, amounts(message["slices"]), now)
         elif kind == "totals":
             slices = self.slices(peer, message["names"], now)
             mail.append((peer, {"kind": "sliced", "slices": slices, "at": message["at"]}))
@@ -81,18 +81,18 @@
             self.on_slices(amounts(message["slices"]), None if at is None else float(at))
 
     def summing(self, tenant: str) -> str:
-        """The member of the core that sums a tenant's demand and has its reserve; empty if none is known."""
+        """The core member that sums a tenant's demand and holds its reserve; empty if none is known."""
         roster = self.agreement.roster
         return by_place(tenant, roster.members)[0] if roster is not None and roster.members else ""
 
     def quota(self, tenant: str) -> tuple[float, float]:
-        """Rate and burst; nought where there is no limit, or where another member sums the demand."""
+        """A tenant's rate and burst; zeros if there is no limit or another member sums the demand."""
         if self.table is None or self.table.stopped(tenant) or self.summing(tenant) != self.me.name:
             return 0.0, 0.0
         return self.table.quota(tenant)
 
     def slices(self, gateway: str, tenants: list[str], now: float) -> dict[str, float]:
-        """A gateway's slices of the quotas that are dealt out here."""
+        """A gateway's slices of the quotas that are assigned here."""
         silent, made = self.peers.silent(now), {}
         for tenant in tenants:
             rate, burst = self.quota(tenant)
@@ -103,14 +103,15 @@
     def lend(
         self, gateway: str, asked: dict[str, float], now: float
     ) -> tuple[dict[str, float], dict[str, float]]:
-        """What the reserves here give a gateway, nothing of other members' tenants; and slices it lacks.
+        """Lends a gateway units from the reserves held here, none for other tenants; and the slices it lacks.
 
-        One that begins to borrow goes by the even slice until it is told the one that is counted with here.
+        A gateway that begins to borrow uses the even slice until it receives the one that is reserved for
+        it here.
         """
-        begins = [tenant for tenant in asked if not self.sums.told(tenant, gateway, now)]
+        missing = [tenant for tenant in asked if not self.sums.has_slice(tenant, gateway, now)]
         silent, lent = self.peers.silent(now), {}
         for tenant, units in asked.items():
             rate, burst = self.quota(tenant)
             exact = self.table is not None and tenant in self.table.squeezed
             lent[tenant] = self.sums.lend(tenant, units, rate, burst, self.peers.count, silent, now, exact)
-        return lent, self.slices(gateway, begins, now) if begins and self.peers.count > 1 else {}
+        return lent, self.slices(gateway, missing, now) if missing and self.peers.count > 1 else {}
--- a/tests/edge/test_parts.py
+++ b/tests/edge/test_parts.py
@@ -16,7 +16,7 @@
 from embersill.edge.local import Local, read_local
 from embersill.edge.peers.ring import by_place
 from embersill.edge.configuration.routes import Table, settings_for
-from embersill.edge.quota.sums import FRESH, HELD, Sums
+from embersill.edge.quota.sums import DEMAND_TTL_S, SLICE_TTL_S, Sums
 from embersill.interface import (
     Action,
     AttemptEnded,
@@ -186,7 +186,7 @@
     chance, quota, gateways = random.Random(seed), 60.0, 8
     sums = Sums(0.0, 0.1, 20.0)
     uses: dict[str, tuple[float, float]] = {}  # gateway: rate, until when
-    now, restarted = HELD, 0.0
+    now, restarted = SLICE_TTL_S, 0.0
     silent: list[str] = []
     used: list[tuple[float, float]] = []  # when, units: slices used to the full, and what was lent
     for _ in range(600):
@@ -197,48 +197,48 @@
             sums, restarted = Sums(now, 0.1, 20.0), now
             for other, (rate, until) in uses.items():
                 if until >= now and other not in silent:
-                    sums.holds(other, {"t": rate}, now)
+                    sums.restore_slices(other, {"t": rate}, now)
         name = f"g{chance.randrange(gateways)}"
         if chance.random() < 0.02 and len(silent) < 3 and name not in silent:
             silent.append(name)
         elif chance.random() < 0.02 and silent:
             back = silent.pop(0)  # its link comes up, and it says what it still uses
             if uses.get(back, (0.0, 0.0))[1] >= now:
-                sums.holds(back, {"t": uses[back][0]}, now)
+                sums.restore_slices(back, {"t": uses[back][0]}, now)
         if name in silent:
             continue
         busy = 12.0 if 15.0 < now < 25.0 else 3.0
-        sums.tell(name, {"t": chance.uniform(0, 2 * busy)}, now)
-        uses[name] = sums.slice("t", name, quota, gateways, silent, now), now + HELD
+        sums.record_demand(name, {"t": chance.uniform(0, 2 * busy)}, now)
+        uses[name] = sums.slice("t", name, quota, gateways, silent, now), now + SLICE_TTL_S
         rates = sum(rate for rate, until in uses.values() if until >= now)
         used.append((now, sums.lend("t", 3.0, quota, quota, gateways, silent, now) + rates * step))
         away = sum(quota / gateways for other in silent if uses.get(other, (0.0, 0.0))[1] < now)
         # a new account does not know what those used who have been silent since before it
-        over = 1.15 if restarted and now - restarted <= HELD else 1.02
+        over = 1.15 if restarted and now - restarted <= SLICE_TTL_S else 1.02
         assert rates + away <= quota * over
         assert sum(units for at, units in used if now - at <= 5.0) <= (5 * quota + quota) * 1.1 + 20.0
 
 
 def test_slices_follow_the_demand_and_the_rest_can_be_borrowed() -> None:
     sums = Sums(0.0, 0.1, 20.0)
-    now = HELD
+    now = SLICE_TTL_S
     for _ in range(8):
         now += 1.0
         for name, asked in (("busy", 30.0), ("calm", 2.0)):
-            sums.tell(name, {"t": asked}, now)
+            sums.record_demand(name, {"t": asked}, now)
             sums.slice("t", name, 100.0, 10, [], now)
     account = sums.accounts["t"]
     assert account.slices["busy"][0] > 30.0 > 10.0 > account.slices["calm"][0] > 2.0
     used = account.slices["busy"][0] + account.slices["calm"][0]
-    assert sums.held(account, 10.0, ["never heard of", "calm"], now) == pytest.approx(
+    assert sums.committed(account, 10.0, ["never heard of", "calm"], now) == pytest.approx(
         account.slices["busy"][0] + 10.0 + 10.0
     )
-    assert sums.held(account, 10.0, [], now) == pytest.approx(used)
+    assert sums.committed(account, 10.0, [], now) == pytest.approx(used)
     # the rest of the burst lies in the other eight gateways' banks
     assert sums.lend("t", 1000.0, 100.0, 100.0, 10, [], now + 1) > 25.0
     assert sums.lend("t", 1000.0, 100.0, 100.0, 10, [], now + 1) == 0.0
     assert sums.total("t", 10.0, ["calm"], now) == pytest.approx(30.0 + 10.0, rel=0.1)
-    assert sums.total("t", 10.0, [], now + 2 * FRESH) == 0.0
+    assert sums.total("t", 10.0, [], now + 2 * DEMAND_TTL_S) == 0.0
 
 
 def settings(gateways: int = 4, fresh: bool = True, rate: float = 50.0, **more: Any) -> Any:
--- a/tests/edge/test_trying.py
+++ b/tests/edge/test_trying.py
@@ -114,6 +114,6 @@
 def test_a_rule_that_is_broken_is_told(tmp_path: Path) -> None:
     pressed = SCENARIO.replace("asks_per_s = 30.0", "asks_per_s = 400.0")
     # with a reserve that lends far more than the bound allows
-    text = pressed + CONSTANTS + '"embersill.edge.quota.sums.RESERVE_FLOW" = 60.0\n'
+    text = pressed + CONSTANTS + '"embersill.edge.quota.sums.RESERVE_REFILL_SHARE" = 60.0\n'
     told = experiment(read_scenario(written(tmp_path, text)).ok, 1, 1)
     assert not told["runs"]["as it is"][0]["broken"] and "t ran" in told["broken"][0]
