--- a/embersill/admission.py
+++ b/embersill/admission.py
@@ -42,10 +42,10 @@
             self.totals.start_counting(throttle)
         if job.counted < 0 and not job.trusted:
             return self.after.answer(job, PERIOD)
-        free = not throttle.queue and throttle.has_open() and not throttle.asking
+        free = not throttle.queue and throttle.may_open() and not throttle.asking
         if free and (job.trusted or throttle.wait(units) <= 0):
             throttle.level -= units if plan.rate > 0 else 0.0
-            self.totals.tell_later(job)
+            self.totals.report_later(job)
             return self.after.place(job)
         borrows = self.may_borrow(throttle)
         # the buffer: as many units as the rate brings within the wait bound
@@ -71,7 +71,7 @@
 
     def drop_held(self, job: Job) -> None:
         throttle = job.throttle
-        throttle.unhold(job)
+        throttle.dequeue(job)
         throttle.level += job.request.units
         self.totals.take_back(job)
         self.overflow(job, throttle.wait(job.request.units))
@@ -97,13 +97,13 @@
             wait = throttle.wait(job.request.units)
             if job.ended or (throttle.thin or self.strict) and self.turn.now + wait > job.hold_until + EPS:
                 self.drop_held(job)
-            elif throttle.has_open() and wait <= EPS:
-                throttle.unhold(job)
-                self.totals.tell_later(job)
+            elif throttle.may_open() and wait <= EPS:
+                throttle.dequeue(job)
+                self.totals.report_later(job)
                 self.after.place(job)
             else:
                 due = self.turn.now + wait
-                if throttle.has_open() and (throttle.timer <= self.turn.now or due < throttle.timer - EPS):
+                if throttle.may_open() and (throttle.timer <= self.turn.now or due < throttle.timer - EPS):
                     throttle.timer = due
                     self.turn.actions.append(SetTimer(max(wait, 1e-6), "r" + throttle.customer))
                 return
@@ -168,7 +168,7 @@
             if not take.settles:
                 throttle.charge(take.units, self.turn.now).final = True
             if throttle.thin and take.units > 0:
-                self.totals.tell_soon(throttle, take.units)
+                self.totals.report_soon(throttle, take.units)
         states = tuple(throttle.state(take.units, granted) for take, throttle, granted in asked)
         self.turn.actions.append(Verdict(event.id, whole, states))
 
