--- a/embersill/attempts.py
+++ b/embersill/attempts.py
@@ -29,7 +29,7 @@
 
     def place(self, job: Job) -> None:
         """Finds a backend for a request that has its credit, or turns it away."""
-        server = None if not job.attempts and job.fleet.pressed(job) else job.fleet.choose(job)
+        server = None if not job.attempts and job.fleet.must_shed(job) else job.fleet.choose(job)
         if server is None:
             self.give_up(job)
         else:
--- a/embersill/backends.py
+++ b/embersill/backends.py
@@ -1,4 +1,4 @@
-"""Which backends there are, by the list and by staff's word, and the fleet of each service. No I/O."""
+"""The known backends, from discovery's list and the operators' holds, and each service's fleet. No I/O."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
     def __init__(self, turn: Turn) -> None:
         self.turn = turn
         self.servers: dict[str, Server] = {}
-        self.fleets: dict[str, Fleet] = {}  # by service; where there is but one its name is empty
-        self.held: set[str] = set()  # taken out of use by hand, listed or not
+        self.fleets: dict[str, Fleet] = {}  # by service; a single service has an empty name
+        self.held: set[str] = set()  # taken out of use by an operator, listed or not
         self.may_send: Callable[[Job, Server], bool] = lambda job, server: False
 
     def new_fleet(self) -> Fleet:
         return Fleet(self.turn, self.may_send)
 
     def fleet(self, service: str) -> Fleet:
-        """The backends of a service, made as it is first named."""
+        """The fleet of a service, created when the service is first named."""
         fleet = self.fleets.get(service)
         if fleet is None:
             fleet = self.fleets[service] = self.new_fleet()
@@ -48,14 +48,14 @@
             self.turn.actions.append(Subscribe())
 
     def set_order(self) -> None:
-        """Tells each service's fleet which of its backends requests may go to."""
-        open_to = [s for s in self.servers.values() if s.backend.address not in self.held]
-        services = {server.backend.service for server in open_to} | self.fleets.keys()
+        """Gives each service's fleet those of its backends that requests may go to."""
+        available = [s for s in self.servers.values() if s.backend.address not in self.held]
+        services = {server.backend.service for server in available} | self.fleets.keys()
         for service in services:
-            self.fleet(service).set_order(s for s in open_to if s.backend.service == service)
+            self.fleet(service).set_order(s for s in available if s.backend.service == service)
 
     def take_out(self, event: BackendHold) -> None:
-        """By hand: as if it drained, whatever is listed; back, it is cold, for it may have been restarted."""
+        """Treats a held backend as draining; one put back counts as cold: it may have been restarted."""
         if event.out:
             self.held.add(event.backend)
         elif event.backend in self.held:
@@ -68,7 +68,7 @@
         self.set_order()
 
     def avoided(self) -> int:
-        """Listed backends that get nothing now: by the list's word, by hand, or for what they did."""
+        """The number of listed backends that get no requests: not serving, held, or for their penalty."""
         serving = [server for fleet in self.fleets.values() for server in fleet.order]
         for server in serving:
             server.decay_penalty(self.turn.now)
--- a/embersill/edge/dataplane/backend_choice.py
+++ b/embersill/edge/dataplane/backend_choice.py
@@ -67,13 +67,13 @@
             penalty += self.far
         return usual * slow + penalty * job.klass.aim
 
-    def pressed(self, job: Job) -> bool:
+    def must_shed(self, job: Job) -> bool:
         """True if a request is to be rejected at once, which never happens while a backend has a free slot.
 
         Where requests take longer than their latency target all answers are late, and the limits fall however
         idle the backends are.
         """
-        return super().pressed(job) and not self.has_free_slot()
+        return super().must_shed(job) and not self.has_free_slot()
 
     def has_free_slot(self) -> bool:
         """True if one backend of a random sample has fewer requests than slots."""
--- a/embersill/fleet.py
+++ b/embersill/fleet.py
@@ -1,6 +1,6 @@
-"""The backends of one service as a gateway sees them: which one a request goes to, what is held against each.
+"""The backends of one service as one gateway sees them: load balancing, penalties, and overload shedding.
 
-Attempts speak: how long an answer took, whether it failed, what the backend said of its load. No I/O.
+All of it is learned from attempts: how long they took, whether they failed, the load reported. No I/O.
 """
 
 from __future__ import annotations
@@ -14,63 +14,63 @@
     HALF_LIFE_S, INITIAL_LIMIT, MAX_PENALTY, MIN_LIMIT, Attempt, Job, Server, adjusted_limit, dedup_group,
 )
 
-BLEND = 0.15  # weight of one sample in a backend's learned figures: about the last dozen answers count
-UNPROVEN = 0.5  # held against a backend for what runs once, until it has served since its last failure
-FEW_GATEWAYS = 10.0  # gateways from which each hears less of a backend, and remembers its failures for longer
-LONGEST_MEMORY = 4.0  # times as long, at most
-SHUN = 0.5  # what is held against a backend from which another draw is made in its place
-COLD_PART = 0.34  # of the work that would push a cold backend over, at most: chance and large work double it
-COLD_LIFT = 1.8  # times that part, at most, where the warm ones are too few, or late
-LOOK_EVERY = 0.25  # seconds between looks at how warm the fleet is
-LEAST_NEAR = 16  # backends that a gateway keeps to, at the least: two of them bad leave fourteen
-COVER = 24.0  # gateways that each backend is used by, about, at the least: their uneven loads even out
-GOLDEN = (5**0.5 - 1) / 2  # multiples of it lie evenly on a circle, however many they are
-FULL_FOR = 15.0  # seconds a backend that turned a plan or a class away is passed over for it
-LEAST_OUT = 1.0  # attempts a gateway may always have out; the fraction of one is drawn
-PASS_LESS = 0.7  # times the part that is sent on for a late answer
-PASS_MORE = 1.25  # and for one in time: it stands still where 38% are late
-LEAST_PASSED = 0.05  # of requests sent on: with less nothing would tell that it is over
-JUDGE_EVERY = 1.0  # seconds from which a judged answer counts in full: where more come each says less
-RETRY_STORE = 10.0  # further attempts that may be saved up: enough for one backend's sudden end
-CHOICES = 2  # candidates drawn for each send: two see the load, and more would herd on one gateway's view
-DRAWS = 8  # draws for these: with half of the fleet unfit one in 256 fails, and a scan is made
+BLEND = 0.15  # weight of one sample in a moving average: about the last dozen answers count
+UNPROVEN = 0.5  # penalty, for requests that must run once, until a backend has served after a failure
+FEW_GATEWAYS = 10.0  # with more of them, each sees less of a backend and remembers its failures for longer
+MAX_LIFE_FACTOR = 4.0  # by which penalties then last longer, at most
+REDRAW_COST = 0.5  # of the aim: cost from which further candidates are drawn
+COLD_PART = 0.34  # of the work that would overload a cold backend: chance and large requests double it
+COLD_LIFT = 1.8  # most by which that part is multiplied where warm backends are too few, or late
+WARMTH_INTERVAL_S = 0.25  # between checks of how warm the fleet is
+MIN_SUBSET = 16  # backends in a gateway's subset, at the least: with two of them bad fourteen are left
+COVER = 24.0  # gateways, about, that use each backend at the least: their uneven loads even out
+GOLDEN = (5**0.5 - 1) / 2  # its multiples, modulo 1, are spread evenly, however many there are
+FULL_FOR_S = 15.0  # during which a backend that rejected a class or plan is not chosen for it
+MIN_IN_FLIGHT = 1.0  # attempts that a gateway may always have in flight; a fraction is drawn at random
+PASS_DECREASE = 0.7  # factor on the admitted part for a late answer
+PASS_INCREASE = 1.25  # the same for one in time: they balance where 38% are late
+MIN_ADMITTED = 0.05  # of requests: with fewer sent the end of an overload would go unnoticed
+JUDGE_INTERVAL_S = 1.0  # from the answer before, for an answer to count in full; a sooner one counts less
+RETRY_BURST = 10.0  # retries that may be saved up: enough for the sudden loss of one backend
+CHOICES = 2  # candidates for each send: two balance the load; more would herd on one gateway's view
+DRAWS = 8  # most draws for them: with half of the fleet unusable 1 in 256 finds none, then all are scanned
 
 
 class Fleet:
-    """One service's backends, with what this gateway has learned of them."""
+    """One service's backends, with what this gateway has learned about them."""
 
     def __init__(self, turn: Turn, may_send: Callable[[Job, Server], bool]) -> None:
-        """`may_send`: the rules for one more attempt, which are the gateway's own."""
+        """`may_send`: the gateway's rules for one more attempt."""
         self.turn, self.may_send = turn, may_send
-        self.order: list[Server] = []  # those that serve, for drawing
-        self.near: list[Server] = []  # of the warm ones, those that this gateway's connections go to
-        self.near_cold: list[Server] = []  # and of those that still warm up
-        self.cold_draws = 0.0  # part of the first draws that is for these
-        # where this gateway's part of them begins: neighbours, who share customers, begin far apart
+        self.order: list[Server] = []  # all that are serving
+        self.near: list[Server] = []  # of the warm ones, the subset that this gateway connects to
+        self.near_cold: list[Server] = []  # the same of those still warming up
+        self.cold_draws = 0.0  # fraction of the first draws made among these
+        # where this gateway's subset begins: those of neighbours, who share customers, begin far apart
         self.phase = turn.settings.me * GOLDEN % 1.0
-        self.drawn: Server | None = None  # the cold backend that the draw has let through
-        self.warm_late = 0.0  # part of the warm backends' last answers that were late
-        self.warmth, self.warmth_until = 1.0, turn.now  # the fleet's part of its whole capacity, until when
-        self.kinds: dict[str, float] = {}  # answer time of a kind of machine against the fleet's
+        self.drawn: Server | None = None  # the cold backend that the current draw permits
+        self.warm_late = 0.0  # moving fraction of the warm backends' answers that were late
+        self.warmth, self.warmth_until = 1.0, turn.now  # fraction of the fleet's capacity there, valid until
+        self.kinds: dict[str, float] = {}  # answer time of a kind of machine relative to the fleet's
         self.usual: dict[tuple[str, float], float] = {}
-        # further attempts: paid for by all gateways together, or by each; how many may be saved up
+        # the retry budget: shared by all gateways or this gateway's own; how many may be saved up
         self.budgeted = turn.settings.retry_store >= 0
-        self.most_credit = turn.settings.retry_store if self.budgeted else RETRY_STORE
+        self.most_credit = turn.settings.retry_store if self.budgeted else RETRY_BURST
         self.retry_credit = self.most_credit * turn.settings.banks_from
-        # each gateway finds out by itself, and again when it has forgotten: what that costs adds up over all
-        self.half_life = HALF_LIFE_S * min(max(turn.settings.gateways / FEW_GATEWAYS, 1.0), LONGEST_MEMORY)
+        # each gateway finds failures by itself, and again after they decay: the cost adds up over all
+        self.half_life = HALF_LIFE_S * min(max(turn.settings.gateways / FEW_GATEWAYS, 1.0), MAX_LIFE_FACTOR)
         self.passed, self.judged = 1.0, turn.now
-        self.flight, self.limit = 0, float("inf")  # attempts out and not late, and how many may be
+        self.flight, self.limit = 0, float("inf")  # attempts in flight and not late, and their limit
 
     def usual_for(self, job: Job) -> float:
-        """Seconds such a request takes on the fleet."""
+        """The typical time, in seconds, of such a request on this fleet."""
         fallback = self.usual.get((job.klass.name, 0.0), job.klass.aim / 8)
         return self.usual.get(job.latency_key, fallback)
 
     def choose(self, job: Job) -> Server | None:
-        """The better of two that are drawn; more replace the unfit, and those that failed unless all did."""
+        """The better of two random candidates; more are drawn while these are unusable or have failed."""
         if self.turn.now >= self.warmth_until:
-            self.look_around()
+            self.update_warmth()
         pool = self.near
         if job.may_have_run is not None and job.klass.repeats is Repeats.BY_KEY:
             group = dedup_group(job.klass, job.may_have_run.server)
@@ -89,7 +89,7 @@
             if cost >= 0 and (best is None or cost < least):
                 best, least = server, cost
             found += cost >= 0
-            if found >= CHOICES and least < SHUN * job.klass.aim:
+            if found >= CHOICES and least < REDRAW_COST * job.klass.aim:
                 break
         return best or next((s for s in self.order if self.may_send(job, s)), None)
 
@@ -106,20 +106,20 @@
         return usual * slow + held * job.klass.aim
 
     def cold_chance(self, server: Server) -> float:
-        """The part kept of draws that fall on a cold backend, alike at all gateways: of a warm one's work."""
+        """The probability of keeping a draw that fell on a cold backend, the same at all gateways."""
         part = min(1.0, self.turn.settings.fall_multiple * COLD_PART)
         # warm ones carry the rest: if most are cold, all take their share, and more if warm ones are late
         lift = min((1.0 + self.warm_late) / self.warmth, COLD_LIFT)
         return part * server.cold_share(self.turn.now, self.turn.settings) * lift
 
-    def look_around(self) -> None:
-        """Every so often: how warm the fleet is, and which backends are this gateway's to use.
+    def update_warmth(self) -> None:
+        """Periodically updates the warmth of the fleet and this gateway's subset of its backends.
 
-        Where many gateways see few requests each, one and the same backend is met again too seldom: no
-        connection is used twice, and nothing is learned of a backend before it matters. So each gateway keeps
-        to a row of them, in an order that is the same everywhere, and all backends stand in as many rows.
+        Where many gateways see few requests each, a gateway would return to the same backend too seldom: no
+        connection is reused, and nothing is learned about a backend before it matters. So each gateway uses
+        a contiguous subset of an order that is the same everywhere; every backend is in equally many subsets.
         """
-        self.warmth_until = self.turn.now + LOOK_EVERY
+        self.warmth_until = self.turn.now + WARMTH_INTERVAL_S
         settings, whole = self.turn.settings, 0.0
         warm: list[Server] = []
         cold: list[Server] = []
@@ -129,19 +129,19 @@
             (warm if share >= 1.0 else cold).append(server)
         self.warmth = max(whole / max(len(self.order), 1), 1.0 / COLD_LIFT / 2)
         self.cold_draws = len(cold) / max(len(self.order), 1)
-        self.near, self.near_cold = self.row_of(warm), self.row_of(cold)
+        self.near, self.near_cold = self.subset_of(warm), self.subset_of(cold)
 
-    def row_of(self, servers: list[Server]) -> list[Server]:
+    def subset_of(self, servers: list[Server]) -> list[Server]:
         count = len(servers)
-        size = max(LEAST_NEAR, math.ceil(COVER * count / self.turn.settings.gateways))
+        size = max(MIN_SUBSET, math.ceil(COVER * count / self.turn.settings.gateways))
         if size >= count:
             return servers
         servers.sort(key=lambda s: s.order_key)
         begin = int(self.phase * count)
         return (servers + servers)[begin:begin + size]
 
-    def pressed(self, job: Job) -> bool:
-        """Sheds while answers are late, those with little credit first: overload no one backend shows."""
+    def must_shed(self, job: Job) -> bool:
+        """Whether to shed a request, those with little credit first, since the fleet as a whole is late."""
         throttle = job.throttle
         if self.flight >= self.limit + self.turn.random.random() - 0.5:
             return True
@@ -149,24 +149,24 @@
         return self.turn.random.random() > 2 * self.passed - (0.0 if good else 1.0)
 
     def judge(self, late: bool, server: Server) -> None:
-        """Moves the limits and the part that is sent on, whose steps scale with itself at any width."""
+        """Adapts the limits and the admitted part; the steps of that are relative, whatever its size."""
         server.limit = adjusted_limit(server.limit, late, server.flight, server.least)
         if server.warm:
             self.warm_late += BLEND / 2 * (late - self.warm_late)
-        least = max(LEAST_OUT, MIN_LIMIT * len(self.order) / self.turn.settings.gateways)
+        least = max(MIN_IN_FLIGHT, MIN_LIMIT * len(self.order) / self.turn.settings.gateways)
         self.limit = adjusted_limit(self.limit, late, self.flight, least)
-        weight = min(1.0, (self.turn.now - self.judged) / JUDGE_EVERY)
+        weight = min(1.0, (self.turn.now - self.judged) / JUDGE_INTERVAL_S)
         self.judged = self.turn.now
-        self.passed *= (PASS_LESS if late else PASS_MORE) ** weight
-        self.passed = min(max(self.passed, LEAST_PASSED), 1.0)
+        self.passed *= (PASS_DECREASE if late else PASS_INCREASE) ** weight
+        self.passed = min(max(self.passed, MIN_ADMITTED), 1.0)
 
     def set_order(self, servers: Iterable[Server]) -> None:
-        """The service's backends that requests may go to."""
+        """Takes the service's backends that requests may go to."""
         self.order = [s for s in servers if s.backend.status is Status.SERVING]
         self.warmth_until = self.turn.now
 
     def new_server(self, backend: Backend) -> Server:
-        """What is known of a backend that is seen for the first time."""
+        """The initial state of a backend that is seen for the first time."""
         return Server(backend, max(1.0, INITIAL_LIMIT / self.turn.settings.gateways), self.turn.now)
 
     def learn(self, job: Job, attempt: Attempt, event: AttemptEnded) -> None:
@@ -177,16 +177,16 @@
         if event.load:
             server.set_load(event.load, self.turn.now)
         kind = (job.klass.name, job.throttle.plan.name)
-        if outcome is Outcome.TURNED_AWAY:  # maybe for no other plan or class: no sign of its health
-            return server.full.update({kind: self.turn.now + FULL_FOR})
+        if outcome is Outcome.TURNED_AWAY:  # perhaps only this class or plan: not a sign of bad health
+            return server.full.update({kind: self.turn.now + FULL_FOR_S})
         bad, late = outcome is not Outcome.SERVED, event.elapsed > self.turn.settings.late_at * job.klass.aim
         if not attempt.overdue and outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
             self.judge(late, server)
         if bad:
-            dead = outcome is Outcome.NO_CONNECTION  # no slowness of the fleet looks like this
+            dead = outcome is Outcome.NO_CONNECTION  # overload of the fleet does not cause this
             server.bad = max(min(2 * server.bad + 1.0, MAX_PENALTY), MAX_PENALTY / 2 if dead else 0.0)
             server.proven = False
-            # what is late may be crowded, and is soon tried again; one that answers errors goes on with it
+            # a late backend may be overloaded and is tried again soon; one that answers errors goes on so
             server.half_life = self.half_life if outcome is Outcome.ERROR else HALF_LIFE_S
             return None
         server.bad /= 2
--- a/tests/test_rows.py
+++ b/tests/test_rows.py
@@ -19,7 +19,7 @@
         one = Gateway(replace(SETTINGS, me=number, gateways=gateways), number, 100.0)
         # lists come in any order
         one.handle(backends(*random.Random(number).sample(listed, len(listed))), 100.0)
-        one.fleet("").look_around()
+        one.fleet("").update_warmth()
         made.append(one)
     return made
 
