--- a/benchmarks/planner_load.py
+++ b/benchmarks/planner_load.py
@@ -47,7 +47,7 @@
         self.loop.call_later(0.05, self.tick)
 
     def link_up(self, planner: str, incarnation: str, now: float) -> None:
-        self.line.trunk.say(
+        self.line.endpoint.send(
             [Lend(list(range(self.parts)), 60.0, 0.0), *(self.ask() for _ in range(self.most_open))]
         )
 
@@ -74,7 +74,7 @@
             self.decided += 1
             said.append(self.ask())
         if said:
-            self.line.trunk.say(said)
+            self.line.endpoint.send(said)
 
 
 async def main() -> None:
--- a/embersill/council/links.py
+++ b/embersill/council/links.py
@@ -14,7 +14,7 @@
 
 from embersill.council.messages import VERSION, Answer, Question, Reply, packed, read_question, read_reply
 from embersill.council.terms import CouncilTerms
-from embersill.tiers.frames import Dialler, FrameProtocol, TakenProtocol
+from embersill.tiers.frames import Dialler, FrameProtocol, AcceptedProtocol
 from embersill.tiers.messages import BadFrame
 from embersill.tiers.wire import ForwarderSide, PlannerSide, Secret, digest_of, length_prefixed
 
@@ -32,19 +32,19 @@
     return digest_of(["council", VERSION, sorted(members), terms])
 
 
-class TakenLink(TakenProtocol):
+class TakenLink(AcceptedProtocol):
     """A connection that another member has dialled: it asks here."""
 
     def __init__(self, server: MemberServer) -> None:
         side = PlannerSide(server.secret, server.name, "", os.urandom(32))
-        super().__init__(server.strangers, side, MOST_FRAME, MOST_UNSENT)
+        super().__init__(server.unauthenticated, side, MOST_FRAME, MOST_UNSENT)
         self.server, self.name = server, ""
 
-    def handshake_came(self, frame: bytes) -> None:
+    def handshake_received(self, frame: bytes) -> None:
         self.name = self.welcome(frame, self.server.members)
         self.server.links.add(self)
 
-    def frame_came(self, frame: bytes) -> None:
+    def frame_received(self, frame: bytes) -> None:
         question = read_question(frame)
         if question.ask.origin.name != self.name:
             raise BadFrame(f"{self.name!r} asks in the name of {question.ask.origin.name!r}")
@@ -64,7 +64,7 @@
 
     def __init__(self, secret: Secret, name: str, members: frozenset[str], asked: Asked) -> None:
         self.secret, self.name, self.members, self.asked = secret, name, members, asked
-        self.strangers: set[TakenProtocol] = set()
+        self.unauthenticated: set[AcceptedProtocol] = set()
         self.links: set[TakenLink] = set()
         self.server: asyncio.Server | None = None
 
@@ -79,7 +79,7 @@
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for link in (*self.links, *self.strangers):
+        for link in (*self.links, *self.unauthenticated):
             link.close()
 
 
@@ -93,16 +93,16 @@
         self.asked_at: float | None = None  # since when an answer is waited for
         self.loop = asyncio.get_running_loop()
 
-    def handshake_came(self, frame: bytes) -> None:
+    def handshake_received(self, frame: bytes) -> None:
         answer = self.side.read(frame)
         if answer is not None:
             assert self.transport is not None
             return self.transport.write(answer)
-        self.prove()
+        self.mark_authenticated()
         self.line.link, self.line.last_reason = self, ""
         return None
 
-    def frame_came(self, frame: bytes) -> None:
+    def frame_received(self, frame: bytes) -> None:
         reply = read_reply(frame)
         if reply.answer.origin.name != self.line.name:
             raise BadFrame(f"{self.line.name!r} answers in the name of {reply.answer.origin.name!r}")
@@ -116,7 +116,7 @@
         self.asked_at = self.asked_at or now
         return self.write(length_prefixed(packed(question)))
 
-    def turn_away(self, reason: str) -> None:
+    def reject(self, reason: str) -> None:
         if reason != self.line.last_reason:
             log.warning("member %s: %s", self.line.name, reason)
         self.line.last_reason = reason
--- a/embersill/lab/levels/paths.py
+++ b/embersill/lab/levels/paths.py
@@ -11,7 +11,7 @@
 
 from embersill.interface import Action
 from embersill.lab.levels.nodes import MOST_FRAME, TICK, ForwarderNode, PlannerNode
-from embersill.tiers.links import ForwarderLine, PlannerTrunk, PlannerTrunks
+from embersill.tiers.links import ForwarderLine, PlannerEndpoint, PlannerEndpoints
 from embersill.tiers.messages import AnyMessage, BadFrame, Batch
 from embersill.tiers.multipath import DIRECT
 from embersill.tiers.wire import MAGIC, NONCE_BYTES, FrameReader, Proof, HandshakeError
@@ -68,40 +68,40 @@
         self.paths = {}
 
 
-class Watched(PlannerTrunks):
+class Watched(PlannerEndpoints):
     """A planner's sessions, which the world hears of."""
 
     def __init__(self, node: PathedPlanner) -> None:
         super().__init__(node.core, node.clock, MOST_FRAME, MOST_UNSENT, node.flush)
         self.world, self.node = node.world, node
 
-    def received(self, trunk: PlannerTrunk, batch: Batch) -> None:
+    def received(self, endpoint: PlannerEndpoint, batch: Batch) -> None:
         if self.world.detailed:
-            self.world.got(self.world.members[trunk.name], self.node, batch.messages)
-        super().received(trunk, batch)
-        self.node.note_lent(trunk.name, batch)
+            self.world.got(self.world.members[endpoint.name], self.node, batch.messages)
+        super().received(endpoint, batch)
+        self.node.note_lent(endpoint.name, batch)
 
-    def say(self, trunk: PlannerTrunk, messages: list[AnyMessage], basis: int, acked: int) -> None:
+    def send(self, endpoint: PlannerEndpoint, messages: list[AnyMessage], basis: int, acked: int) -> None:
         if self.world.detailed:
-            self.world.sent(self.node, self.world.members[trunk.name], messages)
-        super().say(trunk, messages, basis, acked)
+            self.world.sent(self.node, self.world.members[endpoint.name], messages)
+        super().send(endpoint, messages, basis, acked)
 
 
 class PathedPlanner(Pathed, PlannerNode):
-    sessions: PlannerTrunks | None
+    sessions: PlannerEndpoints | None
 
     def start(self) -> None:
         self.paths, self.sessions = {}, None
         super().start()
 
-    def trunks(self) -> PlannerTrunks:
+    def endpoints(self) -> PlannerEndpoints:
         if self.sessions is None:
             self.sessions = Watched(self)
         return self.sessions
 
     def tick(self) -> None:
         self.core.tick(self.clock())
-        self.trunks().look_after()
+        self.endpoints().check_sessions()
         self.flush()
         self.after(self.world.terms.beat_every, self.tick)
 
@@ -109,20 +109,20 @@
         self.alive = False
         self.end_paths(quiet)
 
-    def came(self, stream: PathStream, reader: FrameReader, name: str, path: str, data: bytes) -> None:
+    def receive(self, stream: PathStream, reader: FrameReader, name: str, path: str, data: bytes) -> None:
         """Frames of a forwarder's session on one of its paths; a bad one ends it."""
-        sessions = self.trunks()
-        trunk = sessions.trunks.get(name)
+        sessions = self.endpoints()
+        endpoint = sessions.endpoints.get(name)
         try:
             for frame in reader.feed(data):
-                if trunk is not None and stream.open[self]:
-                    sessions.came(trunk, path, frame)
+                if endpoint is not None and stream.open[self]:
+                    sessions.receive(endpoint, path, frame)
         except BadFrame:
             stream.close(self)
 
     def flush(self) -> None:
         self.set_timers()
-        self.trunks().flush()
+        self.endpoints().flush()
 
 
 class Host:
@@ -186,7 +186,7 @@
         ):
             return self.dial_path(planner, via)
         try:
-            trunk = planner.trunks().trunk_of(proof)
+            endpoint = planner.endpoints().endpoint_of(proof)
         except HandshakeError:
             return self.dial_path(planner, via)
         streams = [PathStream(world, a, b) for a, b in hops]
@@ -198,20 +198,20 @@
             other.on_data[node] = lambda data, one=one, node=node: one.send(node, data)  # type: ignore[misc]
             one.on_over[node] = lambda other=other, node=node: other.close(node)  # type: ignore[misc]
             other.on_over[node] = lambda one=one, node=node: one.close(node)  # type: ignore[misc]
-        first.on_data[self] = lambda data: self.came(line, here, readers[0], data)
-        last.on_data[planner] = lambda data: planner.came(last, readers[1], self.name, via, data)
+        first.on_data[self] = lambda data: self.receive(line, here, readers[0], data)
+        last.on_data[planner] = lambda data: planner.receive(last, readers[1], self.name, via, data)
         first.on_over[self] = lambda: self.over(line, here, planner)
-        last.on_over[planner] = lambda: planner.trunks().lost(trunk, via, there)
-        trunk.join(via, there)
-        line.join(here, f"{planner.name}.{planner.life}", trunk.token)
+        last.on_over[planner] = lambda: planner.endpoints().lost(endpoint, via, there)
+        endpoint.join(via, there)
+        line.join(here, f"{planner.name}.{planner.life}", endpoint.token)
         planner.flush()
         return None
 
-    def came(self, line: ForwarderLine, hop: Hop, reader: FrameReader, data: bytes) -> None:
+    def receive(self, line: ForwarderLine, hop: Hop, reader: FrameReader, data: bytes) -> None:
         try:
             for frame in reader.feed(data):
                 if hop.stream.open[self]:
-                    line.came(hop, frame)
+                    line.receive(hop, frame)
         except BadFrame:
             hop.close()
 
@@ -225,4 +225,4 @@
             if messages and line.token:
                 self.core.outbox[name] = []
                 self.note_said(name, messages)
-                line.trunk.say(messages)
+                line.endpoint.send(messages)
--- a/embersill/tiers/carrying.py
+++ b/embersill/tiers/carrying.py
@@ -1,9 +1,9 @@
-"""A planner carries forwarders' connections to other planners: bytes both ways, and no word of its own.
+"""A planner relays forwarders' connections to other planners: it copies bytes both ways and adds none.
 
-Only a forwarder that has proved itself is carried, only to a planner of the operator file, and only one
-connection of each forwarder to each planner. The two ends of what is carried prove themselves to each other
-as ever: who carries reads nothing, and what it could spoil ends the connection. A planner never asks to be
-carried, so nothing goes over more than one.
+A planner relays only for an authenticated forwarder, only to a planner of the operator file, and only one
+connection of each forwarder to each planner. The two ends of a relayed connection authenticate each other as
+usual: the relay interprets nothing, and any corruption by it ends the connection. A planner never asks to be
+relayed, so no connection passes through more than one relay.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 from collections.abc import Callable
 from typing import cast
 
-from embersill.tiers.frames import DIAL_WITHIN
+from embersill.tiers.frames import DIAL_TIMEOUT_S
 from embersill.tiers.wire import MAX_HANDSHAKE_BYTES
 
-MOST_WAITING = 1 << 20  # bytes of one direction that wait here before the sender is made to wait
+RELAY_BUFFER_BYTES = 1 << 20  # per direction, before backpressure on the sender
 
 
-class Carried(asyncio.Protocol):
-    """The connection onwards. `back` takes what comes over it, which waits while `back` can't take more."""
+class RelayedConnection(asyncio.Protocol):
+    """The onward connection. What it receives is written to `back`; it pauses while `back` is full."""
 
-    def __init__(self, back: asyncio.Transport, over: Callable[[Carried], None]) -> None:
+    def __init__(self, back: asyncio.Transport, over: Callable[[RelayedConnection], None]) -> None:
         self.back, self.over = back, over
         self.transport: asyncio.Transport | None = None
-        self.early: bytearray | None = bytearray()  # what came before the forwarder has its welcome
+        self.early: bytearray | None = bytearray()  # received before the forwarder has its welcome
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=MOST_WAITING)
-        self.back.set_write_buffer_limits(high=MOST_WAITING)
+        self.transport.set_write_buffer_limits(high=RELAY_BUFFER_BYTES)
+        self.back.set_write_buffer_limits(high=RELAY_BUFFER_BYTES)
 
     def start(self) -> None:
-        """The forwarder has its welcome: all that comes from now on is for it."""
+        """The forwarder has its welcome: passes everything on from now on."""
         early, self.early = self.early, None
         if early:
             self.back.write(bytes(early))
@@ -45,7 +45,8 @@
         elif not self.back.is_closing():
             self.back.write(data)
 
-    def forth(self, data: bytes) -> None:
+    def send_onward(self, data: bytes) -> None:
+        """Passes bytes of the forwarder on to the planner."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
@@ -57,7 +58,8 @@
         if not self.back.is_closing():
             self.back.resume_reading()
 
-    def back_is_full(self, full: bool) -> None:
+    def set_backpressure(self, full: bool) -> None:
+        """Pauses or resumes reading from the planner, as the forwarder's buffer fills or drains."""
         if self.transport is not None and not self.transport.is_closing():
             (self.transport.pause_reading if full else self.transport.resume_reading)()
 
@@ -67,33 +69,34 @@
         self.over(self)
 
     def close(self) -> None:
+        """Aborts the onward connection."""
         if self.transport is not None:
             self.transport.abort()
 
 
-class Carrier:
-    """All that one planner carries."""
+class ConnectionRelay:
+    """All connections that one planner relays."""
 
     def __init__(self, others: dict[str, tuple[str, int]]) -> None:
-        """`others`: where each planner is to which forwarders may be carried."""
+        """`others`: the addresses of the planners to which it relays."""
         self.others = others
-        self.carried: dict[tuple[str, str], Carried] = {}  # by forwarder and planner
+        self.carried: dict[tuple[str, str], RelayedConnection] = {}  # by forwarder and planner
 
-    async def begin(self, forwarder: str, to: str, back: asyncio.Transport) -> Carried | None:
-        """Dials onwards; None where nobody is reached. A connection that was carried before ends."""
+    async def begin(self, forwarder: str, to: str, back: asyncio.Transport) -> RelayedConnection | None:
+        """Dials the planner; None if it can't be reached. Closes an older connection of the same pair."""
         key = forwarder, to
         older = self.carried.pop(key, None)
         if older is not None:
             older.close()
 
-        def over(end: Carried) -> None:
+        def over(end: RelayedConnection) -> None:
             if self.carried.get(key) is end:
                 del self.carried[key]
 
-        made = Carried(back, over)
+        made = RelayedConnection(back, over)
         self.carried[key] = made
         try:
-            async with asyncio.timeout(DIAL_WITHIN):
+            async with asyncio.timeout(DIAL_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: made, *self.others[to])
         except (OSError, TimeoutError):
             over(made)
@@ -104,5 +107,6 @@
         return made
 
     def close(self) -> None:
+        """Ends all relayed connections."""
         for made in list(self.carried.values()):
             made.close()
--- a/embersill/tiers/frames.py
+++ b/embersill/tiers/frames.py
@@ -1,6 +1,6 @@
-"""Framed connections between members of a deployment: frames in, frames out, dialled again when they end.
+"""Framed connections between members of a deployment, redialled when they end.
 
-A link that breaks, or brings what it should not, is closed whole; whoever dialled it dials again.
+A link that breaks or delivers an invalid frame is closed; the end that dialled it redials.
 """
 
 from __future__ import annotations
@@ -21,61 +21,63 @@
     rejection,
 )
 
-HANDSHAKE_WITHIN = 2.0  # seconds
-MOST_STRANGERS = 64  # connections at a listener that have not proved themselves yet
-DIAL_WITHIN = 1.0  # seconds
-FIRST_BACK_OFF, MOST_BACK_OFF = 0.02, 0.25  # seconds before it is dialled again: doubled each time
-STABLE = 1.0  # seconds for which a link must have stood for the next back-off to begin anew
+HANDSHAKE_TIMEOUT_S = 2.0
+MAX_UNAUTHENTICATED = 64  # connections of one listener before authentication
+DIAL_TIMEOUT_S = 1.0
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.25  # before a redial; doubles each time
+STABLE_AFTER_S = 1.0  # a link that lasted this long resets the back-off
 
 log = logging.getLogger("embersill")
 
 
 class FrameProtocol(asyncio.Protocol):
-    """What both ends share: frames in, frames out, and an end for whatever breaks the rules."""
+    """Common to both ends: splits the stream into frames and closes the link on a protocol error."""
 
     def __init__(self, most_frame: int, most_unsent: int) -> None:
         self.most_frame, self.most_unsent = most_frame, most_unsent
         self.reader = FrameReader(MAX_HANDSHAKE_BYTES)
         self.transport: asyncio.Transport | None = None
         self.handshake: asyncio.TimerHandle | None = None
-        self.proved = False
+        self.authenticated = False
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.handshake = asyncio.get_running_loop().call_later(HANDSHAKE_WITHIN, self.close)
+        self.handshake = asyncio.get_running_loop().call_later(HANDSHAKE_TIMEOUT_S, self.close)
 
     def data_received(self, data: bytes) -> None:
         try:
             for frame in self.reader.feed(data):
                 if self.transport is None or self.transport.is_closing():
                     return
-                if self.proved:
-                    self.frame_came(frame)
+                if self.authenticated:
+                    self.frame_received(frame)
                 else:
-                    self.handshake_came(frame)
+                    self.handshake_received(frame)
         except HandshakeError as error:
-            self.turn_away(str(error))
+            self.reject(str(error))
         except BadFrame as error:
             log.warning("a link is closed: %s", error)
             self.close()
 
-    def prove(self) -> None:
-        self.proved, self.reader.max_bytes = True, self.most_frame
+    def mark_authenticated(self) -> None:
+        """The handshake is complete: allows large frames and stops the handshake's time-out."""
+        self.authenticated, self.reader.max_bytes = True, self.most_frame
         if self.handshake is not None:
             self.handshake.cancel()
 
     def write(self, framed: bytes) -> None:
-        """A frame with its length; a peer that does not read loses its link."""
+        """Sends a length-prefixed frame; closes the link of a peer that does not read."""
         if self.transport is None or self.transport.is_closing():
             return
         self.transport.write(framed)
         if self.transport.get_write_buffer_size() > self.most_unsent:
-            log.warning("a link is closed: the other end does not read")
+            log.warning("a link is closed: the other end does not read what is sent")
             self.close()
 
     def close(self) -> None:
+        """Aborts the connection."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -90,65 +92,68 @@
             self.ended.set_result(None)
         self.lost()
 
-    def handshake_came(self, frame: bytes) -> None:
+    def handshake_received(self, frame: bytes) -> None:
+        """A frame has arrived before authentication."""
         raise NotImplementedError
 
-    def frame_came(self, frame: bytes) -> None:
+    def frame_received(self, frame: bytes) -> None:
+        """A frame has arrived after authentication."""
         raise NotImplementedError
 
-    def turn_away(self, reason: str) -> None:
+    def reject(self, reason: str) -> None:
+        """The handshake has failed."""
         raise NotImplementedError
 
     def lost(self) -> None:
-        """The connection is over."""
+        """The connection has ended."""
 
 
-class TakenProtocol(FrameProtocol):
-    """A connection that was dialled by another: it proves itself before it is more than a stranger."""
+class AcceptedProtocol(FrameProtocol):
+    """An accepted connection: the other end has to authenticate itself within the handshake's time-out."""
 
     def __init__(
-        self, strangers: set[TakenProtocol], side: PlannerSide, most_frame: int, most_unsent: int
+        self, unauthenticated: set[AcceptedProtocol], side: PlannerSide, most_frame: int, most_unsent: int
     ) -> None:
-        """`strangers`: of one listener, those that have not proved themselves yet."""
+        """`unauthenticated`: the listener's connections that have not completed the handshake."""
         super().__init__(most_frame, most_unsent)
-        self.strangers, self.side = strangers, side
+        self.unauthenticated, self.side = unauthenticated, side
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        if len(self.strangers) >= MOST_STRANGERS:
+        if len(self.unauthenticated) >= MAX_UNAUTHENTICATED:
             return self.close()
-        self.strangers.add(self)
+        self.unauthenticated.add(self)
         assert self.transport is not None
         return self.transport.write(self.side.challenge())
 
     def welcome(self, frame: bytes, known: frozenset[str]) -> str:
-        """Who has proved itself, by name; HandshakeError for one that may not link."""
+        """Accepts a member and returns its name; raises HandshakeError for one that may not connect."""
         proof = self.side.check(frame, known)
         self.accept(proof)
         return proof.name
 
     def accept(self, proof: Proof, token: int = 0) -> None:
-        """Lets one in that has proved itself."""
-        self.prove()
-        self.strangers.discard(self)
+        """Answers a verified proof with the welcome."""
+        self.mark_authenticated()
+        self.unauthenticated.discard(self)
         assert self.transport is not None
         self.transport.write(self.side.welcome(proof, token))
 
-    def turn_away(self, reason: str) -> None:
-        log.warning("a link is turned away: %s", reason)
+    def reject(self, reason: str) -> None:
+        log.warning("a link is rejected: %s", reason)
         if self.transport is not None:
             self.transport.write(rejection(reason))
             self.transport.close()
 
     def lost(self) -> None:
-        self.strangers.discard(self)
+        self.unauthenticated.discard(self)
 
 
 Link = TypeVar("Link", bound=FrameProtocol)
 
 
 class Dialler(Generic[Link]):
-    """The connection to one member: dialled again whenever it ends."""
+    """Keeps a connection to one member: redials with back-off whenever it ends."""
 
     def __init__(self, make: Callable[[], Link], address: tuple[str, int]) -> None:
         self.make, self.address = make, address
@@ -156,16 +161,17 @@
         self.task = self.loop.create_task(self.run())
 
     async def run(self) -> None:
-        back_off = FIRST_BACK_OFF
+        """Dials until cancelled."""
+        back_off = INITIAL_BACKOFF_S
         while True:
             began, link = self.loop.time(), self.make()
             try:
-                async with asyncio.timeout(DIAL_WITHIN):
+                async with asyncio.timeout(DIAL_TIMEOUT_S):
                     await self.loop.create_connection(lambda link=link: link, *self.address)  # type: ignore[misc]
                 await link.ended
             except (OSError, TimeoutError):
                 link.close()
-            if link.proved and self.loop.time() - began > STABLE:
-                back_off = FIRST_BACK_OFF
+            if link.authenticated and self.loop.time() - began > STABLE_AFTER_S:
+                back_off = INITIAL_BACKOFF_S
             await asyncio.sleep(back_off)
-            back_off = min(2 * back_off, MOST_BACK_OFF)
+            back_off = min(2 * back_off, MAX_BACKOFF_S)
--- a/embersill/tiers/links.py
+++ b/embersill/tiers/links.py
@@ -1,9 +1,8 @@
 """The sockets between forwarders and planners: one session for each pair, over one connection or several.
 
-What has to be said is gathered until the loop's next round and goes out as one frame. A session goes on while
-any of its connections stands, the direct one or one that another planner carries (`multipath.py`), and for
-`silent_after` without any. A connection that brings what it should not ends its session; the forwarder dials
-again.
+Outgoing messages are collected until the event loop's next iteration and sent as one frame. A session lasts
+while any of its connections is open, the direct one or one relayed by another planner (`multipath.py`), and
+for `silent_after` without any. An invalid frame on a connection ends the session; the forwarder redials.
 """
 
 from __future__ import annotations
@@ -17,9 +16,9 @@
 
 from embersill.interface import Action
 from embersill.net.driver import Driver
-from embersill.tiers.carrying import Carried, Carrier
+from embersill.tiers.carrying import RelayedConnection, ConnectionRelay
 from embersill.tiers.forwarder import Forwarder
-from embersill.tiers.frames import Dialler, FrameProtocol, TakenProtocol
+from embersill.tiers.frames import Dialler, FrameProtocol, AcceptedProtocol
 from embersill.tiers.messages import AnyMessage, BadFrame, Batch
 from embersill.tiers.multipath import DIRECT, Multipath
 from embersill.tiers.parts import weight
@@ -30,15 +29,15 @@
 
 
 class Connection(Protocol):
-    """What a path is to its session."""
+    """The interface of a connection that a session uses as a path."""
 
     def write(self, framed: bytes) -> None: ...
 
     def close(self) -> None: ...
 
 
-class Trunk:
-    """One end of a session: its connections by path, and what of it both ends have alike."""
+class SessionEndpoint:
+    """One end of a session: its connections by path, and the logic common to both ends."""
 
     def __init__(self, clock: Callable[[], float], multipath: Multipath) -> None:
         self.clock, self.multipath = clock, multipath
@@ -55,7 +54,7 @@
         self.write()
 
     def leave(self, path: str, link: Connection) -> bool:
-        """False for a connection that is no path any more."""
+        """Removes a connection; False if the session no longer uses it."""
         if self.links.get(path) is not link:
             return False
         del self.links[path]
@@ -65,12 +64,12 @@
         self.write()
         return True
 
-    def say(self, messages: list[AnyMessage], basis: int = 0, acked: int = 0) -> None:
-        self.multipath.say(messages, basis, acked, self.clock())
+    def send(self, messages: list[AnyMessage], basis: int = 0, acked: int = 0) -> None:
+        self.multipath.send(messages, basis, acked, self.clock())
         self.write()
 
-    def came(self, path: str, frame: bytes) -> list[Batch]:
-        batches = self.multipath.came(path, frame, self.clock())
+    def receive(self, path: str, frame: bytes) -> list[Batch]:
+        batches = self.multipath.receive(path, frame, self.clock())
         self.write()
         return batches
 
@@ -82,11 +81,11 @@
                 link.write(frame)
 
     def over(self, silent_after: float) -> bool:
-        """Looks after the paths; True once the session can't go on."""
+        """Runs the paths' timers; True once the session has to end."""
         self.multipath.tick(self.clock())
         self.write()
         if self.multipath.overfull:
-            log.warning("a session ends: the other end does not say what it has")
+            log.warning("a session ends: the other end does not acknowledge what it receives")
             return True
         return not self.links and self.clock() - self.pathless_since > silent_after
 
@@ -96,15 +95,17 @@
             link.close()
 
 
-class PlannerTrunk(Trunk):
-    def __init__(self, trunks: PlannerTrunks, proof: Proof, token: int) -> None:
-        super().__init__(trunks.clock, Multipath(trunks.core.terms, trunks.most_frame, trunks.most_unsent))
+class PlannerEndpoint(SessionEndpoint):
+    def __init__(self, endpoints: PlannerEndpoints, proof: Proof, token: int) -> None:
+        super().__init__(
+            endpoints.clock, Multipath(endpoints.core.terms, endpoints.most_frame, endpoints.most_unsent)
+        )
         self.name, self.life, self.number, self.token = proof.name, proof.life, proof.session, token
-        self.session: Session = trunks.core.link_up(proof.name, trunks.clock())
+        self.session: Session = endpoints.core.link_up(proof.name, endpoints.clock())
 
 
-class PlannerTrunks:
-    """All sessions of a planner with forwarders. `due` is called when something may have to be said."""
+class PlannerEndpoints:
+    """All sessions of a planner with forwarders. `due` is called when there may be something to send."""
 
     def __init__(
         self,
@@ -116,99 +117,99 @@
     ) -> None:
         self.core, self.clock, self.due = core, clock, due
         self.most_frame, self.most_unsent = most_frame, most_unsent
-        self.trunks: dict[str, PlannerTrunk] = {}  # by forwarder
+        self.endpoints: dict[str, PlannerEndpoint] = {}  # by forwarder
         self.last_token = 0
 
-    def trunk_of(self, proof: Proof) -> PlannerTrunk:
-        """The session that a connection belongs to; a new one takes the place of an older one."""
-        trunk = self.trunks.get(proof.name)
-        if trunk is not None and trunk.life == proof.life:
-            if trunk.number == proof.session:
-                return trunk
-            if trunk.number > proof.session:
+    def endpoint_of(self, proof: Proof) -> PlannerEndpoint:
+        """The session that a connection belongs to; a new session replaces an older one."""
+        endpoint = self.endpoints.get(proof.name)
+        if endpoint is not None and endpoint.life == proof.life:
+            if endpoint.number == proof.session:
+                return endpoint
+            if endpoint.number > proof.session:
                 raise HandshakeError("an older session")
-        if trunk is not None:
-            self.end(trunk)
+        if endpoint is not None:
+            self.end(endpoint)
         self.last_token += 1
-        trunk = self.trunks[proof.name] = PlannerTrunk(self, proof, self.last_token)
-        return trunk
+        endpoint = self.endpoints[proof.name] = PlannerEndpoint(self, proof, self.last_token)
+        return endpoint
 
-    def came(self, trunk: PlannerTrunk, path: str, frame: bytes) -> None:
-        """A frame on a path of a session, which a bad one ends: BadFrame."""
-        if self.trunks.get(trunk.name) is not trunk:
+    def receive(self, endpoint: PlannerEndpoint, path: str, frame: bytes) -> None:
+        """Takes a frame from a path of a session; an invalid one ends the session and raises BadFrame."""
+        if self.endpoints.get(endpoint.name) is not endpoint:
             return
         try:
-            for batch in trunk.came(path, frame):
-                self.received(trunk, batch)
+            for batch in endpoint.receive(path, frame):
+                self.received(endpoint, batch)
         except BadFrame:
-            self.end(trunk)
+            self.end(endpoint)
             raise
         self.due()
 
-    def received(self, trunk: PlannerTrunk, batch: Batch) -> None:
-        self.core.received(trunk.session, batch, self.clock())
+    def received(self, endpoint: PlannerEndpoint, batch: Batch) -> None:
+        self.core.received(endpoint.session, batch, self.clock())
 
-    def lost(self, trunk: PlannerTrunk, path: str, link: Connection) -> None:
-        """A connection is over."""
-        if trunk.leave(path, link):
-            if not trunk.links:
-                self.core.link_lost(trunk.session)
+    def lost(self, endpoint: PlannerEndpoint, path: str, link: Connection) -> None:
+        """A connection has ended."""
+        if endpoint.leave(path, link):
+            if not endpoint.links:
+                self.core.link_lost(endpoint.session)
             self.due()
 
-    def end(self, trunk: PlannerTrunk) -> None:
-        if self.trunks.get(trunk.name) is trunk:
-            del self.trunks[trunk.name]
-            self.core.link_down(trunk.session, self.clock())
+    def end(self, endpoint: PlannerEndpoint) -> None:
+        if self.endpoints.get(endpoint.name) is endpoint:
+            del self.endpoints[endpoint.name]
+            self.core.link_down(endpoint.session, self.clock())
             self.due()
-        trunk.close()
+        endpoint.close()
 
-    def look_after(self) -> None:
-        """To be called once in a beat, after the core's own tick."""
+    def check_sessions(self) -> None:
+        """To be called once per beat, after the core's own tick."""
         dead, self.core.dead = self.core.dead, []
-        for trunk in list(self.trunks.values()):
-            if trunk.session in dead or trunk.over(self.core.terms.silent_after):
-                self.end(trunk)
+        for endpoint in list(self.endpoints.values()):
+            if endpoint.session in dead or endpoint.over(self.core.terms.silent_after):
+                self.end(endpoint)
 
     def flush(self) -> None:
-        for trunk in list(self.trunks.values()):
-            session = trunk.session
+        for endpoint in list(self.endpoints.values()):
+            session = endpoint.session
             if session.outbox or session.acked > session.acked_told:
-                self.say(trunk, *self.core.said(session))
+                self.send(endpoint, *self.core.said(session))
 
-    def say(self, trunk: PlannerTrunk, messages: list[AnyMessage], basis: int, acked: int) -> None:
-        trunk.say(messages, basis, acked)
+    def send(self, endpoint: PlannerEndpoint, messages: list[AnyMessage], basis: int, acked: int) -> None:
+        endpoint.send(messages, basis, acked)
 
 
-class PlannerLink(TakenProtocol):
-    """A connection that a forwarder has dialled: one of its session's, or one to be carried on."""
+class PlannerLink(AcceptedProtocol):
+    """A connection dialled by a forwarder: a path of its session, or one to relay to another planner."""
 
     def __init__(self, server: PlannerServer) -> None:
         side = PlannerSide(server.secret, server.name, server.incarnation, os.urandom(32))
-        super().__init__(server.strangers, side, server.most_frame, server.most_unsent)
+        super().__init__(server.unauthenticated, side, server.most_frame, server.most_unsent)
         self.server = server
-        self.trunk: PlannerTrunk | None = None
+        self.endpoint: PlannerEndpoint | None = None
         self.path = DIRECT
-        self.carried: Carried | None = None
+        self.carried: RelayedConnection | None = None
         self.dialling: asyncio.Task[None] | None = None
 
-    def handshake_came(self, frame: bytes) -> None:
+    def handshake_received(self, frame: bytes) -> None:
         if self.dialling is not None:
-            raise BadFrame("a frame before the welcome")
+            raise BadFrame("frame received before the welcome")
         proof = self.side.check(frame, self.server.core.forwarders)
         if proof.to:
-            if proof.to not in self.server.carrier.others:
-                raise HandshakeError(f"no planner {proof.to!r} to be carried to")
+            if proof.to not in self.server.relay.others:
+                raise HandshakeError(f"no planner {proof.to!r} to relay to")
             self.dialling = self.server.loop.create_task(self.carry(proof))
             return
         self.path = proof.via
-        self.trunk = self.server.sessions.trunk_of(proof)
-        self.accept(proof, self.trunk.token)
-        self.trunk.join(self.path, self)
+        self.endpoint = self.server.sessions.endpoint_of(proof)
+        self.accept(proof, self.endpoint.token)
+        self.endpoint.join(self.path, self)
         self.server.due()
 
     async def carry(self, proof: Proof) -> None:
         assert self.transport is not None
-        made = await self.server.carrier.begin(proof.name, proof.to, self.transport)
+        made = await self.server.relay.begin(proof.name, proof.to, self.transport)
         if made is None:
             return self.close()
         self.accept(proof)
@@ -218,20 +219,20 @@
 
     def data_received(self, data: bytes) -> None:
         if self.carried is not None:
-            return self.carried.forth(data)
+            return self.carried.send_onward(data)
         return super().data_received(data)
 
     def pause_writing(self) -> None:
         if self.carried is not None:
-            self.carried.back_is_full(True)
+            self.carried.set_backpressure(True)
 
     def resume_writing(self) -> None:
         if self.carried is not None:
-            self.carried.back_is_full(False)
+            self.carried.set_backpressure(False)
 
-    def frame_came(self, frame: bytes) -> None:
-        assert self.trunk is not None
-        self.server.sessions.came(self.trunk, self.path, frame)
+    def frame_received(self, frame: bytes) -> None:
+        assert self.endpoint is not None
+        self.server.sessions.receive(self.endpoint, self.path, frame)
 
     def lost(self) -> None:
         super().lost()
@@ -239,12 +240,12 @@
             self.dialling.cancel()
         if self.carried is not None:
             self.carried.close()
-        if self.trunk is not None:
-            self.server.sessions.lost(self.trunk, self.path, self)
+        if self.endpoint is not None:
+            self.server.sessions.lost(self.endpoint, self.path, self)
 
 
 class PlannerServer:
-    """A planner's side of all sessions, and its timers."""
+    """The planner's listener, its side of all sessions, and its timers."""
 
     def __init__(
         self,
@@ -257,19 +258,21 @@
         most_unsent: int,
         others: dict[str, tuple[str, int]] | None = None,
     ) -> None:
-        """`others`: the planners to which forwarders are carried."""
+        """`others`: the planners to which forwarders' connections are relayed."""
         self.core, self.clock, self.secret, self.name = core, clock, secret, name
         self.most_frame, self.most_unsent = most_frame, most_unsent
         self.incarnation = os.urandom(8).hex()
-        self.sessions = PlannerTrunks(core, clock, most_frame, most_unsent, self.due)
-        self.trunks = self.sessions.trunks
-        self.strangers: set[TakenProtocol] = set()
-        self.carrier = Carrier({p: place for p, place in (others or {}).items() if p != name})
+        self.sessions = PlannerEndpoints(core, clock, most_frame, most_unsent, self.due)
+        self.endpoints = self.sessions.endpoints
+        self.unauthenticated: set[AcceptedProtocol] = set()
+        self.relay = ConnectionRelay({p: place for p, place in (others or {}).items() if p != name})
         self.loop = asyncio.get_running_loop()
         self.server: asyncio.Server | None = None
         self.flushing = False
         self.ticker: asyncio.TimerHandle | None = None
-        self.before_said: Callable[[], None] | None = None  # what must be on disk before it is acted on
+        self.before_said: Callable[[], None] | None = (
+            None  # persists what must be on disk before messages are sent
+        )
 
     async def start(self, address: tuple[str, int]) -> None:
         self.server = await self.loop.create_server(lambda: PlannerLink(self), *address)
@@ -282,12 +285,12 @@
 
     def tick(self) -> None:
         self.core.tick(self.clock())
-        self.sessions.look_after()
+        self.sessions.check_sessions()
         self.due()
         self.ticker = self.loop.call_later(self.core.terms.beat_every, self.tick)
 
     def due(self) -> None:
-        """Something may have to be said or timed: once a round of the loop."""
+        """Schedules a flush, at most once per iteration of the event loop."""
         if not self.flushing:
             self.flushing = True
             self.loop.call_soon(self.flush)
@@ -307,10 +310,10 @@
         self.due()
 
     def status(self) -> dict[str, object]:
-        """What an operator watches of the links."""
+        """The links' figures for the status line."""
         return {
-            "carried": len(self.carrier.carried),
-            "resent": sum(trunk.multipath.resent for trunk in self.trunks.values()),
+            "carried": len(self.relay.carried),
+            "resent": sum(endpoint.multipath.resent for endpoint in self.endpoints.values()),
         }
 
     def close(self) -> None:
@@ -318,20 +321,20 @@
             self.ticker.cancel()
         if self.server is not None:
             self.server.close()
-        self.carrier.close()
-        for trunk in self.trunks.values():
-            trunk.close()
-        for stranger in list(self.strangers):
+        self.relay.close()
+        for endpoint in self.endpoints.values():
+            endpoint.close()
+        for stranger in list(self.unauthenticated):
             stranger.close()
 
 
 class ForwarderLink(FrameProtocol):
-    """A connection to a planner, direct or carried by another, to which it proves itself first."""
+    """A connection to a planner, direct or relayed by another one; the forwarder authenticates first."""
 
     def __init__(self, links: ForwarderLinks, line: ForwarderLine, via: str) -> None:
         super().__init__(links.most_frame, links.most_unsent)
         self.links, self.line, self.via, self.number = links, line, via, line.number
-        self.carrying = bool(via)  # its end is the one who carries, as yet
+        self.carrying = bool(via)  # the handshake with the relay is still under way
         self.side = self.side_to(line.planner if not via else via, to=line.planner if via else "")
 
     def side_to(self, planner: str, to: str = "") -> ForwarderSide:
@@ -347,7 +350,7 @@
             to=to,
         )
 
-    def handshake_came(self, frame: bytes) -> None:
+    def handshake_received(self, frame: bytes) -> None:
         answer = self.side.read(frame)
         if answer is not None:
             assert self.transport is not None
@@ -355,26 +358,26 @@
         if self.carrying:
             self.carrying, self.side = False, self.side_to(self.line.planner)
             return None
-        self.prove()
+        self.mark_authenticated()
         assert self.side.challenge is not None
         return self.line.join(self, self.side.challenge.incarnation, self.side.token)
 
-    def frame_came(self, frame: bytes) -> None:
-        self.line.came(self, frame)
+    def frame_received(self, frame: bytes) -> None:
+        self.line.receive(self, frame)
 
-    def turn_away(self, reason: str) -> None:
+    def reject(self, reason: str) -> None:
         if reason != self.line.last_reason:
             log.warning("planner %s: %s", self.via or self.line.planner, reason)
         self.line.last_reason = reason
         self.close()
 
     def lost(self) -> None:
-        if self.proved:
+        if self.authenticated:
             self.line.leave(self)
 
 
 class LineHost(Protocol):
-    """What a line needs of the forwarder's side."""
+    """What a ForwarderLine needs of its owner."""
 
     core: Forwarder
     clock: Callable[[], float]
@@ -387,32 +390,32 @@
 
 
 class Dialled(Connection, Protocol):
-    """A connection of a line: over whom, and of which of its sessions."""
+    """A connection of a ForwarderLine: the planner that relays it, and the number of its session."""
 
     via: str
     number: int
 
 
 class ForwarderLine:
-    """The session with one planner, and the connections that it goes over: dialled again when they end."""
+    """The session with one planner over its connections, which are redialled when they end."""
 
     def __init__(self, links: LineHost, planner: str) -> None:
         self.links, self.planner = links, planner
         self.last_reason = ""
-        self.number = 1  # of the session
-        self.token = 0  # the planner's name of it, once there is one
-        self.trunk = self.new_trunk()
+        self.number = 1  # number of the session
+        self.token = 0  # the planner's identifier of the session; 0 while there is none
+        self.endpoint = self.new_endpoint()
 
-    def new_trunk(self) -> Trunk:
+    def new_endpoint(self) -> SessionEndpoint:
         links = self.links
-        return Trunk(
+        return SessionEndpoint(
             links.clock, Multipath(links.core.terms, links.most_frame, links.most_unsent, beats=True)
         )
 
     def join(self, link: Dialled, incarnation: str, token: int) -> None:
-        if link.number != self.number:  # of a session that ended meanwhile
+        if link.number != self.number:  # belongs to a session that has ended meanwhile
             return link.close()
-        if self.token and token != self.token:  # the planner has given the session up
+        if self.token and token != self.token:  # the planner has ended the session
             self.end()
             return link.close()
         self.last_reason = ""
@@ -420,13 +423,13 @@
         self.token = token
         if begins:
             self.links.perform(self.links.core.link_up(self.planner, incarnation, self.links.clock()))
-        return self.trunk.join(link.via, link)
+        return self.endpoint.join(link.via, link)
 
-    def came(self, link: Dialled, frame: bytes) -> None:
+    def receive(self, link: Dialled, frame: bytes) -> None:
         if link.number != self.number or not self.token:
             return
         try:
-            batches = self.trunk.came(link.via, frame)
+            batches = self.endpoint.receive(link.via, frame)
         except BadFrame:
             self.end()
             raise
@@ -434,23 +437,23 @@
             self.links.heard(self.planner, batch)
 
     def leave(self, link: Dialled) -> None:
-        if link.number == self.number and self.trunk.leave(link.via, link) and not self.trunk.links:
+        if link.number == self.number and self.endpoint.leave(link.via, link) and not self.endpoint.links:
             self.links.perform(self.links.core.link_lost(self.planner, self.links.clock()))
 
     def tick(self) -> None:
-        if self.token and self.trunk.over(self.links.core.terms.silent_after):
+        if self.token and self.endpoint.over(self.links.core.terms.silent_after):
             self.end()
 
     def end(self) -> None:
-        """The session is over; the next connection begins another."""
-        ended, self.trunk = self.trunk, self.new_trunk()
+        """Ends the session; the next connection starts another."""
+        ended, self.endpoint = self.endpoint, self.new_endpoint()
         self.number, self.token = self.number + 1, 0
         ended.close()
         self.links.perform(self.links.core.link_down(self.planner, self.links.clock()))
 
 
 class ForwarderLinks:
-    """A forwarder's side of all sessions. Stands in for the decision module towards the driver."""
+    """The forwarder's side of all sessions; the driver uses it in place of the decision module."""
 
     def __init__(
         self,
@@ -464,7 +467,7 @@
         most_unsent: int,
         helpers: int = 0,
     ) -> None:
-        """`helpers`: how many other planners, at most, carry a connection to each."""
+        """`helpers`: the maximum number of other planners that relay a connection to each planner."""
         self.core, self.clock, self.secret, self.name = core, clock, secret, name
         self.settings = core.settings
         self.planners = planners
@@ -478,7 +481,7 @@
         self.ticker: asyncio.TimerHandle | None = None
 
     def helpers_to(self, planner: str) -> list[str]:
-        """Who carries to a planner: others for each forwarder, so that no planner carries for all."""
+        """The relays to a planner: chosen per forwarder, so that no planner relays for all."""
         others = [name for name in self.planners if name != planner]
         return sorted(others, key=lambda name: weight(0, f"{self.name} {planner} {name}"))[: self.helpers]
 
@@ -531,18 +534,18 @@
             messages = self.core.outbox[planner]
             if messages and line.token:
                 self.core.outbox[planner] = []
-                line.trunk.say(messages)
+                line.endpoint.send(messages)
 
     def status(self) -> dict[str, object]:
-        """What an operator watches; docs/operate/tiers.md explains each figure."""
+        """The status line's figures, explained in docs/operate/tiers.md."""
         paths = {
-            planner: None if (used := line.trunk.multipath.used) is None else used.name or "direct"
+            planner: None if (used := line.endpoint.multipath.used) is None else used.name or "direct"
             for planner, line in self.lines.items()
         }
         return {
             **self.core.status(),
             "paths": paths,
-            "resent": sum(line.trunk.multipath.resent for line in self.lines.values()),
+            "resent": sum(line.endpoint.multipath.resent for line in self.lines.values()),
         }
 
     def close(self) -> None:
@@ -553,6 +556,6 @@
         for dialler in self.diallers:
             dialler.task.cancel()
         for line in self.lines.values():
-            for link in line.trunk.links.values():
+            for link in line.endpoint.links.values():
                 if isinstance(link, FrameProtocol) and link.transport is not None:
-                    link.transport.close()  # after the last words
+                    link.transport.close()  # sends what is buffered before it closes
--- a/tests/tiers/test_links.py
+++ b/tests/tiers/test_links.py
@@ -13,7 +13,7 @@
 from embersill.rig.settings import lab_settings
 from embersill.rig.standins import HOST, Behaviour
 from embersill.tiers.forwarder import Forwarder
-from embersill.tiers.frames import HANDSHAKE_WITHIN
+from embersill.tiers.frames import HANDSHAKE_TIMEOUT_S
 from embersill.tiers.links import ForwarderLinks, PlannerServer
 from embersill.tiers.messages import Ask, Batch, Lend
 from embersill.tiers.planner import Planner
@@ -74,7 +74,7 @@
         server = await planner()
         with pytest.raises(Exception, match="rejected by the other end"):
             await linked(server, key, name)
-        assert not server.trunks and not server.core.sessions
+        assert not server.endpoints and not server.core.sessions
         server.close()
 
     run(test)
@@ -96,7 +96,7 @@
         began = asyncio.get_running_loop().time()
         link.writer.write(text)
         assert await link.closed()
-        assert asyncio.get_running_loop().time() - began < HANDSHAKE_WITHIN / 2
+        assert asyncio.get_running_loop().time() - began < HANDSHAKE_TIMEOUT_S / 2
         server.close()
 
     run(test)
@@ -105,15 +105,15 @@
 def test_one_that_proves_nothing_is_closed_in_time_and_many_are_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("embersill.tiers.frames.HANDSHAKE_WITHIN", 0.2)
-    monkeypatch.setattr("embersill.tiers.frames.MOST_STRANGERS", 8)
+    monkeypatch.setattr("embersill.tiers.frames.HANDSHAKE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr("embersill.tiers.frames.MAX_UNAUTHENTICATED", 8)
 
     async def test() -> None:
         server = await planner()
         links = [Linked(*await asyncio.open_connection(HOST, server.port)) for _ in range(20)]
-        assert len(server.strangers) <= 8
+        assert len(server.unauthenticated) <= 8
         assert all([await link.closed() for link in links])
-        assert not server.strangers
+        assert not server.unauthenticated
         (await linked(server)).writer.close()
         server.close()
 
@@ -139,7 +139,7 @@
         link.writer.write(text)
         assert await link.closed()
         async with asyncio.timeout(SOON):
-            while server.trunks or server.core.sessions:
+            while server.endpoints or server.core.sessions:
                 await asyncio.sleep(0.01)
         again = await linked(server)
         again.writer.close()
@@ -187,7 +187,7 @@
                 await asyncio.sleep(0.005)
             links.close()
             await asyncio.sleep(0)
-            while server.trunks:
+            while server.endpoints:
                 await asyncio.sleep(0.005)
         lenders = [part.lenders["f0"] for part in server.core.parts]
         assert all(lender.bequest_until > loop.time() + 3.0 for lender in lenders)
@@ -307,11 +307,11 @@
     async def test() -> None:
         server = await planner()
         direct, carried = await linked(server), await linked(server, via="p1")
-        trunk = server.trunks["f0"]
-        assert set(trunk.links) == {"", "p1"}
+        endpoint = server.endpoints["f0"]
+        assert set(endpoint.links) == {"", "p1"}
         direct.writer.close()
         await asyncio.sleep(0.05)
-        assert server.trunks["f0"] is trunk and set(trunk.links) == {"p1"}
+        assert server.endpoints["f0"] is endpoint and set(endpoint.links) == {"p1"}
         newer = await linked(server, session=2)
         assert await carried.closed()
         with pytest.raises(Exception, match="an older session"):
@@ -330,7 +330,7 @@
         proof = side.read(await link.frame())
         assert proof is not None
         link.writer.write(proof)
-        with pytest.raises(Exception, match="no planner 'p9' to be carried to"):
+        with pytest.raises(Exception, match="no planner 'p9' to relay to"):
             side.read(await link.frame())
         assert await link.closed()
         server.close()
@@ -369,14 +369,14 @@
             return link
 
         first = await carried("p0")
-        assert set(end.trunks["f0"].links) == {"p1"}
+        assert set(end.endpoints["f0"].links) == {"p1"}
         again = await carried("p0")  # one for each forwarder and planner
-        assert await first.closed() and len(helper.carrier.carried) == 1
+        assert await first.closed() and len(helper.relay.carried) == 1
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await carried("p2")  # nobody is there
-        assert len(helper.carrier.carried) == 1
+        assert len(helper.relay.carried) == 1
         end.close()
-        assert await again.closed() and not helper.carrier.carried
+        assert await again.closed() and not helper.relay.carried
         helper.close()
 
     run(test)
--- a/tests/tiers/test_multipath.py
+++ b/tests/tiers/test_multipath.py
@@ -11,7 +11,7 @@
 
 from embersill.tiers import multipath
 from embersill.tiers.messages import BadFrame, Batch, Beat, Left
-from embersill.tiers.multipath import DIRECT, MOST_AHEAD, Multipath
+from embersill.tiers.multipath import DIRECT, MAX_REORDERED_BATCHES, Multipath
 from embersill.tiers.terms import Terms
 from embersill.tiers.wire import pack
 
@@ -50,9 +50,9 @@
             self.queues.pop((name, sender), None)
             end.leave(name, self.now)
 
-    def say(self, sender: int) -> None:
+    def send(self, sender: int) -> None:
         self.said[sender] += 1
-        self.ends[sender].say([Left(self.said[sender])], 0, 0, self.now)
+        self.ends[sender].send([Left(self.said[sender])], 0, 0, self.now)
 
     def step(self, seconds: float = 0.005) -> None:
         self.now += seconds
@@ -66,7 +66,7 @@
         for (name, sender), queue in list(self.queues.items()):
             while queue and queue[0][0] <= self.now and (name, sender) not in self.swallowed:
                 _, frame = queue.pop(0)
-                for batch in self.ends[1 - sender].came(name, unframed(frame), self.now):
+                for batch in self.ends[1 - sender].receive(name, unframed(frame), self.now):
                     self.heard[1 - sender] += [m.ask for m in batch.messages if isinstance(m, Left)]
 
     def run(self, seconds: float, every: float = 0.05, silent: tuple[int, ...] = ()) -> None:
@@ -77,12 +77,12 @@
                 due += every
                 for sender in (0, 1):
                     if sender not in silent:
-                        self.say(sender)
+                        self.send(sender)
                     self.ends[sender].tick(self.now)
             self.step()
 
     def whole(self) -> bool:
-        return not any(end.ahead for end in self.ends) and all(
+        return not any(end.reordered for end in self.ends) and all(
             self.heard[1 - n] == list(range(1, self.said[n] + 1)) for n in (0, 1)
         )
 
@@ -102,7 +102,7 @@
     net = Net((DIRECT, "p1"))
     net.run(0.5)
     for sender in (0, 1):
-        net.say(sender)
+        net.send(sender)
     net.step(0.0001)
     net.cut(DIRECT)  # with a batch on it each way
     net.step()
@@ -156,7 +156,7 @@
     net.cut(DIRECT)
     net.cut("p1")
     for _ in range(5):
-        net.say(0)
+        net.send(0)
     net.run(0.5)
     net.join("p1")
     net.run(0.1)
@@ -168,14 +168,14 @@
     net = Net((DIRECT,), most_unsent=2000)
     net.swallowed.add((DIRECT, 0))
     for _ in range(2000):
-        net.say(0)
+        net.send(0)
     assert net.ends[0].overfull and not net.ends[1].overfull
 
 
 @pytest.mark.parametrize(
     "batch",
     [
-        Batch(MOST_AHEAD + 2, 0, 0, []),
+        Batch(MAX_REORDERED_BATCHES + 2, 0, 0, []),
         Batch(1, 0, 0, [], 1),
         Batch(0, 0, 0, [Beat(1, True, 1)]),
     ],
@@ -184,13 +184,13 @@
     end = Multipath(TERMS, 1 << 18, 1 << 20)
     end.join(DIRECT, 0.0)
     with pytest.raises(BadFrame):
-        end.came(DIRECT, unframed(pack(batch)), 0.0)
+        end.receive(DIRECT, unframed(pack(batch)), 0.0)
 
 
 def test_a_frame_over_the_bound_goes_out_in_pieces() -> None:
     net = Net((DIRECT,))
     net.ends[0].most_frame = 200
-    net.ends[0].say([Left(n) for n in range(1, 101)], 0, 0, 0.0)
+    net.ends[0].send([Left(n) for n in range(1, 101)], 0, 0, 0.0)
     net.said[0] = 100
     net.step()
     net.step()
@@ -242,7 +242,7 @@
         # a duplicate is known by its number
         ("if batch.number > self.got:", "if True:"),
         # what overtakes waits for what it has overtaken
-        ("while self.got + 1 in self.ahead:", "while self.ahead:"),
+        ("while self.got + 1 in self.reordered:", "while self.reordered:"),
         # what a path that is gone has taken with it goes out again
         ("self.out.append((best.name, kept.frame))", "pass"),
         # only what the other end says that it has is forgotten
@@ -259,8 +259,8 @@
         source = file.read()
     assert source.count(line) == 1
     source = source.replace(line, without)
-    if "self.ahead:" in without:
-        source = source.replace("self.got += 1", "self.got = next(iter(self.ahead))")
+    if "self.reordered:" in without:
+        source = source.replace("self.got += 1", "self.got = next(iter(self.reordered))")
     module = types.ModuleType("weak")
     monkeypatch.setitem(sys.modules, "weak", module)
     exec(compile(source, path, "exec"), module.__dict__)
