--- a/embersill/edge/calls.py
+++ b/embersill/edge/calls.py
@@ -17,12 +17,12 @@
 from embersill.edge.discovery.registry import Registry
 from embersill.edge.configuration.document import State, revision
 from embersill.edge.configuration.lapses import lapses_of
-from embersill.edge.consensus.proposals import change_of, lapse_of, rollout_of
+from embersill.edge.consensus.proposals import configuration_change, lapse_order, rollout_order
 from embersill.edge.records import Effects, Message
 from embersill.edge.throttling.reports import Reports
 from embersill.edge.peers.peer_set import Hello, PeerSet
 from embersill.edge.configuration.rollouts import rollouts_of
-from embersill.edge.verdict import Ran, Verdict, done, refused, unknown
+from embersill.edge.verdict import Execution, Verdict, done, refused, unknown
 
 CALL_WITHIN = 0.8  # seconds for a backend's call that is passed on: it goes elsewhere after one
 CHANGE_WITHIN = 0.9  # seconds for an operator's
@@ -148,7 +148,7 @@
         if passed is None:
             return
         verdict = msgspec.convert(message["verdict"], Verdict)
-        if verdict.status == 503 and verdict.ran is Ran.NO and now < passed.until:
+        if verdict.status == 503 and verdict.ran is Execution.NO and now < passed.until:
             if passed.others:
                 return self.pass_on(passed, now)
             if passed.unclear:
@@ -172,7 +172,7 @@
             if what not in READS:
                 why = verdict.body.get("error_message", "")
                 self.on_view(f"change version={body.get('version')} status={verdict.status} {why}".rstrip())
-            if verdict.ran is not Ran.YES or state is None:
+            if verdict.ran is not Execution.YES or state is None:
                 return answered(verdict)
             if what in READS:
                 return answered(self.read(what, state))
@@ -181,11 +181,11 @@
         if what in READS:
             return self.agreement.read(decided)
         if what == "rollout":
-            return self.agreement.decide(rollout_of(body), decided)
+            return self.agreement.decide(rollout_order(body), decided)
         if what == "lapse":
             wish = {name: value for name, value in body.items() if name != "id"}
-            return self.agreement.decide(lapse_of(str(body.get("id", "")), wish), decided)
-        return self.agreement.decide(change_of(what, body), decided)
+            return self.agreement.decide(lapse_order(str(body.get("id", "")), wish), decided)
+        return self.agreement.decide(configuration_change(what, body), decided)
 
     def read(self, what: str, state: State) -> Verdict:
         """What a read tells of the state."""
--- a/embersill/edge/consensus/__init__.py
+++ b/embersill/edge/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement among the members of the core: who they are, what is in force, how it reaches all. No I/O."""
+"""Consensus among the core members: membership, the configuration in force, its distribution. No I/O."""
--- a/embersill/edge/consensus/agreement.py
+++ b/embersill/edge/consensus/agreement.py
@@ -23,9 +23,9 @@
 from embersill.edge.consensus.handover import Handover
 from embersill.edge.consensus.lease import Lease
 from embersill.edge.consensus.persistence import Persistence
-from embersill.edge.consensus.proposals import Make, Proposal
+from embersill.edge.consensus.proposals import Transition, Proposal
 from embersill.edge.records import Effects, Message, Roster, Seat, Stored, Value
-from embersill.edge.consensus.serial import Serial
+from embersill.edge.consensus.serial import SerialQueue
 from embersill.edge.verdict import Verdict, done, refused
 
 KEY = "configuration"
@@ -56,7 +56,7 @@
         self.me, self.store, self.effects, self.chance, self.now = me, store, effects, chance, now
         self.life, self.durable = life, durable
         self.lease = Lease()
-        self.changes = Serial(MOST_CHANGES)
+        self.changes = SerialQueue(MOST_CHANGES)
         self.persistence: Persistence | None = None  # of the member's register
         self.handover = Handover(me, effects)
         self.roster: Roster | None = None
@@ -126,7 +126,7 @@
             register, self.roster, self.base, self.effects, loaded, self.handover.saved
         )
         self.member.on_learned = self.persistence.save
-        self.lease.follow(self.read_interval)
+        self.lease.set_read_interval(self.read_interval)
         self.read_at = self.now
 
     @property
@@ -274,7 +274,7 @@
         """Asks whether a majority vouches for this member from now on; `ended` hears it, once."""
         self.read(lambda verdict, state: ended(state is not None))
 
-    def decide(self, make: Make, decided: Decided) -> None:
+    def decide(self, transition: Transition, decided: Decided) -> None:
         """Lays what `make` makes of the newest state, after what was asked for here before."""
         asked_at = self.now
 
@@ -288,17 +288,17 @@
             elif self.now - asked_at > TERMS.within:
                 ended(refused(503, "others went first: nobody waits for this one any more"), None)
             else:
-                self.write(self.member, make, ended)
+                self.write(self.member, transition, ended)
 
-        if not self.changes.run(begin):
+        if not self.changes.submit(begin):
             decided(refused(503, "too many changes wait"), None)
 
-    def write(self, member: Member, make: Make, decided: Decided) -> None:
+    def write(self, member: Member, transition: Transition, decided: Decided) -> None:
         """Writes by way of this member; `decided` hears once it is certain, or can't be."""
-        proposal = Proposal(make)
+        proposal = Proposal(transition)
 
         def laid(found: Entry | None) -> bytes | None:
-            following = proposal.try_on(self.value(found))
+            following = proposal.next_value(self.value(found))
             return msgspec.json.encode(following) if following is not None else None
 
         def ended(result: Result, now: float) -> None:
--- a/embersill/edge/consensus/duty.py
+++ b/embersill/edge/consensus/duty.py
@@ -10,7 +10,7 @@
 
 from embersill.edge.consensus.agreement import Agreement
 from embersill.edge.configuration.document import State
-from embersill.edge.consensus.proposals import step_of
+from embersill.edge.consensus.proposals import duty_step
 from embersill.edge.peers.ring import by_place
 from embersill.edge.peers.peer_set import Hello, PeerSet
 from embersill.edge.verdict import Verdict
@@ -83,4 +83,4 @@
             self.again_at = self.now + (0.0 if state is not None else AGAIN_AFTER)
             self.on_view(f"{what} status={verdict.status}")
 
-        self.agreement.decide(step_of(change), decided)
+        self.agreement.decide(duty_step(change), decided)
--- a/embersill/edge/consensus/handover.py
+++ b/embersill/edge/consensus/handover.py
@@ -1,4 +1,4 @@
-"""How a member that was replaced knows when it may go: once its successors have the state. No I/O."""
+"""Tells a replaced member when it may stop: once a majority of its successors has the state. No I/O."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 
 
 class Handover:
-    """Which gateways have told that an epoch is on their disks, and who waits to hear that."""
+    """Tracks which gateways have stored an epoch on disk, and which ones are to be notified of that."""
 
     def __init__(self, me: str, effects: Effects) -> None:
         self.me, self.effects = me, effects
         self.roster: Roster | None = None
-        self.previous: tuple[str, ...] = ()  # members of the epoch before, who wait for the word
-        self.seated: dict[str, int] = {}  # the latest epoch that each member has told to be on its disk
+        self.previous_members: tuple[str, ...] = ()  # the epoch before's, which wait to be notified
+        self.saved_epochs: dict[str, int] = {}  # the latest epoch that each has reported to be on its disk
 
     def begin(self, before: Roster | None, roster: Roster) -> None:
-        """A later epoch begins here."""
-        self.previous = tuple(before.members) if before is not None else ()
+        """Starts tracking a later epoch."""
+        self.previous_members = tuple(before.members) if before is not None else ()
         self.roster = roster
 
     def saved(self) -> None:
-        """The epoch is on this member's disk."""
+        """Notifies the previous members that the epoch is on this member's disk."""
         assert self.roster is not None
-        told = {"kind": "seated", "epoch": self.roster.epoch}
-        self.effects.mail.extend((name, told) for name in self.previous if name != self.me)
+        message = {"kind": "seated", "epoch": self.roster.epoch}
+        self.effects.mail.extend((name, message) for name in self.previous_members if name != self.me)
 
     def told(self, peer: str, epoch: int) -> None:
-        """The epoch is on a peer's disk."""
-        self.seated[peer] = max(epoch, self.seated.get(peer, 0))
+        """Records that an epoch is on a peer's disk."""
+        self.saved_epochs[peer] = max(epoch, self.saved_epochs.get(peer, 0))
 
     @property
     def complete(self) -> bool:
-        """False while this gateway was replaced and less than a majority of its successors has the state."""
-        if self.roster is None or self.me in self.roster.members or self.me not in self.previous:
+        """False while this gateway is replaced and less than a majority of its successors has the state."""
+        if self.roster is None or self.me in self.roster.members or self.me not in self.previous_members:
             return True
-        there = sum(self.seated.get(name, 0) >= self.roster.epoch for name in self.roster.members)
-        return there >= majority(len(self.roster.members))
+        saved = sum(self.saved_epochs.get(name, 0) >= self.roster.epoch for name in self.roster.members)
+        return saved >= majority(len(self.roster.members))
--- a/embersill/edge/consensus/lease.py
+++ b/embersill/edge/consensus/lease.py
@@ -1,36 +1,36 @@
-"""The lease under which a member of the core speaks for the whole system. No I/O.
+"""The lease under which a core member may act on behalf of the whole system. No I/O.
 
-A member that is cut off can't know whether the others have changed the configuration or the members. So it
-hands out the configuration and acknowledges calls of backends only while a majority has vouched for what it
-holds: while a quorum read that *began* at most `term` ago has been answered. The term is counted on this
-process's own steady clock from the beginning of that read, so that neither clocks that disagree nor a process
-that stood still can lengthen it (Gray and Cheriton 1989, "Leases").
+A partitioned member can't know whether the others have changed the configuration or the membership.
+Therefore it serves the configuration and acknowledges calls of backends only while it holds the lease: while
+a quorum read that *began* at most `term` seconds ago has been answered by a majority. The term is measured on
+this process's own monotonic clock from the beginning of that read, so that neither clock skew nor a paused
+process can extend it (Gray and Cheriton 1989, "Leases").
 """
 
 from __future__ import annotations
 
-LEASE_SLACK = 1.5  # seconds by which a lease outlasts the interval between two quorum reads
+LEASE_MARGIN_S = 1.5  # by which a lease outlasts the interval between two quorum reads
 
 
 class Lease:
-    """Until when what this member holds is vouched for by a majority."""
+    """Tracks until when a majority has confirmed the data that this member holds."""
 
     def __init__(self) -> None:
-        self.vouched_at = float("-inf")
-        self.term = LEASE_SLACK
+        self.renewed_at = float("-inf")
+        self.term = LEASE_MARGIN_S
 
-    def follow(self, read_interval: float) -> None:
-        """Takes the interval between two quorum reads, in seconds, as the basis of the term."""
-        self.term = read_interval + LEASE_SLACK
+    def set_read_interval(self, read_interval: float) -> None:
+        """Derives the term from the interval between two quorum reads, in seconds."""
+        self.term = read_interval + LEASE_MARGIN_S
 
     def renew(self, read_began: float) -> None:
-        """A majority has answered a read that began at `read_began`."""
-        self.vouched_at = max(self.vouched_at, read_began)
+        """Renews the lease after a majority has answered a read that began at `read_began`."""
+        self.renewed_at = max(self.renewed_at, read_began)
 
     def lapsed(self, now: float) -> bool:
-        """True once it was held and is no more: a majority that was there does not answer."""
-        return self.vouched_at > float("-inf") and not self.held(now)
+        """True if the lease was held before and has expired: the majority has stopped answering."""
+        return self.renewed_at > float("-inf") and not self.held(now)
 
     def held(self, now: float) -> bool:
-        """True while this member may speak for the system."""
-        return now - self.vouched_at <= self.term
+        """True while this member may act for the system."""
+        return now - self.renewed_at <= self.term
--- a/embersill/edge/consensus/persistence.py
+++ b/embersill/edge/consensus/persistence.py
@@ -1,8 +1,8 @@
-"""How a member of an epoch keeps its register on disk, and holds answers back until it is there. No I/O.
+"""Stores a member's register on disk, and delays answers until the data behind them is written. No I/O.
 
-The epoch goes to disk in the same transaction as the first promises made in it, so that a member never comes
-back in an older epoch, or in this one without its promises. A register that has yet to learn what it forgot
-is not written: read back, it would pass for one that remembers all.
+The epoch is written in the same transaction as the first promises made in it, so that a member never restarts
+in an older epoch, or in this one without its promises. A register that has yet to recover what it lost from
+its peers is not written: read back, it would pass for a complete one.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 from embersill.council.register import Register
 from embersill.edge.configuration.document import State
-from embersill.edge.records import Begun, Effects, Remembered, Roster, Save
+from embersill.edge.records import EpochStart, Effects, RegisterSnapshot, Roster, Save
 
-BEGUN = "begun"  # names of the values on disk
-REMEMBERED = "remembered"
+EPOCH_KEY = "begun"  # keys of the values in the store
+REGISTER_KEY = "remembered"
 
 
 class Persistence:
-    """The saves of one register in one epoch. A later epoch, or a later life, has another."""
+    """Saves one register in one epoch. Each later epoch and each restart has an instance of its own."""
 
     def __init__(
         self,
@@ -29,65 +29,67 @@
         base: State,
         effects: Effects,
         loaded: bool,
-        epoch_saved: Callable[[], None],
+        on_epoch_saved: Callable[[], None],
     ) -> None:
-        """`base`: the state that the epoch begins with. `loaded`: the disk has the epoch already; else
-        `epoch_saved` is called once it has."""
+        """`base`: the state with which the epoch begins. `loaded`: the epoch is on disk already; if not,
+        `on_epoch_saved` is called once it is."""
         self.register, self.roster, self.base, self.effects = register, roster, base, effects
-        self.epoch_on_disk, self.epoch_saved = loaded, epoch_saved
-        self.waiting: list[Callable[[], None]] = []  # answers that rest on what is not on disk yet
+        self.epoch_on_disk, self.on_epoch_saved = loaded, on_epoch_saved
+        self.waiting: list[Callable[[], None]] = []  # answers that depend on data not yet on disk
         self.saving = False
-        self.replaced = False  # another epoch has begun: what is still being written means nothing any more
+        self.replaced = False  # a later epoch has begun: the result of a pending write no longer matters
 
     def save(self) -> None:
-        """All that the register holds, in one record: whatever was not saved before is in the next."""
+        """Writes the whole register as one record; changes made during a write go into the next."""
         if self.saving or self.replaced:
             return
         register, values = self.register, dict[str, bytes]()
         register.records.clear()
         if not self.epoch_on_disk:
-            values[BEGUN] = msgspec.json.encode(Begun(self.roster, self.base))
+            values[EPOCH_KEY] = msgspec.json.encode(EpochStart(self.roster, self.base))
         if register.remembers:
-            values[REMEMBERED] = msgspec.msgpack.encode(Remembered(self.roster.epoch, register.whole()))
+            values[REGISTER_KEY] = msgspec.msgpack.encode(
+                RegisterSnapshot(self.roster.epoch, register.whole())
+            )
         if not values:
             return
         self.saving = True
         mark, remembered, waiting, self.waiting = register.mark, register.remembers, self.waiting, []
 
-        def then(good: bool) -> None:
+        def on_written(ok: bool) -> None:
             self.saving = False
             if self.replaced:
                 return
-            if good:
+            if ok:
                 self.written(mark if remembered else None)
-                for go_on in waiting:
-                    go_on()
-            # where it is not, nobody hears an answer that rests on it: they ask again
-            if register.remembers and register.safe < register.mark and (good or self.waiting):
+                for on_saved in waiting:
+                    on_saved()
+            # after a failed write the dependent answers are not sent: the askers retry
+            if register.remembers and register.safe < register.mark and (ok or self.waiting):
                 self.save()
 
         name, data = values.popitem()
-        self.effects.saves.append(Save(name, data, then, values))
+        self.effects.saves.append(Save(name, data, on_written, values))
 
     def written(self, mark: int | None) -> None:
-        """The register's first `mark` records are on disk, and the epoch with them; None: the epoch alone."""
+        """Notes that the register's first `mark` records and the epoch are on disk; None: the epoch alone."""
         if mark is not None:
             self.register.saved(mark)
         if not self.epoch_on_disk:
             self.epoch_on_disk = True
-            self.epoch_saved()
+            self.on_epoch_saved()
 
-    def after_save(self, go_on: Callable[[], None]) -> None:
-        """Calls it once all that the register has is on disk."""
+    def after_save(self, on_saved: Callable[[], None]) -> None:
+        """Calls `on_saved` once the whole register is on disk."""
         register = self.register
         if not register.remembers:
-            return go_on()  # nothing that it says rests on a memory
+            return on_saved()  # none of its answers depends on stored data
         if not register.records and register.safe >= register.mark:
-            return go_on()
-        self.waiting.append(go_on)
+            return on_saved()
+        self.waiting.append(on_saved)
         return self.save()
 
     def tick(self) -> None:
-        """Writes what has come since the last save, and again what the disk refused."""
+        """Writes what has changed since the last save, and retries failed writes."""
         if self.register.records or not self.epoch_on_disk:
             self.save()
--- a/embersill/edge/consensus/proposals.py
+++ b/embersill/edge/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Changes of the agreed state before they are agreed on: what each makes of the newest state. No I/O."""
+"""Proposed changes of the replicated state, as functions from the newest state to the next. No I/O."""
 
 from __future__ import annotations
 
@@ -15,60 +15,61 @@
 from embersill.edge.records import Value
 from embersill.edge.verdict import Verdict, done, refused, unknown
 
-Make = Callable[[State], expression.Result[State, Refusal]]  # the following state, or why there is none
+# from the newest state to the next one, or to why the change is refused
+Transition = Callable[[State], expression.Result[State, Refusal]]
 
 
-def change_of(method: str, body: Any) -> Make:
-    """An operator's change of the configuration."""
+def configuration_change(method: str, body: Any) -> Transition:
+    """An operator's change of the configuration, by the name of the call."""
     return lambda state: changed(state, method, body)
 
 
-def lapse_of(tenant: str, body: Any) -> Make:
-    """An operator's wish about a lapsed tenant."""
+def lapse_order(tenant: str, body: Any) -> Transition:
+    """An operator's order concerning a lapsed tenant."""
     return lambda state: ordered(state, tenant, body)
 
 
-def rollout_of(body: Any) -> Make:
-    """An operator's wish about a policy."""
+def rollout_order(body: Any) -> Transition:
+    """An operator's order concerning the rollout of a policy."""
     return lambda state: rollouts.ordered(state, body)
 
 
-def step_of(change: Callable[[State], State | None]) -> Make:
-    """What a duty's holder has decided, if the state still wants it."""
+def duty_step(change: Callable[[State], State | None]) -> Transition:
+    """A step decided by the holder of a duty; refused if `change` finds that it no longer applies."""
 
     def made(state: State) -> expression.Result[State, Refusal]:
         after = change(state)
-        return Ok(after) if after is not None else Error(Refusal(412, "it is not so any more"))
+        return Ok(after) if after is not None else Error(Refusal(412, "the step no longer applies"))
 
     return made
 
 
 class Proposal:
-    """One change, tried on each value that is found until a majority has taken one; the last try counts."""
+    """One change, applied anew to each value found until a majority accepts one; the last attempt counts."""
 
-    def __init__(self, make: Make) -> None:
-        self.make = make
+    def __init__(self, transition: Transition) -> None:
+        self.transition = transition
         self.refusal: Refusal | None = None
-        self.known = False  # the state has it already
+        self.already_applied = False
 
-    def try_on(self, value: Value) -> Value | None:
-        """What is to follow this value; None if nothing is."""
-        self.refusal, self.known = None, False
+    def next_value(self, value: Value) -> Value | None:
+        """The value to write after this one; None if nothing is to be written."""
+        self.refusal, self.already_applied = None, False
         if value.next is not None:
             self.refusal = Refusal(503, "the members are changing")
             return None
-        made = self.make(value.state)
+        made = self.transition(value.state)
         if made.is_error():
             self.refusal = made.error
             return None
         if made.ok is value.state:
-            self.known = True
+            self.already_applied = True
             return None
         return Value(made.ok)
 
     def verdict(self, how: How, state: State) -> Verdict:
-        """What is told of it; `state`: the newest, where a majority has answered."""
-        if how is How.DONE or how is How.REFUSED and self.known:
+        """The answer to the caller; `state` is the newest one if a majority has answered."""
+        if how is How.DONE or how is How.REFUSED and self.already_applied:
             version, number = revision(state)
             return done({"version": write_version(version), "number": number})
         if how is How.REFUSED and self.refusal is not None:
--- a/embersill/edge/consensus/serial.py
+++ b/embersill/edge/consensus/serial.py
@@ -1,4 +1,4 @@
-"""Operations that run one after the other, so that those of one process do not compete. No I/O."""
+"""A queue that runs operations one at a time, so that those of one process don't contend. No I/O."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 Operation = Callable[[Finished], None]
 
 
-class Serial:
-    """A bounded queue of operations, one of which runs at a time."""
+class SerialQueue:
+    """A bounded queue of asynchronous operations, of which one runs at a time."""
 
-    def __init__(self, most: int) -> None:
-        """`most`: operations that may wait."""
-        self.most = most
+    def __init__(self, max_waiting: int) -> None:
+        """`max_waiting`: how many operations may wait behind the running one."""
+        self.max_waiting = max_waiting
         self.waiting: deque[Operation] = deque()
         self.running = False
 
-    def run(self, operation: Operation) -> bool:
-        """Begins an operation once those before it have called `finished`; False if too many wait already."""
-        if len(self.waiting) >= self.most:
+    def submit(self, operation: Operation) -> bool:
+        """Starts an operation once those before it have called `finished`; False if the queue is full."""
+        if len(self.waiting) >= self.max_waiting:
             return False
         self.waiting.append(operation)
-        self.next()
+        self.start_next()
         return True
 
-    def next(self) -> None:
-        """Begins what may be begun."""
+    def start_next(self) -> None:
+        """Starts the next waiting operation unless one is running."""
         while self.waiting and not self.running:
             self.running = True
             self.waiting.popleft()(self.finished)
 
     def finished(self) -> None:
-        """The operation that runs has ended."""
+        """Called by the running operation when it has ended."""
         self.running = False
-        self.next()
+        self.start_next()
--- a/embersill/edge/records.py
+++ b/embersill/edge/records.py
@@ -1,4 +1,4 @@
-"""Records of the control plane: epochs, what a member keeps on disk, effects to carry out. No I/O."""
+"""Records of the control plane: epochs, the data that a member stores, pending effects. No I/O."""
 
 from __future__ import annotations
 
@@ -15,85 +15,85 @@
 
 
 class Seat(msgspec.Struct, frozen=True):
-    """One member: where it is, and the nonce of the disk that it had as the epoch was agreed on."""
+    """One member: its address, and the nonce of its disk at the time when the epoch was agreed on."""
 
     ip: str
     store: str
 
 
 class Roster(msgspec.Struct, frozen=True):
-    """Who agrees, from an epoch on."""
+    """The voting members of an epoch."""
 
     epoch: int
     members: dict[str, Seat]
 
 
 class Value(msgspec.Struct, frozen=True):
-    """What the register holds: the configuration's state, and the next epoch once it is sealed."""
+    """The register's value: the configuration's state and, once the epoch is sealed, the next epoch."""
 
     state: State
     next: Roster | None = None
 
 
-class Begun(msgspec.Struct, frozen=True):
-    """On disk: the epoch that this member is in, and the state that it began with."""
+class EpochStart(msgspec.Struct, frozen=True):
+    """Stored on disk: the current epoch of this member, and the state with which that epoch began."""
 
     roster: Roster
     base: State
 
 
-class Remembered(msgspec.Struct, frozen=True, array_like=True):
-    """On disk: all that this member's register holds, of one epoch."""
+class RegisterSnapshot(msgspec.Struct, frozen=True, array_like=True):
+    """Stored on disk: the full contents of this member's register in one epoch."""
 
     epoch: int
     whole: Whole
 
 
 class VoteBallot(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """A ballot of the election of the first epoch; no two attempts share one."""
+    """A ballot in the election of the first epoch; unique to one attempt."""
 
     round: int = 0
-    proposer: str = ""  # IP number
-    life: str = ""  # of the proposer's process
+    proposer: str = ""  # IP address
+    life: str = ""  # identifies one run of the proposer's process
 
 
 class Vote(msgspec.Struct, frozen=True):
-    """On disk: what a seed has answered for in the election of the first epoch."""
+    """Stored on disk: what a seed has promised and accepted in the election of the first epoch."""
 
-    seeds: tuple[str, ...]  # IP numbers, as told at the very first start
+    seeds: tuple[str, ...]  # IP addresses, as configured at the very first start
     promised: VoteBallot = VoteBallot()
     accepted: VoteBallot = VoteBallot()
-    roster: Roster | None = None  # accepted under that ballot
+    roster: Roster | None = None  # the roster accepted under the `accepted` ballot
 
 
 class Stored(msgspec.Struct, frozen=True):
-    """What a disk held at the start."""
+    """The contents of the disk at startup."""
 
     store: str  # the disk's nonce
-    begun: Begun | None = None
-    remembered: Remembered | None = None
-    backends: bytes = b""  # the registry's last list, as it saved it
-    gateways: int = 0  # how many there were
-    state: State | None = None  # what was last in force here, once it was chosen
-    vote: Vote | None = None  # a seed's, of the first epoch
+    begun: EpochStart | None = None
+    remembered: RegisterSnapshot | None = None
+    backends: bytes = b""  # the registry's last saved list, encoded
+    gateways: int = 0  # how many gateways the system had
+    state: State | None = None  # the last state in force here that was chosen by a majority
+    vote: Vote | None = None  # a seed's vote in the election of the first epoch
 
     @property
     def open_vote(self) -> Vote | None:
-        """A seed's vote as long as no epoch has begun here; None for all others."""
+        """A seed's vote while no epoch has begun here; None for other gateways and after the first epoch."""
         return self.vote if self.begun is None else None
 
     @property
     def blank(self) -> bool:
-        """True where nothing but a name was ever written."""
+        """True if nothing but the disk's nonce has ever been written."""
         return msgspec.structs.replace(self, store="") == Stored("")
 
 
 @dataclass(slots=True)
 class Save:
-    """A value to be written to disk, in the order in which saves were asked for.
+    """A value to write to disk. Saves are written in the order in which they were requested.
 
-    `then` is called with True once it is on disk, or with False if the disk refused it. `also` holds further
-    values by name; they are written in the same transaction, all of them or none.
+    `then` is called with True once the value is on disk, or with False if the write failed. `also` holds
+    further values by name, written atomically in the same transaction.
     """
 
     name: str
@@ -104,13 +104,13 @@
 
 @dataclass(slots=True)
 class Effects:
-    """What is to be done: messages to peers, and saves."""
+    """Pending side effects: messages to peers, and disk writes."""
 
     mail: list[tuple[str, Message]] = field(default_factory=list)
     saves: list[Save] = field(default_factory=list)
 
     def take(self) -> tuple[list[tuple[str, Message]], list[Save]]:
-        """Hands over what is to be done by now, and begins anew."""
+        """Returns the pending messages and saves, and clears both lists."""
         mail, saves = list(self.mail), list(self.saves)
         self.mail.clear()
         self.saves.clear()
--- a/embersill/edge/storage/store.py
+++ b/embersill/edge/storage/store.py
@@ -23,7 +23,7 @@
 from expression import Error, Ok, Result
 
 from embersill.edge.consensus.election import VOTE
-from embersill.edge.records import Begun, Remembered, Save, Stored, Vote
+from embersill.edge.records import EpochStart, RegisterSnapshot, Save, Stored, Vote
 from embersill.edge.configuration.document import State
 
 FORMAT = b"embersill-1"
@@ -69,8 +69,8 @@
         return Ok(
             Stored(
                 found["store"].decode(),
-                msgspec.json.decode(begun, type=Begun) if begun else None,
-                msgspec.msgpack.decode(kept, type=Remembered) if kept else None,
+                msgspec.json.decode(begun, type=EpochStart) if begun else None,
+                msgspec.msgpack.decode(kept, type=RegisterSnapshot) if kept else None,
                 found.get("backends", b""),
                 int(found.get("gateways", b"0")),
                 msgspec.msgpack.decode(found["state"], type=State) if "state" in found else None,
--- a/embersill/edge/verdict.py
+++ b/embersill/edge/verdict.py
@@ -1,4 +1,4 @@
-"""Whether something that was asked for may have been done: what an answer may promise."""
+"""Outcomes of calls, each with whether the request may have been carried out."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 import msgspec
 
 
-class Ran(Enum):
-    """How far it came."""
+class Execution(Enum):
+    """Whether the request was carried out."""
 
-    NO = "no"  # and never will: it may be asked for again
+    NO = "no"  # and it never will be: the caller may safely retry
     YES = "yes"
-    MAYBE = "maybe"  # nothing may be promised
+    MAYBE = "maybe"  # not known: a retry may carry it out twice
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """How a call of an operator or a backend ended: the answer's status and body, and what it promises."""
+    """How a call of an operator or a backend ended: HTTP status and body, and whether it was executed."""
 
     status: int
-    ran: Ran
+    ran: Execution
     body: dict[str, object] = {}
 
 
-def refused(status: int, why: str) -> Verdict:
-    """Not done, and never will be."""
-    return Verdict(status, Ran.NO, {"error_message": why})
+def refused(status: int, reason: str) -> Verdict:
+    """The request was not carried out and never will be."""
+    return Verdict(status, Execution.NO, {"error_message": reason})
 
 
-def unknown(why: str) -> Verdict:
-    """It may be done or not: a 500 makes no promise and has the caller ask elsewhere."""
-    return Verdict(500, Ran.MAYBE, {"error_message": why})
+def unknown(reason: str) -> Verdict:
+    """The request may or may not have been carried out: a 500 promises neither; callers try elsewhere."""
+    return Verdict(500, Execution.MAYBE, {"error_message": reason})
 
 
 def done(body: dict[str, object] | None = None) -> Verdict:
-    """Done."""
-    return Verdict(200, Ran.YES, body or {})
+    """The request was carried out."""
+    return Verdict(200, Execution.YES, body or {})
--- a/embersill/lab/edge/first_start.py
+++ b/embersill/lab/edge/first_start.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from embersill.edge.records import Begun, Roster
+from embersill.edge.records import EpochStart, Roster
 from embersill.lab.edge.control import ACKNOWLEDGED_WITHIN, Report, ordered
 from embersill.lab.edge.fleet import Fleet, Machine
 
@@ -38,7 +38,7 @@
             if machine.node is not None and machine.node.agreement.roster is not None:
                 self.note(machine.node.agreement.roster)
             if "begun" in machine.disk:
-                begun: Begun = msgspec.json.decode(machine.disk["begun"], type=Begun)
+                begun: EpochStart = msgspec.json.decode(machine.disk["begun"], type=EpochStart)
                 self.note(begun.roster)
 
     def note(self, roster: Roster) -> None:
--- a/embersill/lab/edge/fleet.py
+++ b/embersill/lab/edge/fleet.py
@@ -10,7 +10,7 @@
 
 from embersill.edge.consensus.election import VOTE
 from embersill.edge.consensus.founding import address_key
-from embersill.edge.records import Begun, Remembered, Save, Stored, Vote
+from embersill.edge.records import EpochStart, RegisterSnapshot, Save, Stored, Vote
 from embersill.edge.configuration.document import NO_LAPSES, Order, State, revision
 from embersill.edge.consensus.membership import Requirements
 from embersill.edge.node import Node
@@ -82,8 +82,8 @@
         begun, kept = self.disk.get("begun"), self.disk.get("remembered")
         stored = Stored(
             store,
-            msgspec.json.decode(begun, type=Begun) if begun else None,
-            msgspec.msgpack.decode(kept, type=Remembered) if kept else None,
+            msgspec.json.decode(begun, type=EpochStart) if begun else None,
+            msgspec.msgpack.decode(kept, type=RegisterSnapshot) if kept else None,
             gateways=int(self.disk.get("gateways", b"0")),
             vote=self.vote(first),
             state=msgspec.msgpack.decode(self.disk["state"], type=State) if "state" in self.disk else None,
--- a/tests/edge/test_control.py
+++ b/tests/edge/test_control.py
@@ -8,10 +8,10 @@
 import pytest
 
 from embersill.edge.configuration.document import EMPTY, MOST_TAKEN, changed, digest
-from embersill.edge.consensus.lease import LEASE_SLACK, Lease
+from embersill.edge.consensus.lease import LEASE_MARGIN_S, Lease
 from embersill.edge.consensus.membership import Candidate, Requirements, next_members
 from embersill.edge.records import Roster, Seat
-from embersill.edge.consensus.serial import Finished, Serial
+from embersill.edge.consensus.serial import Finished, SerialQueue
 from embersill.lab.edge import control, days, sites
 from embersill.lab.edge.fleet import change
 from embersill.lab.edge.troubles import FAULTS, PLANNED
@@ -93,22 +93,22 @@
 
 def test_a_lease_runs_from_the_beginning_of_the_read_and_never_gets_shorter() -> None:
     lease = Lease()
-    lease.follow(1.0)
+    lease.set_read_interval(1.0)
     assert not lease.held(0.0)
     lease.renew(10.0)
     lease.renew(9.0)  # one that began before and ended later
-    assert lease.held(11.0 + LEASE_SLACK) and not lease.held(11.1 + LEASE_SLACK)
+    assert lease.held(11.0 + LEASE_MARGIN_S) and not lease.held(11.1 + LEASE_MARGIN_S)
 
 
 def test_operations_run_one_after_the_other_and_too_many_are_turned_away() -> None:
-    serial, begun, ends = Serial(2), list[int](), list[Finished]()
+    serial, begun, ends = SerialQueue(2), list[int](), list[Finished]()
 
     def operation(number: int) -> bool:
         def begin(finished: Finished) -> None:
             begun.append(number)
             ends.append(finished)
 
-        return serial.run(begin)
+        return serial.submit(begin)
 
     assert [operation(number) for number in range(4)] == [True, True, True, False]
     assert begun == [0]
--- a/tests/edge/test_store.py
+++ b/tests/edge/test_store.py
@@ -16,7 +16,7 @@
 
 from embersill.council.register import Register
 from embersill.edge.__main__ import main
-from embersill.edge.records import Begun, Remembered, Roster, Save, Seat
+from embersill.edge.records import EpochStart, RegisterSnapshot, Roster, Save, Seat
 from embersill.edge.configuration.document import EMPTY, State
 from embersill.edge.discovery.instances import Instance
 from embersill.edge.program import prepared
@@ -37,9 +37,9 @@
     one = Instance("i-1", "s", "10.1.0.1:80", "a", 2, "ready", 7, 0.0)
     store.write(
         {
-            "begun": msgspec.json.encode(Begun(roster, EMPTY)),
+            "begun": msgspec.json.encode(EpochStart(roster, EMPTY)),
             "state": msgspec.msgpack.encode(state),
-            "remembered": msgspec.msgpack.encode(Remembered(3, register.whole())),
+            "remembered": msgspec.msgpack.encode(RegisterSnapshot(3, register.whole())),
             "backends": msgspec.msgpack.encode([one]),
             "gateways": b"14",
         }
