--- a/embersill/edge/consensus/founding.py
+++ b/embersill/edge/consensus/founding.py
@@ -15,7 +15,7 @@
 from embersill.edge.configuration.document import EMPTY
 from embersill.edge.consensus.election import Election
 from embersill.edge.consensus.membership import (
-    MOST_SEATS,
+    MAX_MEMBERS,
     Candidate,
     Requirements,
     Shortfall,
@@ -49,11 +49,11 @@
 def spread(cores: list[Hello], requirements: Requirements) -> list[Hello]:
     """Who has a seat first: of each place that may be lost one in turn, and within it of each zone."""
     by_zone = in_turn(grouped(sorted(cores, key=lambda hello: hello.name), lambda hello: hello.zone))
-    ordered = in_turn(grouped(by_zone, lambda hello: requirements.place(hello.zone)))
-    seats = min(len(ordered), MOST_SEATS)
-    while requirements.places and seats > requirements.least:
-        taken = Counter(requirements.place(hello.zone) for hello in ordered[:seats])
-        if max(taken.values()) <= requirements.most_in_a_place(seats):
+    ordered = in_turn(grouped(by_zone, lambda hello: requirements.failure_domain(hello.zone)))
+    seats = min(len(ordered), MAX_MEMBERS)
+    while requirements.failure_domains and seats > requirements.min_members:
+        taken = Counter(requirements.failure_domain(hello.zone) for hello in ordered[:seats])
+        if max(taken.values()) <= requirements.max_seats_per_domain(seats):
             break
         seats -= 1  # the last ones are of the places that have most
     return ordered[:seats]
@@ -74,7 +74,7 @@
         is_blank_seed = stored.blank and me.core and me.ip in peers.all_seeds
         blank_seeds = tuple(sorted(peers.all_seeds, key=address_key)) if is_blank_seed else ()
         self.election = Election(me.ip, me.boot, stored.open_vote, effects, self.elected, blank_seeds)
-        self.election.open = lambda: agreement.roster is None
+        self.election.undecided = lambda: agreement.roster is None
         self.election.roster = self.first_roster
         self.election.linked = lambda: list(peers.linked)
         self.election.address_of = lambda name: peers.linked[name].ip if name in peers.linked else None
--- a/embersill/edge/consensus/membership.py
+++ b/embersill/edge/consensus/membership.py
@@ -1,12 +1,14 @@
-"""Who is to be a member of the next epoch: replacement, removal and addition of members, as one step. No I/O.
+"""Chooses the members of the next epoch: replaces, removes and adds members in one step. No I/O.
 
-A newcomer that has the state in force takes the seat of a member that is lost or leaving, in the same epoch
-change in which that member loses it. So the number of members does not grow in between, and once the epoch
-has begun as many further losses can be borne as before. While all members are well a newcomer only stands by.
+A newcomer that has the state in force takes the seat of a lost or leaving member in the same epoch change
+that removes that member. The number of members therefore does not grow in between, and once the epoch has
+begun the system tolerates as many further losses as before. While all members are healthy a newcomer is only
+a standby.
 
-Where whole zones or regions may be lost, no such place may have so many seats that the others are no
-majority: a seat goes to a newcomer of the same place, else of the one with the fewest, and to none that would
-crowd its place. Seats that are crowded all the same go to newcomers of other places as soon as there are any.
+Where whole zones or regions may fail, no such failure domain may have so many seats that the others are not
+a majority: a seat goes to a newcomer of the same domain, otherwise of the domain with the fewest seats, and
+never to one that would overfill its domain. Seats of domains that are overfull all the same go to newcomers
+of other domains as soon as there are any.
 """
 
 from __future__ import annotations
@@ -18,14 +20,14 @@
 from embersill.council.terms import majority
 from embersill.edge.records import Roster, Seat
 
-MOST_SEATS = 9  # members: more would agree no better, only slower
-GONE_AFTER = 0.5  # seconds without a link from which a newcomer may take a member's seat
-LEFT_OUT_AFTER = 6.0  # seconds from which one is removed without a successor, if enough members remain
+MAX_MEMBERS = 9  # more would slow agreement down without making it safer
+REPLACE_AFTER_S = 0.5  # without a link, after which a newcomer may take the member's seat
+REMOVE_AFTER_S = 6.0  # without a link, after which a member is removed without a successor if enough remain
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A machine of the core that could have a seat."""
+    """A core machine that is eligible for a seat."""
 
     name: str
     zone: str
@@ -34,63 +36,65 @@
 
 @dataclass(frozen=True, slots=True)
 class Requirements:
-    """What the deployment has to bear."""
+    """The failures that the deployment must tolerate."""
 
-    least: int = 3  # members without which the losses that are to be borne could not be
-    # by zone, the place that may be lost as a whole: the zone itself or its region; empty: only machines are
-    places: Mapping[str, str] = field(default_factory=dict)
+    min_members: int = 3  # fewest members that tolerate the required losses
+    # by zone, the unit that may fail as a whole: the zone itself or its region; empty if only machines fail
+    failure_domains: Mapping[str, str] = field(default_factory=dict)
 
-    def place(self, zone: str) -> str:
-        """What is lost with a machine of this zone."""
-        return self.places.get(zone, zone)
+    def failure_domain(self, zone: str) -> str:
+        """The failure domain of a zone's machines."""
+        return self.failure_domains.get(zone, zone)
 
-    def most_in_a_place(self, members: int) -> int:
-        """Seats that one place may have, so that the others are a majority."""
-        return members - majority(members) if self.places else members
+    def max_seats_per_domain(self, members: int) -> int:
+        """Seats that one failure domain may have so that the others are still a majority."""
+        return members - majority(members) if self.failure_domains else members
 
 
 @dataclass(frozen=True, slots=True)
 class Shortfall:
-    """Why the members can't bear the losses that the deployment asks for."""
+    """Why the members can't tolerate the losses that the deployment requires."""
 
     members: int
-    least: int  # members that it takes
-    crowded: str = ""  # a place whose loss leaves no majority; empty if there is none
+    min_members: int  # members that are needed
+    critical_domain: str = ""  # a failure domain whose loss leaves no majority; empty if there is none
 
     def __str__(self) -> str:
-        if self.crowded:
-            return f"losing {self.crowded} leaves no majority of {self.members} members"
-        return f"{self.members} members where {self.least} are needed"
+        if self.critical_domain:
+            return f"losing {self.critical_domain} leaves no majority of {self.members} members"
+        return f"{self.members} members where {self.min_members} are needed"
 
 
 def shortfall(
     members: Collection[str], zones: Mapping[str, str], requirements: Requirements
 ) -> Shortfall | None:
-    """What these members can't bear; None if they bear all that is asked for.
+    """Which required losses these members can't tolerate; None if they tolerate all of them.
 
-    `zones`: by member, as far as they are known; those of unknown zones crowd no place.
+    `zones`: known zones by member name; members of unknown zones count in no failure domain.
     """
-    places = Counter(requirements.place(zones[name]) for name in members if name in zones)
-    most = requirements.most_in_a_place(len(members))
-    crowded = sorted(place for place, seats in places.items() if seats > most)
-    if crowded:
-        return Shortfall(len(members), requirements.least, crowded[0])
-    if len(members) < requirements.least:
-        return Shortfall(len(members), requirements.least)
+    failure_domains = Counter(requirements.failure_domain(zones[name]) for name in members if name in zones)
+    max_seats = requirements.max_seats_per_domain(len(members))
+    overfull = sorted(
+        failure_domain for failure_domain, seats in failure_domains.items() if seats > max_seats
+    )
+    if overfull:
+        return Shortfall(len(members), requirements.min_members, overfull[0])
+    if len(members) < requirements.min_members:
+        return Shortfall(len(members), requirements.min_members)
     return None
 
 
-def departures(roster: Roster, missing: Mapping[str, float], leaving: Collection[str]) -> list[str]:
-    """Members whose seats newcomers may take, those that are missing longest first.
+def members_to_replace(roster: Roster, missing: Mapping[str, float], leaving: Collection[str]) -> list[str]:
+    """Members whose seats newcomers may take, those missing longest first.
 
-    `missing`: seconds for which each has not been linked. `leaving`: those that were told to stop.
+    `missing`: seconds for which each member has had no link. `leaving`: members that were told to stop.
     """
-    gone = [name for name in roster.members if missing.get(name, 0.0) >= GONE_AFTER or name in leaving]
-    return sorted(gone, key=lambda name: (-missing.get(name, 0.0), name))
+    absent = [name for name in roster.members if missing.get(name, 0.0) >= REPLACE_AFTER_S or name in leaving]
+    return sorted(absent, key=lambda name: (-missing.get(name, 0.0), name))
 
 
-class Seating:
-    """Seats while the next epoch is made up."""
+class SeatAssignment:
+    """The seats of the next epoch while they are assigned."""
 
     def __init__(
         self,
@@ -99,58 +103,70 @@
         zones: Mapping[str, str],
         requirements: Requirements,
     ) -> None:
-        """`zones`: of members, as far as they are known."""
+        """`zones`: known zones of members, by name."""
         self.members = dict(roster.members)
-        self.free = list(candidates)
+        self.unseated = list(candidates)
         self.requirements = requirements
-        self.zones = {**zones, **{one.name: one.zone for one in candidates}}
+        self.zones = {**zones, **{newcomer.name: newcomer.zone for newcomer in candidates}}
 
-    def place_of(self, name: str) -> str | None:
-        """The place of a machine; None where its zone is not known."""
+    def domain_of(self, name: str) -> str | None:
+        """The failure domain of a machine; None if its zone is not known."""
         zone = self.zones.get(name)
-        return self.requirements.place(zone) if zone is not None else None
+        return self.requirements.failure_domain(zone) if zone is not None else None
 
-    def seats_by_place(self) -> Counter[str | None]:
-        """How many seats each place has."""
-        return Counter(self.place_of(name) for name in self.members)
+    def seats_by_domain(self) -> Counter[str | None]:
+        """The number of seats in each failure domain."""
+        return Counter(self.domain_of(name) for name in self.members)
 
     def successor(self, name: str) -> Candidate | None:
-        """The newcomer for a member's seat; None if each would crowd its place."""
-        zone, place, seats = self.zones.get(name), self.place_of(name), self.seats_by_place()
-        most = self.requirements.most_in_a_place(len(self.members))
+        """The newcomer that takes a member's seat; None if each would overfill its failure domain."""
+        zone, failure_domain, seats = self.zones.get(name), self.domain_of(name), self.seats_by_domain()
+        max_seats = self.requirements.max_seats_per_domain(len(self.members))
 
         def fits(candidate: Candidate) -> bool:
-            there = self.place_of(candidate.name)
-            return there == place or seats[there] < most
+            own_domain = self.domain_of(candidate.name)
+            return own_domain == failure_domain or seats[own_domain] < max_seats
 
         def preference(candidate: Candidate) -> tuple[bool, bool, int, str]:
-            elsewhere = self.place_of(candidate.name) != place
-            return candidate.zone != zone, elsewhere, self.crowd(candidate, seats), candidate.name
-
-        fitting = [one for one in self.free if fits(one)]
+            elsewhere = self.domain_of(candidate.name) != failure_domain
+            return (
+                candidate.zone != zone,
+                elsewhere,
+                self.seats_in_domain_of(candidate, seats),
+                candidate.name,
+            )
+
+        fitting = [newcomer for newcomer in self.unseated if fits(newcomer)]
         return min(fitting, key=preference) if fitting else None
 
-    def crowd(self, candidate: Candidate, seats: Counter[str | None]) -> int:
-        """Seats of a newcomer's place, where that matters."""
-        return seats[self.place_of(candidate.name)] if self.requirements.places else 0
+    def seats_in_domain_of(self, candidate: Candidate, seats: Counter[str | None]) -> int:
+        """Seats in a newcomer's failure domain; 0 if only machines may fail."""
+        return seats[self.domain_of(candidate.name)] if self.requirements.failure_domains else 0
 
     def seat(self, candidate: Candidate, instead_of: str | None = None) -> None:
-        """A newcomer takes a seat, its own or a member's."""
+        """Gives a newcomer an additional seat, or the one of the member `instead_of`."""
         if instead_of is not None:
             del self.members[instead_of]
-        self.free.remove(candidate)
+        self.unseated.remove(candidate)
         self.members[candidate.name] = candidate.seat
 
-    def spread_out(self) -> None:
-        """Gives seats of crowded places to newcomers of others."""
-        most = self.requirements.most_in_a_place(len(self.members))
-        while self.free:
-            seats = self.seats_by_place()
-            crowded = [name for name in sorted(self.members) if seats[self.place_of(name)] > most]
-            newcomers = [one for one in self.free if seats[self.place_of(one.name)] < most]
-            if not crowded or not newcomers:
+    def spread_seats(self) -> None:
+        """Moves seats from overfull failure domains to newcomers of others."""
+        max_seats = self.requirements.max_seats_per_domain(len(self.members))
+        while self.unseated:
+            seats = self.seats_by_domain()
+            overfull = [name for name in sorted(self.members) if seats[self.domain_of(name)] > max_seats]
+            newcomers = [
+                newcomer for newcomer in self.unseated if seats[self.domain_of(newcomer.name)] < max_seats
+            ]
+            if not overfull or not newcomers:
                 return
-            self.seat(min(newcomers, key=lambda one: (self.crowd(one, seats), one.name)), crowded[-1])
+            self.seat(
+                min(
+                    newcomers, key=lambda newcomer: (self.seats_in_domain_of(newcomer, seats), newcomer.name)
+                ),
+                overfull[-1],
+            )
 
 
 def next_members(
@@ -161,25 +177,29 @@
     zones: Mapping[str, str],
     requirements: Requirements,
 ) -> dict[str, Seat]:
-    """The members of the next epoch; the same as now where nothing is to be changed.
+    """The members of the next epoch; the current ones if nothing needs to change.
 
-    `candidates`: linked machines of the core that are up to date and have no seat. `zones`: of members, as
-    far as they are known.
+    `candidates`: linked core machines without a seat that are up to date. `zones`: known zones of members.
     """
-    seating = Seating(roster, candidates, zones, requirements)
-    members = seating.members
-    for name in departures(roster, missing, leaving):
-        chosen = seating.successor(name)
+    assignment = SeatAssignment(roster, candidates, zones, requirements)
+    members = assignment.members
+    for name in members_to_replace(roster, missing, leaving):
+        chosen = assignment.successor(name)
         if chosen is not None:
-            seating.seat(chosen, instead_of=name)
+            assignment.seat(chosen, instead_of=name)
         elif (
-            missing.get(name, 0.0) >= LEFT_OUT_AFTER
-            and len(members) > requirements.least
-            and not requirements.places
+            missing.get(name, 0.0) >= REMOVE_AFTER_S
+            and len(members) > requirements.min_members
+            and not requirements.failure_domains
         ):
             del members[name]
-    while seating.free and len(members) < min(requirements.least, MOST_SEATS):
-        seats = seating.seats_by_place()
-        seating.seat(min(seating.free, key=lambda one: (seating.crowd(one, seats), one.name)))
-    seating.spread_out()
+    while assignment.unseated and len(members) < min(requirements.min_members, MAX_MEMBERS):
+        seats = assignment.seats_by_domain()
+        assignment.seat(
+            min(
+                assignment.unseated,
+                key=lambda newcomer: (assignment.seats_in_domain_of(newcomer, seats), newcomer.name),
+            )
+        )
+    assignment.spread_seats()
     return members
--- a/embersill/edge/node.py
+++ b/embersill/edge/node.py
@@ -20,7 +20,7 @@
 from embersill.edge.quota.demand import QUOTA_MESSAGE_KINDS, Demand
 from embersill.edge.consensus.distribution import Distribution
 from embersill.edge.configuration.document import EMPTY, State, read_document, revision
-from embersill.edge.consensus.election import KIND as ELECTION
+from embersill.edge.consensus.election import MESSAGE_KIND as ELECTION
 from embersill.edge.throttling.figures import Figures
 from embersill.edge.consensus.founding import Founding
 from embersill.edge.consensus.membership import Shortfall
--- a/embersill/edge/storage/store.py
+++ b/embersill/edge/storage/store.py
@@ -22,7 +22,7 @@
 import msgspec
 from expression import Error, Ok, Result
 
-from embersill.edge.consensus.election import VOTE
+from embersill.edge.consensus.election import VOTE_KEY
 from embersill.edge.records import EpochStart, RegisterSnapshot, Save, Stored, Vote
 from embersill.edge.configuration.document import State
 
@@ -74,7 +74,7 @@
                 found.get("backends", b""),
                 int(found.get("gateways", b"0")),
                 msgspec.msgpack.decode(found["state"], type=State) if "state" in found else None,
-                msgspec.json.decode(found[VOTE], type=Vote) if VOTE in found else None,
+                msgspec.json.decode(found[VOTE_KEY], type=Vote) if VOTE_KEY in found else None,
             )
         )
     except (msgspec.MsgspecError, KeyError, ValueError) as error:
@@ -151,7 +151,7 @@
             return read.bind(lambda found: stored_of(found, self.folder))
         found = {"format": FORMAT, "store": fresh().encode()}
         if vote is not None:
-            found[VOTE] = msgspec.json.encode(vote)
+            found[VOTE_KEY] = msgspec.json.encode(vote)
         try:
             self.write(found)
         except (lmdb.Error, OSError) as error:
--- a/embersill/lab/edge/fleet.py
+++ b/embersill/lab/edge/fleet.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from embersill.edge.consensus.election import VOTE
+from embersill.edge.consensus.election import VOTE_KEY
 from embersill.edge.consensus.founding import address_key
 from embersill.edge.records import EpochStart, RegisterSnapshot, Save, Stored, Vote
 from embersill.edge.configuration.document import NO_LAPSES, Order, State, revision
@@ -110,9 +110,9 @@
         if first and self.ip in self.fleet.seeds:
             vote = Vote(tuple(sorted(self.fleet.seeds, key=address_key)))
             if self.core:
-                self.disk[VOTE] = msgspec.json.encode(vote)
+                self.disk[VOTE_KEY] = msgspec.json.encode(vote)
             return vote
-        kept = self.disk.get(VOTE) if self.core else None
+        kept = self.disk.get(VOTE_KEY) if self.core else None
         return msgspec.json.decode(kept, type=Vote) if kept else None
 
     def serve(self, first: bool) -> None:
--- a/tests/edge/test_first_start.py
+++ b/tests/edge/test_first_start.py
@@ -14,7 +14,7 @@
     Blank,
     Body,
     Election,
-    Outbid,
+    Preempted,
     Prepare,
     Promise,
     Propose,
@@ -87,7 +87,7 @@
     assert voter.heard == [Accepted(first), Promise(second, first, ONE)]
     voter.accept(first, OTHER)
     voter.prepare(first)
-    assert voter.heard[2:] == [Outbid(first, second), Outbid(first, second)]
+    assert voter.heard[2:] == [Preempted(first, second), Preempted(first, second)]
 
 
 def test_a_gateway_without_a_vote_answers_nothing() -> None:
@@ -177,7 +177,7 @@
     election, effects = seed_without_vote()
     election.heard("n2", recall)
     assert [told["body"]["type"] for _, told in effects.mail] == ["blank"]
-    election.open = lambda: False
+    election.undecided = lambda: False
     election.heard("n2", recall)
     stranger, its_effects = seed_without_vote(("10.0.0.7", "10.0.0.8", SEEDS[0]))
     stranger.heard("n2", recall)
--- a/tests/edge/test_membership_search.py
+++ b/tests/edge/test_membership_search.py
@@ -14,7 +14,7 @@
 import pytest
 
 from embersill.council.terms import majority
-from embersill.edge.consensus.membership import GONE_AFTER, Candidate, Requirements, next_members
+from embersill.edge.consensus.membership import REPLACE_AFTER_S, Candidate, Requirements, next_members
 from embersill.edge.records import Roster, Seat
 
 Choose = Callable[["Cluster", int], frozenset[str]]
@@ -44,7 +44,7 @@
     """The next epoch's members, as the product decides."""
     seats = {name: Seat(name, name) for name in sorted(cluster.roster)}
     candidates = [Candidate(name, name, Seat(name, name)) for name in sorted(cluster.standby)]
-    missing = {name: GONE_AFTER for name in cluster.roster - cluster.up}
+    missing = {name: REPLACE_AFTER_S for name in cluster.roster - cluster.up}
     return frozenset(next_members(Roster(1, seats), candidates, missing, (), {}, Requirements(2 * borne + 1)))
 
 
--- a/tests/edge/test_places.py
+++ b/tests/edge/test_places.py
@@ -12,8 +12,8 @@
 from embersill.council.terms import majority
 from embersill.edge.consensus.founding import spread
 from embersill.edge.consensus.membership import (
-    GONE_AFTER,
-    MOST_SEATS,
+    REPLACE_AFTER_S,
+    MAX_MEMBERS,
     Candidate,
     Requirements,
     Shortfall,
@@ -39,12 +39,12 @@
 
 def bears(zones: list[str], requirements: Requirements) -> bool:
     """Whether a majority is left whichever place is lost."""
-    lost = Counter(map(requirements.place, zones))
+    lost = Counter(map(requirements.failure_domain, zones))
     return len(zones) - max(lost.values()) >= majority(len(zones))
 
 
-def most_in_a_place(zones: list[str], requirements: Requirements) -> int:
-    return max(Counter(map(requirements.place, zones)).values())
+def max_seats_per_domain(zones: list[str], requirements: Requirements) -> int:
+    return max(Counter(map(requirements.failure_domain, zones)).values())
 
 
 def next_zones(
@@ -55,7 +55,7 @@
     chosen = next_members(
         Roster(1, {name: Seat(name, name) for name in members}),
         [Candidate(name, zone, Seat(name, name)) for name, zone in newcomers.items()],
-        {name: GONE_AFTER for name in missing},
+        {name: REPLACE_AFTER_S for name in missing},
         (),
         members,
         requirements,
@@ -84,16 +84,17 @@
         for missing in (set[str](), {"m0"}, {"m0", "m1"}, {"m2"}):
             count += 1
             before, after = list(members.values()), next_zones(members, newcomers, missing, requirements)
-            allowed = requirements.most_in_a_place(len(members))
+            allowed = requirements.max_seats_per_domain(len(members))
             assert len(after) == len(members)
-            assert most_in_a_place(list(after.values()), requirements) <= max(
-                most_in_a_place(before, requirements), allowed
+            assert max_seats_per_domain(list(after.values()), requirements) <= max(
+                max_seats_per_domain(before, requirements), allowed
             )
             if bears(before, requirements):
                 assert bears(list(after.values()), requirements)
             again = {name: zone for name, zone in newcomers.items() if name not in after}
             if any(
-                Counter(map(requirements.place, after.values()))[requirements.place(zone)] < allowed
+                Counter(map(requirements.failure_domain, after.values()))[requirements.failure_domain(zone)]
+                < allowed
                 for zone in again.values()
             ):
                 assert bears(list(after.values()), requirements)  # else one of them had a use
@@ -124,9 +125,11 @@
         cores = [hello(number, zone) for number, zone in enumerate(zones)]
         for requirements in (BY_REGION, Requirements(3)):
             chosen = [one.zone for one in spread(cores, requirements)]
-            assert len(chosen) >= min(len(cores), requirements.least)
-            assert len(chosen) <= MOST_SEATS and (requirements.places or len(chosen) == min(len(cores), 9))
-            if len({REGIONS[zone] for zone in zones}) == 3 and requirements.places:
+            assert len(chosen) >= min(len(cores), requirements.min_members)
+            assert len(chosen) <= MAX_MEMBERS and (
+                requirements.failure_domains or len(chosen) == min(len(cores), 9)
+            )
+            if len({REGIONS[zone] for zone in zones}) == 3 and requirements.failure_domains:
                 assert bears(chosen, requirements)
 
 
@@ -138,9 +141,9 @@
     silent: Any = {"zone": "a1"}
     assert requirements_of(silent) == Requirements(3)
     assert read(machine_failures=2) == Requirements(5)
-    assert read(machine_failures=1, zones=1, regions=0).place("a2") == "a2"
-    assert read(machine_failures=1, zones=1).places.keys() == REGIONS.keys()
-    assert read(regions=1).place("a2") == "a"
+    assert read(machine_failures=1, zones=1, regions=0).failure_domain("a2") == "a2"
+    assert read(machine_failures=1, zones=1).failure_domains.keys() == REGIONS.keys()
+    assert read(regions=1).failure_domain("a2") == "a"
 
 
 def test_what_the_members_cannot_bear_is_told() -> None:
