--- a/embersill/edge/consensus/agreement.py
+++ b/embersill/edge/consensus/agreement.py
@@ -1,11 +1,12 @@
-"""The thin layer over the cells: the gateways with a disk agree on the configuration, and on who they are.
-
-The register is the council's (embersill/council): CASPaxos with promises on disk and lives. Its members are
-fixed; here they change by epochs. Each epoch has a register of its own among its members. To change them, the
-register's value is *sealed*: an entry that names the next epoch's members, after which that register takes
-nothing more. The next epoch begins with the value that was sealed. One register decides one seal, so there is
-one next epoch, and whoever still asks the old one finds the seal (Lamport, Malkhi and Zhou 2010,
-"Reconfiguring a State Machine"; a stoppable state machine). No I/O: what has to be on disk first is a `Save`.
+"""Replicated configuration: the gateways with a disk agree on the configuration and on their membership.
+
+The register is the council's (embersill/council): CASPaxos with promises on disk, and an identity ("life")
+for each run of a member. Its members are fixed; here they change by epochs. Each epoch has a register of its
+own among its members. To change them, the register's value is *sealed*: an entry is written that names the
+next epoch's members, after which that register accepts nothing more. The next epoch begins with the sealed
+value. One register decides one seal, so there is exactly one next epoch, and whoever still queries the old
+epoch finds the seal (Lamport, Malkhi and Zhou 2010, "Reconfiguring a State Machine"; a stoppable state
+machine). No I/O: data that must be on disk first is requested as a `Save`.
 """
 
 from __future__ import annotations
@@ -28,18 +29,18 @@
 from embersill.edge.consensus.serial import SerialQueue
 from embersill.edge.verdict import Verdict, done, refused
 
-KEY = "configuration"
+CONFIGURATION_KEY = "configuration"
 TERMS = CouncilTerms(attempt=0.3, within=0.85, settle=0.15, hello_every=0.5, back_off=0.02, most_back_off=0.2)
-FEW = 3.0  # members that look each second
-READ_EVERY = 1.0  # seconds after which a member looks whether another has written
-MOST_CHANGES = 64  # that wait for those before them
-READ_AGAIN = 0.25  # seconds after a look that no majority answered
+READS_PER_S = 3.0  # quorum reads per second by all members together
+READ_INTERVAL_S = 1.0  # between a member's quorum reads, which find what others have written
+MAX_WAITING_CHANGES = 64  # changes that may wait in the queue
+READ_RETRY_S = 0.25  # after a quorum read that no majority answered
 
-Decided = Callable[[Verdict, State | None], None]
+OnDecided = Callable[[Verdict, State | None], None]
 
 
 class Agreement:
-    """One gateway's part in it: a member if it is on the roster, else one that only knows the roster."""
+    """One gateway's part in the agreement: a member if it is on the roster, otherwise an observer of it."""
 
     def __init__(
         self,
@@ -51,34 +52,36 @@
         life: str = "",
         durable: bool = True,
     ) -> None:
-        """`life`: names this life of the process. `durable`: False where nothing can be kept, so that this
+        """`life`: identifies this run of the process. `durable`: False if nothing can be stored, so that this
         gateway takes no seat even if the roster names it."""
         self.me, self.store, self.effects, self.chance, self.now = me, store, effects, chance, now
         self.life, self.durable = life, durable
         self.lease = Lease()
-        self.changes = SerialQueue(MOST_CHANGES)
-        self.persistence: Persistence | None = None  # of the member's register
+        self.changes = SerialQueue(MAX_WAITING_CHANGES)
+        self.persistence: Persistence | None = None  # of the member's register; None for a non-member
         self.handover = Handover(me, effects)
         self.roster: Roster | None = None
-        self.base: State = EMPTY  # what the epoch began with, where that is known
+        self.base: State = EMPTY  # the state with which the epoch began; EMPTY if not known
         self.knows_base = False
         self.member: Member | None = None
         self.on_state: Callable[[State], None] = lambda state: None
         self.on_roster: Callable[[Roster], None] = lambda roster: None
         self.read_at = now
 
-    # the start, and epochs
+    # startup and epochs
 
     def load(self, stored: Stored) -> None:
-        """Goes on with what the disk has."""
+        """Resumes from the data on disk."""
         if stored.begun is None:
             return
         self.roster, self.base, self.knows_base = stored.begun.roster, stored.begun.base, True
         kept = stored.remembered
-        self.sit(kept.whole if kept is not None and kept.epoch == self.roster.epoch else None, loaded=True)
+        self.take_seat(
+            kept.whole if kept is not None and kept.epoch == self.roster.epoch else None, loaded=True
+        )
 
     def begin(self, roster: Roster, base: State | None) -> None:
-        """A later epoch. Without its base only the roster is known, and its members give the rest."""
+        """Begins a later epoch. Without its base only the roster is known; the members supply the state."""
         if (
             self.roster is not None
             and roster.epoch <= self.roster.epoch
@@ -86,7 +89,7 @@
         ):
             return
         if base is None and self.me in roster.members:
-            return  # told by one that does not know it: another will
+            return  # the sender does not know the base: another member will send it
         self.handover.begin(self.roster, roster)
         self.roster, self.base, self.knows_base = roster, base or EMPTY, base is not None
         before, self.member = self.member, None
@@ -94,16 +97,16 @@
             before.close()
         if self.persistence is not None:
             self.persistence.replaced, self.persistence = True, None
-        self.sit(None, loaded=False)
+        self.take_seat(None, loaded=False)
         if self.persistence is not None:
             self.persistence.save()
         self.on_roster(roster)
 
-    def sit(self, whole: Whole | None, loaded: bool) -> None:
+    def take_seat(self, whole: Whole | None, loaded: bool) -> None:
         """Takes this member's seat in the epoch, if it has one. `loaded`: the epoch came from the disk.
 
-        One without records has never answered in this epoch if its disk is the one that the roster names;
-        with another disk it may have, and learns from the others what it has forgotten.
+        A member without records has never answered in this epoch if its disk is the one that the roster
+        names. With another disk it may have, so it recovers its lost promises from the other members first.
         """
         assert self.roster is not None
         seat = self.roster.members.get(self.me)
@@ -131,25 +134,25 @@
 
     @property
     def read_interval(self) -> float:
-        """Seconds between this member's quorum reads: the more members look, the less often each needs to."""
+        """Seconds between this member's quorum reads; more members read less often each."""
         members = len(self.roster.members) if self.roster is not None else 0
-        return READ_EVERY * max(members / FEW, 1.0)
+        return READ_INTERVAL_S * max(members / READS_PER_S, 1.0)
 
     @property
     def votes(self) -> bool:
-        """True while this member may vote in its epoch."""
+        """True while this gateway is a member that may vote in its epoch."""
         return self.member is not None and self.member.register.votes
 
     # messages
 
     def heard(self, peer: str, message: Message) -> None:
-        """A question or an answer of another member's; one of another epoch is set right."""
+        """Handles a member's request or answer; a request of an older epoch is answered with the roster."""
         roster, member = self.roster, self.member
         if roster is None:
             return
         if message["epoch"] != roster.epoch or member is None:
             if message["kind"] == "ask" and message["epoch"] < roster.epoch:
-                self.effects.mail.append((peer, self.told_roster(peer)))
+                self.effects.mail.append((peer, self.roster_message(peer)))
             return
         if message["kind"] == "ask":
             number, life = message["n"], message["life"]
@@ -161,22 +164,22 @@
                 self.effects.mail.append((peer, message))
 
             self.answer(ask, reply)
-        else:  # to this life: `Node` drops the others
+        else:  # an answer to this run of the process: `Node` drops those to earlier runs
             member.answered(message["n"], msgspec.convert(message["answer"], AnyAnswer), self.now)
             self.deliver()
 
     def answer(self, ask: Ask, reply: Callable[[Answer], None]) -> None:
-        """Has the register answer a question; `reply` hears the answer once what it rests on is on disk."""
+        """Has the register answer; `reply` is called once the data that the answer depends on is on disk."""
         if self.member is not None and self.persistence is not None:
             answer = self.member.register.handle(ask)
             self.persistence.after_save(lambda: reply(answer))
 
     def deliver(self) -> None:
-        """Sends what the member asks; one's own register is asked by way of the same disk."""
+        """Sends the member's requests; its own register is asked under the same durability rule."""
         member, roster, persistence = self.member, self.roster, self.persistence
         while member is not None and roster is not None and persistence is not None and member.outbox:
             if member.register.safe < member.register.life_mark:
-                persistence.save()  # nothing is said under a life that is not on disk yet
+                persistence.save()  # nothing is sent in this life before the life itself is on disk
                 return
             out, member.outbox = member.outbox, []
             for name, number, ask in out:
@@ -199,13 +202,13 @@
 
                 self.answer(ask, to_self)
 
-    def met(self, peer: str) -> None:
-        """A peer is linked: a member that has no vote yet asks it at once whether its memory is whole."""
+    def peer_linked(self, peer: str) -> None:
+        """On a new link, a member that may not vote yet asks the peer at once for its lost promises."""
         if self.member is not None and not self.votes and peer in self.member.peers:
             self.member.hello_at = self.now
 
-    def told_roster(self, peer: str) -> Message:
-        """The epoch, for a peer; with what it begins with if the peer is to sit in it."""
+    def roster_message(self, peer: str) -> Message:
+        """The message that tells a peer the epoch; with the initial state if the peer is a member of it."""
         assert self.roster is not None
         knows = peer in self.roster.members and self.knows_base
         return {
@@ -215,7 +218,7 @@
         }
 
     def tick(self, now: float) -> None:
-        """What is due by now: operations, the disk, the next quorum read."""
+        """Runs everything that is due: operations, saves, the next quorum read."""
         self.now = max(self.now, now)
         member = self.member
         if member is None or self.persistence is None:
@@ -223,34 +226,36 @@
         member.tick(now)
         self.persistence.tick()
         if self.votes and now >= self.read_at:
-            self.read_at = now + self.read_interval  # whoever finds a newer value tells all
-            member.read(KEY, self.looked, now)
+            self.read_at = now + self.read_interval  # whoever finds a newer value announces it to all
+            member.read(CONFIGURATION_KEY, self.on_read, now)
         self.deliver()
 
-    # what is agreed on
+    # reads and writes
 
     def value(self, entry: Entry | None) -> Value:
-        """What an entry of the register holds; the epoch's base where there is none."""
+        """The value of a register entry; the epoch's initial value if there is no entry."""
         return Value(self.base) if entry is None else msgspec.json.decode(entry.data, type=Value)
 
-    def looked(self, result: Result, now: float) -> None:
-        """A quorum read of this member's own has ended."""
+    def on_read(self, result: Result, now: float) -> None:
+        """Handles the result of this member's periodic quorum read."""
         if result.how in (How.DONE, How.REFUSED):
-            self.chosen(self.value(result.entry), result.began)
+            self.adopt_chosen(self.value(result.entry), result.began)
             return
-        self.read_at = min(self.read_at, now + READ_AGAIN)  # after a start of all the first look is too early
+        self.read_at = min(
+            self.read_at, now + READ_RETRY_S
+        )  # when all members start at once the first read comes too early
 
-    def chosen(self, value: Value, began: float) -> None:
-        """A value that a majority has, by a question that began then: it is in force from now on."""
-        if value.next is None:  # else a majority of the next epoch may have a newer one
+    def adopt_chosen(self, value: Value, began: float) -> None:
+        """Puts a majority's value in force; `began`: when the operation that found it was started."""
+        if value.next is None:  # otherwise a majority of the next epoch may have a newer one
             self.lease.renew(began)
         if value.state["version"]:
             self.on_state(value.state)
         if value.next is not None and self.roster is not None and value.next.epoch > self.roster.epoch:
             self.begin(value.next, value.state)
 
-    def read(self, decided: Decided) -> None:
-        """The newest state: no older than any that was acknowledged before it was asked for."""
+    def read(self, decided: OnDecided) -> None:
+        """Reads the newest state: no older than any that was acknowledged before this call."""
         if self.member is None:
             return decided(refused(503, "no member"), None)
 
@@ -258,24 +263,24 @@
             if result.how is not How.DONE:
                 return decided(refused(503, "no majority answers"), None)
             value = self.value(result.entry)
-            self.chosen(value, result.began)
+            self.adopt_chosen(value, result.began)
             if value.next is not None:
                 return decided(refused(503, "the members are changing"), None)
             return decided(done(), value.state)
 
-        self.member.read(KEY, ended, self.now)
+        self.member.read(CONFIGURATION_KEY, ended, self.now)
         return self.deliver()
 
     def speaks(self) -> bool:
-        """True while a majority vouches for what this member holds."""
+        """True while this member votes and holds the lease."""
         return self.votes and self.lease.held(self.now)
 
     def confirm(self, ended: Callable[[bool], None]) -> None:
-        """Asks whether a majority vouches for this member from now on; `ended` hears it, once."""
+        """Runs a quorum read; `ended` is called once, with whether a majority answered."""
         self.read(lambda verdict, state: ended(state is not None))
 
-    def decide(self, transition: Transition, decided: Decided) -> None:
-        """Lays what `make` makes of the newest state, after what was asked for here before."""
+    def decide(self, transition: Transition, decided: OnDecided) -> None:
+        """Writes the result of `transition` on the newest state, after earlier changes queued here."""
         asked_at = self.now
 
         def begin(finished: Callable[[], None]) -> None:
@@ -286,18 +291,20 @@
             if self.member is None:
                 ended(refused(503, "no member"), None)
             elif self.now - asked_at > TERMS.within:
-                ended(refused(503, "others went first: nobody waits for this one any more"), None)
+                ended(
+                    refused(503, "the change waited too long behind others: its caller no longer waits"), None
+                )
             else:
                 self.write(self.member, transition, ended)
 
         if not self.changes.submit(begin):
             decided(refused(503, "too many changes wait"), None)
 
-    def write(self, member: Member, transition: Transition, decided: Decided) -> None:
-        """Writes by way of this member; `decided` hears once it is certain, or can't be."""
+    def write(self, member: Member, transition: Transition, decided: OnDecided) -> None:
+        """Writes through this member; `decided` is called once the outcome is known or can't be known."""
         proposal = Proposal(transition)
 
-        def laid(found: Entry | None) -> bytes | None:
+        def next_data(found: Entry | None) -> bytes | None:
             following = proposal.next_value(self.value(found))
             return msgspec.json.encode(following) if following is not None else None
 
@@ -305,14 +312,14 @@
             if result.how not in (How.DONE, How.REFUSED):
                 return decided(proposal.verdict(result.how, EMPTY), None)
             value = self.value(result.entry)
-            self.chosen(value, result.began)
+            self.adopt_chosen(value, result.began)
             return decided(proposal.verdict(result.how, value.state), value.state)
 
-        member.write(KEY, laid, ended, self.now)
+        member.write(CONFIGURATION_KEY, next_data, ended, self.now)
         self.deliver()
 
-    def reseat(self, members: dict[str, Seat]) -> None:
-        """Seals this epoch and begins the next one with these members."""
+    def change_members(self, members: dict[str, Seat]) -> None:
+        """Seals this epoch and starts the next one with these members."""
         if self.member is None or self.roster is None or not members:
             return
         following = Roster(self.roster.epoch + 1, members)
@@ -321,5 +328,5 @@
             value = self.value(found)
             return None if value.next is not None else msgspec.json.encode(Value(value.state, following))
 
-        self.member.write(KEY, sealed, self.looked, self.now)
+        self.member.write(CONFIGURATION_KEY, sealed, self.on_read, self.now)
         self.deliver()
--- a/embersill/edge/node.py
+++ b/embersill/edge/node.py
@@ -75,7 +75,7 @@
         self.distribution = Distribution(
             self.peers, self.agreement, self.effects, lambda: self.state, lambda: self.now
         )
-        self.founding.up_to_date = lambda name: self.distribution.has(name, revision(self.state))
+        self.founding.up_to_date = lambda name: self.distribution.has_version(name, revision(self.state))
         self.demand = Demand(hello, self.peers, self.agreement, self.effects, now)
         self.state: State = EMPTY
         self.table: Table | None = None
@@ -139,9 +139,9 @@
         mail = self.effects.mail
         roster = self.agreement.roster
         if roster is not None and roster.epoch > hello.epoch:
-            mail.append((hello.name, self.agreement.told_roster(hello.name)))
+            mail.append((hello.name, self.agreement.roster_message(hello.name)))
         self.distribution.linked(hello)
-        self.agreement.met(hello.name)
+        self.agreement.peer_linked(hello.name)
         self.registry.linked(hello.name)
         self.loads.linked(hello.name)
         self.on_view(f"link peer={hello.name} up zone={hello.zone} core={hello.core}")
@@ -181,7 +181,7 @@
             ),
             ELECTION: lambda peer, told: self.founding.election.heard(peer, told["body"]),
             "version": self.distribution.heard,
-            "fetch": lambda peer, told: self.distribution.hand_on(peer),
+            "fetch": lambda peer, told: self.distribution.send_state(peer),
             "document": lambda peer, told: self.adopt(msgspec.convert(told["state"], State)),
             "present": self.peers.heard,
             "leaving": lambda peer, told: self.peers.leaves(peer),
@@ -235,7 +235,7 @@
         self.peers.roster = roster
         self.on_view(f"members epoch={roster.epoch} names={','.join(sorted(roster.members))}")
         for name in self.peers.linked:
-            self.effects.mail.append((name, self.agreement.told_roster(name)))
+            self.effects.mail.append((name, self.agreement.roster_message(name)))
 
     def adopt(self, state: State) -> None:
         """A newer version is in force here from now on; an older one never is again."""
@@ -254,7 +254,7 @@
         if policy != self.policy:
             self.policy = policy
             self.on_policy(*policy)
-        self.distribution.tell_all()
+        self.distribution.announce()
 
     @property
     def figures(self) -> Figures | None:
--- a/embersill/edge/peers/ring.py
+++ b/embersill/edge/peers/ring.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 
-def by_place(name: str, members: Iterable[str]) -> list[str]:
+def rendezvous_order(name: str, members: Iterable[str]) -> list[str]:
     """The members from the one that the name falls to on, each with its own order for each name.
 
     Highest random weight (Thaler and Ravishankar 1998): who leaves changes nothing for the others' names.
--- a/embersill/edge/quota/demand.py
+++ b/embersill/edge/quota/demand.py
@@ -6,7 +6,7 @@
 
 from embersill.edge.consensus.agreement import Agreement
 from embersill.edge.records import Effects, Message
-from embersill.edge.peers.ring import by_place
+from embersill.edge.peers.ring import rendezvous_order
 from embersill.edge.peers.peer_set import Hello, PeerSet
 from embersill.edge.configuration.routes import Table
 from embersill.edge.quota.sums import Sums
@@ -83,7 +83,7 @@
     def summing(self, tenant: str) -> str:
         """The core member that sums a tenant's demand and holds its reserve; empty if none is known."""
         roster = self.agreement.roster
-        return by_place(tenant, roster.members)[0] if roster is not None and roster.members else ""
+        return rendezvous_order(tenant, roster.members)[0] if roster is not None and roster.members else ""
 
     def quota(self, tenant: str) -> tuple[float, float]:
         """A tenant's rate and burst; zeros if there is no limit or another member sums the demand."""
--- a/embersill/edge/rollout/roller.py
+++ b/embersill/edge/rollout/roller.py
@@ -81,7 +81,7 @@
             self.key, self.spent, self.finding, self.asked_at = key, 0.0, Finding("more"), now
         else:
             self.spent += passed_by
-        if self.duty.mine(now):
+        if self.duty.may_act(now):
             self.act(rollouts["number"], run, now)
 
     def act(self, number: int, run: Run, now: float) -> None:
@@ -89,12 +89,12 @@
         step, what = run["step"], f"rollout number={number} step={run['step']} told={run['told']}"
         if run["phase"] == "resting":
             if self.spent >= RESTS * run["watch_s"]:
-                self.duty.lay(lambda state: rested(state, number, step), f"{what} did=rested")
+                self.duty.propose(lambda state: rested(state, number, step), f"{what} did=rested")
         elif run["told"] > step:
             if self.spent >= run["watch_s"] and self.known():
-                self.duty.lay(lambda state: bound(state, number, step + 1), f"{what} did=bound")
+                self.duty.propose(lambda state: bound(state, number, step + 1), f"{what} did=bound")
         elif step < 0:
-            self.duty.lay(lambda state: told(state, number, 0), f"{what} did=told")
+            self.duty.propose(lambda state: told(state, number, 0), f"{what} did=told")
         else:
             self.judge(number, run, now)
 
@@ -107,9 +107,9 @@
             self.take_back(number, step, found.why, again)
         elif found.how == "good" and self.spent >= watch:
             if step + 1 < len(run["steps"]):
-                self.duty.lay(lambda state: told(state, number, step + 1), f"{what} did=good")
+                self.duty.propose(lambda state: told(state, number, step + 1), f"{what} did=good")
             else:
-                self.duty.lay(lambda state: passed(state, number), f"{what} did=done")
+                self.duty.propose(lambda state: passed(state, number), f"{what} did=done")
         elif self.spent >= WATCHES * watch:
             self.take_back(number, step, f"not to be known: {found.why or 'nobody told'}", False)
         elif now - self.asked_at >= ASK_EVERY:
@@ -124,7 +124,7 @@
     def take_back(self, number: int, step: int, why: str, again: bool) -> None:
         """Lays that a step did harm; `again`: it will be tried once more."""
         what = f"rollout number={number} step={step} did={'rest' if again else 'halt'} why={one_word(why)}"
-        self.duty.lay(lambda state: harmed(state, number, step, why, again), what)
+        self.duty.propose(lambda state: harmed(state, number, step, why, again), what)
 
     def found(self, number: int, run: Run, counts: dict[str, Any], silent: list[str]) -> Finding:
         """What all gateways have seen, the sites with the policy against those without it."""
--- a/embersill/edge/status.py
+++ b/embersill/edge/status.py
@@ -31,7 +31,9 @@
         "keeper": node.peers.keeper(node.me.zone),
         "gateways": node.peers.count,
         "linked": sorted(node.peers.linked),
-        "behind": sorted(name for name in node.peers.linked if not node.distribution.has(name, (version, 0))),
+        "behind": sorted(
+            name for name in node.peers.linked if not node.distribution.has_version(name, (version, 0))
+        ),
         "backends": backends,
         "summed_here": len(node.demand.sums.accounts),
     }
--- a/embersill/edge/throttling/squeezer.py
+++ b/embersill/edge/throttling/squeezer.py
@@ -47,12 +47,14 @@
             self.number, self.since = lapses["number"], now
         at_work = {n: o for n, o in lapses["orders"].items() if o["phase"] in ("waiting", "squeezing")}
         self.spent = {name: self.counted(name, order, passed) for name, order in lapses["orders"].items()}
-        if not at_work or not self.duty.mine(now):
+        if not at_work or not self.duty.may_act(now):
             return
         for name, order in at_work.items():
             change = self.due(name, order, now)
             if change is not None:
-                return self.duty.lay(change, f"lapse tenant={name} from={order['step']} told={order['told']}")
+                return self.duty.propose(
+                    change, f"lapse tenant={name} from={order['step']} told={order['told']}"
+                )
 
     def counted(self, name: str, order: Order, passed: float) -> tuple[int, float]:
         """The step of an order, and for how long it has been in force."""
--- a/tests/edge/test_parts.py
+++ b/tests/edge/test_parts.py
@@ -14,7 +14,7 @@
 from embersill.edge.dataplane.handlers import MAX_EARLY, RETRY_SOON, ClientHandler
 from embersill.edge.discovery.instances import Instance, Instances
 from embersill.edge.local import Local, read_local
-from embersill.edge.peers.ring import by_place
+from embersill.edge.peers.ring import rendezvous_order
 from embersill.edge.configuration.routes import Table, settings_for
 from embersill.edge.quota.sums import DEMAND_TTL_S, SLICE_TTL_S, Sums
 from embersill.interface import (
@@ -153,9 +153,9 @@
 
 def test_the_ring_moves_only_the_names_of_who_leaves() -> None:
     members = [f"m{n}" for n in range(6)]
-    before = {f"t{n}": by_place(f"t{n}", members) for n in range(200)}
+    before = {f"t{n}": rendezvous_order(f"t{n}", members) for n in range(200)}
     for name, order in before.items():
-        assert by_place(name, [m for m in members if m != "m3"]) == [m for m in order if m != "m3"]
+        assert rendezvous_order(name, [m for m in members if m != "m3"]) == [m for m in order if m != "m3"]
     assert len({order[0] for order in before.values()}) == 6
 
 
--- a/tests/edge/test_places.py
+++ b/tests/edge/test_places.py
@@ -10,7 +10,7 @@
 import pytest
 
 from embersill.council.terms import majority
-from embersill.edge.consensus.founding import spread
+from embersill.edge.consensus.founding import first_members
 from embersill.edge.consensus.membership import (
     REPLACE_AFTER_S,
     MAX_MEMBERS,
@@ -124,7 +124,7 @@
         zones = [zone for zone, count in zip(REGIONS, counts, strict=True) for _ in range(count)]
         cores = [hello(number, zone) for number, zone in enumerate(zones)]
         for requirements in (BY_REGION, Requirements(3)):
-            chosen = [one.zone for one in spread(cores, requirements)]
+            chosen = [one.zone for one in first_members(cores, requirements)]
             assert len(chosen) >= min(len(cores), requirements.min_members)
             assert len(chosen) <= MAX_MEMBERS and (
                 requirements.failure_domains or len(chosen) == min(len(cores), 9)
