--- a/embersill/net/calls.py
+++ b/embersill/net/calls.py
@@ -1,7 +1,7 @@
-"""Reads a client's request by the protocol and the settings, and words what is wrong with one that is not.
+"""Validates a client's request against the protocol and the settings, and says what is wrong with a bad one.
 
-All that a client says is held against the settings' bounds here, before the module sees any of it: units
-without a bound, in a customer's name, would eat that customer's quota.
+Every value from a client is checked against the settings' bounds here, before the decision module sees it:
+unbounded units in a request that names a customer would use up that customer's quota.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 BUDGET = re.compile(rb"\d{1,6}(\.\d{1,9})?")
 KEY = re.compile(rb"[!-~]{1,256}")
 QUOTA = re.compile(rb"\s*([a-z_]+)\s*=\s*(\d{1,9}(?:\.\d{1,9})?)\s*")
-CUSTOMERS = 1 << 33  # numbers that the protocol has for customers
-OVER_DEADLINE = 1.01  # times its class's deadline that a budget may be: what rounding makes of it
+CUSTOMER_LIMIT = 1 << 33  # the protocol's customer numbers are below this
+BUDGET_TOLERANCE = 1.01  # a budget may exceed its class's deadline by this factor, which covers rounding
 
 
 class BadRequest(Exception):
-    """What a client sent is not in the protocol's form."""
+    """A client's request violates the protocol."""
 
     def __init__(self, status: int, text: str, headers: bytes = b"") -> None:
         super().__init__(text)
@@ -32,24 +32,24 @@
 
 @lru_cache(maxsize=4096)
 def read_quota(text: bytes) -> tuple[float, int, int]:
-    """Units, spread and first of a Quota-Info; kept, since few different ones come again and again."""
+    """Units, spread and first gateway of a Quota-Info header; cached, as few distinct values recur."""
     found: dict[bytes, float] = {}
     for part in text.split(b","):
         match = QUOTA.fullmatch(part)
         if match is None or match[1] in found:
-            raise BadRequest(400, "Quota-Info is not in its form")
+            raise BadRequest(400, "Quota-Info is malformed")
         found[match[1]] = float(match[2])
     try:
         units, width, first = found[b"units"], found[b"spread"], found[b"first"]
     except KeyError as error:
         raise BadRequest(400, "Quota-Info lacks units, spread or first") from error
     if width != int(width) or first != int(first):
-        raise BadRequest(400, "Quota-Info has a part of a gateway")
+        raise BadRequest(400, "spread and first in Quota-Info must be whole numbers")
     return units, int(width), int(first)
 
 
 class CallReader:
-    """Turns requests into calls by the settings' classes and plans, and words what is wrong with the rest."""
+    """Turns requests into calls, using the settings' classes and plans; raises BadRequest for the rest."""
 
     def __init__(self, settings: Settings) -> None:
         self.classes = {c.name: c for c in settings.classes}
@@ -66,28 +66,31 @@
         rest: list[bytes] | None = None,
         size: int = 0,
     ) -> Call:
-        """`rest` holds a body of `size` bytes that is too long to be made one piece."""
+        """Reads one request.
+
+        `rest` holds a body of `size` bytes, in pieces, that is too long to be joined into `body`.
+        """
         customer = self.customer(target)
         klass = self.classes.get((headers.get(b"x-call-class") or b"").decode("latin-1"))
         if klass is None:
-            self.needed(headers, b"x-call-class")
-            raise BadRequest(400, "X-Call-Class names no class")
-        wanted = b"GET" if klass.repeats is Repeats.SAFE else b"POST"
-        if method != wanted:
-            raise BadRequest(405, "the class goes by another method", b"Allow: %b\r\n" % wanted)
+            self.required(headers, b"x-call-class")
+            raise BadRequest(400, "X-Call-Class is not a known class")
+        required_method = b"GET" if klass.repeats is Repeats.SAFE else b"POST"
+        if method != required_method:
+            raise BadRequest(405, "the class requires another method", b"Allow: %b\r\n" % required_method)
         plan = (headers.get(b"plan") or b"").decode("latin-1")
         if plan not in self.plans:
-            self.needed(headers, b"plan")
-            raise BadRequest(400, "Plan names no plan")
+            self.required(headers, b"plan")
+            raise BadRequest(400, "Plan is not a known plan")
         if (body or rest) and method == b"GET":
-            raise BadRequest(400, "a GET with a body")
-        units, width, first = read_quota(headers.get(b"quota-info") or self.needed(headers, b"quota-info"))
+            raise BadRequest(400, "a GET request must not have a body")
+        units, width, first = read_quota(headers.get(b"quota-info") or self.required(headers, b"quota-info"))
         if not (0 < units <= self.most_units and 1 <= width <= self.gateways and first < self.gateways):
             raise BadRequest(400, "Quota-Info is out of bounds")
-        budget = float(self.matched(headers, b"x-budget", BUDGET))
-        if not 0 < budget <= OVER_DEADLINE * klass.deadline:
-            raise BadRequest(400, "X-Budget is nought, or longer than the class's deadline")
-        call_id = self.matched(headers, b"x-call-id", CALL_ID)
+        budget = float(self.required_match(headers, b"x-budget", BUDGET))
+        if not 0 < budget <= BUDGET_TOLERANCE * klass.deadline:
+            raise BadRequest(400, "X-Budget is zero or exceeds the class's deadline")
+        call_id = self.required_match(headers, b"x-call-id", CALL_ID)
         return Call(
             call_id,
             received,
@@ -114,7 +117,7 @@
         body: bytes,
         size: int,
     ) -> bytes:
-        """What goes on to a backend, unchanged; the budget is the gateway's own and comes last."""
+        """The request head that is forwarded to a backend; the gateway appends its own budget last."""
         head = b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Call-Id: %b\r\n" % (
             method,
             target,
@@ -122,9 +125,9 @@
             call_id,
         )
         if repeats is Repeats.BY_KEY:
-            head += b"Idempotency-Key: %b\r\n" % self.matched(headers, b"idempotency-key", KEY)
+            head += b"Idempotency-Key: %b\r\n" % self.required_match(headers, b"idempotency-key", KEY)
         elif b"idempotency-key" in headers:
-            raise BadRequest(400, "Idempotency-Key on a class that carries none")
+            raise BadRequest(400, "Idempotency-Key is not allowed for this class")
         if method != b"GET":
             head += b"Content-Length: %d\r\n" % (size or len(body))
             if b"content-type" in headers:
@@ -132,21 +135,24 @@
         return head
 
     def customer(self, target: bytes) -> str:
+        """The customer number in the target's `client` parameter, in lower case."""
         found: list[bytes] = CLIENT.findall(target)
         if len(found) != 1 or not CUSTOMER.fullmatch(found[0]):
             raise BadRequest(400, "client is not 16 hex digits")
-        if int(found[0], 16) >= CUSTOMERS:
+        if int(found[0], 16) >= CUSTOMER_LIMIT:
             raise BadRequest(400, "client is out of bounds")
         return found[0].decode().lower()
 
-    def needed(self, headers: dict[bytes, bytes], name: bytes) -> bytes:
+    def required(self, headers: dict[bytes, bytes], name: bytes) -> bytes:
+        """The value of a mandatory header."""
         value = headers.get(name)
         if not value:
-            raise BadRequest(400, f"no {name.decode().title()}")
+            raise BadRequest(400, f"{name.decode().title()} is missing")
         return value
 
-    def matched(self, headers: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> bytes:
-        value = headers.get(name) or self.needed(headers, name)
-        if not form.fullmatch(value):
-            raise BadRequest(400, f"{name.decode().title()} is not in its form")
+    def required_match(self, headers: dict[bytes, bytes], name: bytes, pattern: re.Pattern[bytes]) -> bytes:
+        """The value of a mandatory header that must match the whole pattern."""
+        value = headers.get(name) or self.required(headers, name)
+        if not pattern.fullmatch(value):
+            raise BadRequest(400, f"{name.decode().title()} is malformed")
         return value
--- a/embersill/net/disconnects.py
+++ b/embersill/net/disconnects.py
@@ -51,16 +51,16 @@
     def lines(self) -> list[str]:
         """The counters in the Prometheus text format (exposition format 0.0.4), one sample a line."""
         name = "embersill_client_disconnects"
-        lines = [f'{name}_total{{how="{how.value}"}} {count}' for how, count in self.connections.items()]
-        lines.append(f"{name}_requests_total {self.requests}")
+        samples = [f'{name}_total{{how="{how.value}"}} {count}' for how, count in self.connections.items()]
+        samples.append(f"{name}_requests_total {self.requests}")
         ends = (("cancelled", self.cancelled), ("unsent", self.unsent), ("finished", self.finished))
-        lines += [f'{name}_attempts_total{{end="{end}"}} {count}' for end, count in ends]
-        return lines + self.histogram(f"{name}_ran_on_seconds")
+        samples += [f'{name}_attempts_total{{end="{end}"}} {count}' for end, count in ends]
+        return samples + self.histogram(f"{name}_ran_on_seconds")
 
     def histogram(self, name: str) -> list[str]:
         """How long attempts ran on after the disconnect, as cumulative buckets."""
-        lines, cumulative = [], 0
+        samples, cumulative = [], 0
         for bound, count in zip([*map(str, RAN_ON_BOUNDS_S), "+Inf"], self.ran_on, strict=True):
             cumulative += count
-            lines.append(f'{name}_bucket{{le="{bound}"}} {cumulative}')
-        return [*lines, f"{name}_sum {self.seconds:.3f}", f"{name}_count {cumulative}"]
+            samples.append(f'{name}_bucket{{le="{bound}"}} {cumulative}')
+        return [*samples, f"{name}_sum {self.seconds:.3f}", f"{name}_count {cumulative}"]
--- a/embersill/net/operators.py
+++ b/embersill/net/operators.py
@@ -1,4 +1,4 @@
-"""The operators' door: HTTP/1.1 on an address of its own, one call to a connection."""
+"""The operators' HTTP/1.1 server: it has an address of its own and takes one call per connection."""
 
 from __future__ import annotations
 
@@ -10,51 +10,56 @@
 
 from embersill.net.clients import REASONS
 
-MOST_CALLERS = 32  # at a time; past it the one that has waited longest without a whole call goes
-MOST_BYTES = 16 * 1024  # of one call
-CALL_WITHIN = 5.0  # seconds for a call to come whole
+MAX_CONNECTIONS = 32  # beyond this the oldest connection whose call is not complete is closed
+MAX_CALL_BYTES = 16 * 1024
+CALL_TIMEOUT_S = 5.0  # a call must have arrived completely by then
 
-Answering = Callable[[str, str], tuple[int, str]]
+Handler = Callable[[str, str], tuple[int, str]]
 
 
-class Caller(asyncio.Protocol):
-    """One connection, which brings one call."""
+class OperatorConnection(asyncio.Protocol):
+    """One connection, which carries one call."""
 
-    def __init__(self, door: Door) -> None:
-        self.door = door
+    def __init__(self, server: OperatorServer) -> None:
+        self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
-        self.target, self.taken, self.answered = b"", 0, False
-        self.timer = door.loop.call_later(CALL_WITHIN, self.reply, 408, "the call did not come whole\n")
+        self.target, self.received_bytes, self.answered = b"", 0, False
+        self.timer = server.loop.call_later(
+            CALL_TIMEOUT_S, self.reply, 408, "the call was not complete in time\n"
+        )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
-        self.door.enter(self)
+        self.server.add(self)
 
     def on_url(self, url: bytes) -> None:
+        """Parser callback; a target may arrive in several pieces."""
         self.target += url
 
     def on_message_complete(self) -> None:
+        """Parser callback: handles the call."""
         if self.answered or self.parser is None:
             return
         try:
             method, target = self.parser.get_method().decode("ascii"), self.target.decode("ascii")
         except UnicodeDecodeError:
-            return self.reply(400, "not a call\n")
-        self.reply(*self.door.answer(method, target))
+            return self.reply(400, "not a valid HTTP call\n")
+        self.reply(*self.server.handle(method, target))
 
     def data_received(self, data: bytes) -> None:
-        self.taken += len(data)
+        self.received_bytes += len(data)
         if self.answered or self.parser is None:
             return
-        if self.taken > MOST_BYTES:
+        if self.received_bytes > MAX_CALL_BYTES:
             return self.reply(413, "the call is too long\n")
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.reply(400, "not a call\n")
+            self.reply(400, "not a valid HTTP call\n")
 
     def reply(self, status: int, text: str) -> None:
+        """Sends the one response and closes the connection; later ones are ignored."""
         if self.answered or self.transport is None:
             return
         self.answered = True
@@ -67,33 +72,36 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.timer.cancel()
-        self.transport = self.parser = None  # the parser knows its caller: parted, both are freed at once
-        self.door.callers.pop(self, None)
+        self.transport = self.parser = None  # breaks the cycle with the parser: both are freed at once
+        self.server.connections.pop(self, None)
 
 
-class Door:
-    """The listener and its callers."""
+class OperatorServer:
+    """Listens for operators' calls and keeps their connections."""
 
-    def __init__(self, answer: Answering) -> None:
-        self.answer = answer
+    def __init__(self, handle: Handler) -> None:
+        self.handle = handle
         self.loop = asyncio.get_running_loop()
-        self.callers: dict[Caller, None] = {}  # in the order they came
-        self.server: asyncio.Server | None = None
+        self.connections: dict[OperatorConnection, None] = {}  # oldest first
+        self.listener: asyncio.Server | None = None
 
     async def listen(self, address: tuple[str, int]) -> None:
-        self.server = await self.loop.create_server(lambda: Caller(self), *address)
-
-    def enter(self, caller: Caller) -> None:
-        self.callers[caller] = None
-        if len(self.callers) > MOST_CALLERS:
-            oldest = next(iter(self.callers))
-            del self.callers[oldest]
+        """Starts to accept connections."""
+        self.listener = await self.loop.create_server(lambda: OperatorConnection(self), *address)
+
+    def add(self, connection: OperatorConnection) -> None:
+        """Adds a new connection; over the limit the oldest one is aborted."""
+        self.connections[connection] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            oldest = next(iter(self.connections))
+            del self.connections[oldest]
             if oldest.transport is not None:
                 oldest.transport.abort()
 
     def close(self) -> None:
-        if self.server is not None:
-            self.server.close()
-        for caller in list(self.callers):
-            if caller.transport is not None:
-                caller.transport.close()
+        """Stops listening and closes all connections."""
+        if self.listener is not None:
+            self.listener.close()
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.close()
--- a/embersill/service/running.py
+++ b/embersill/service/running.py
@@ -17,7 +17,7 @@
 from typing import TYPE_CHECKING
 
 from embersill.interface import BackendHold, Shared
-from embersill.net.operators import Door
+from embersill.net.operators import OperatorServer
 from embersill.service.calls import route
 from embersill.service.figures import Figures
 from embersill.service.succession import (
@@ -118,7 +118,7 @@
     def __init__(self, program: Program, name: str, avoided: Callable[[], int]) -> None:
         self.program, self.avoided = program, avoided
         self.folder = Folder(Path(os.environ.get("TMPDIR") or "/tmp"), name)
-        self.door = Door(lambda method, path: route(method, path, self))
+        self.server = OperatorServer(lambda method, path: route(method, path, self))
         self.figures = program.driver.figures = Figures(c.name for c in program.settings.classes)
         self.held: set[str] = set()
         self.mine, self.stage = Mark(os.urandom(8).hex(), time.monotonic(), False), Stage.ALONE
@@ -139,7 +139,7 @@
     async def start(self) -> None:
         operator = self.program.operator
         assert operator is not None
-        await self.door.listen(operator)
+        await self.server.listen(operator)
         self.task = self.program.loop.create_task(self.watch())
 
     def serving(self) -> None:
@@ -211,5 +211,5 @@
     def close(self) -> None:
         if self.task is not None:
             self.task.cancel()
-        self.door.close()
+        self.server.close()
         self.folder.remove(self.mine.life)
--- a/tests/service/test_running.py
+++ b/tests/service/test_running.py
@@ -10,7 +10,7 @@
 import pytest
 
 from embersill.configuration.platform import build_configuration
-from embersill.net.operators import MOST_CALLERS
+from embersill.net.operators import MAX_CONNECTIONS
 from embersill.roles import Program
 from embersill.service.running import Operations
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
@@ -96,7 +96,7 @@
         door = free_address()
         host, port = door.split(":")
         async with running(1, operator=door):
-            stalled = [await asyncio.open_connection(host, int(port)) for _ in range(2 * MOST_CALLERS)]
+            stalled = [await asyncio.open_connection(host, int(port)) for _ in range(2 * MAX_CONNECTIONS)]
             for _, writer in stalled[::2]:
                 writer.write(b"GET /stats HT")
             assert (await call(door, "GET", "/healthcheck"))[0] == 200
