--- a/embersill/counting/lines.py
+++ b/embersill/counting/lines.py
@@ -18,12 +18,12 @@
         super().__init__(counting.clock, address, counting.patience, counting.dial_timeout, counting.told)
         self.counting = counting
 
-    def answered(self, call: CounterCall, outcome: Outcome, total: float) -> None:
-        if call.told:
+    def finish_call(self, call: CounterCall, outcome: Outcome, total: float) -> None:
+        if call.reported:
             if outcome is Outcome.SERVED:
                 self.counting.keeper.late(call.token, self.clock())
             return
-        call.told = True
+        call.reported = True
         if call.timer is not None:
             call.timer.cancel()
         self.counting.ended(call.token, outcome, self.clock() - call.started, total)
--- a/embersill/lab/fuzzing/targets.py
+++ b/embersill/lab/fuzzing/targets.py
@@ -25,7 +25,7 @@
 from embersill.rig.settings import lab_settings, settings_object
 from embersill.lab.still import Harness
 from embersill.net.backends import Answer, Attempt, BackendConnection
-from embersill.net.counter import CounterCall, CounterLine
+from embersill.net.counter import CounterCall, CounterConnection
 from embersill.net.discovery import BadList, DiscoveryConnection, read_listing
 from embersill.tiers.forwarder import Forwarder
 from embersill.tiers.messages import BadFrame
@@ -144,14 +144,14 @@
     """The counter's place: hears of each call once."""
 
     def __init__(self) -> None:
-        self.one_by_one = False
-        self.patience, self.leaving = 0.03, set[CounterLine]()
+        self.unpipelined = False
+        self.call_timeout, self.leaving = 0.03, set[CounterConnection]()
         self.ends: list[tuple[CounterCall, Outcome, float]] = []
 
     def clock(self) -> float:
         return 1.0
 
-    def answered(self, call: CounterCall, outcome: Outcome, total: float) -> None:
+    def finish_call(self, call: CounterCall, outcome: Outcome, total: float) -> None:
         self.ends.append((call, outcome, total))
 
 
@@ -177,7 +177,7 @@
     outcomes = []
     for step in (len(data) or 1, 1):
         told = Told()
-        line = CounterLine(told)  # type: ignore[arg-type]
+        line = CounterConnection(told)  # type: ignore[arg-type]
         sink = Sink()
         line.connection_made(sink)  # type: ignore[arg-type]
         for number in range(4):
--- a/embersill/net/counter.py
+++ b/embersill/net/counter.py
@@ -1,4 +1,4 @@
-"""The quota counter, spoken to in RESP2: calls are pipelined and answered in the order they were written."""
+"""Client of the quota counter, in RESP2: calls are pipelined and answered in the order of their writing."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 from embersill.interface import Count, Counted, Outcome
 
-LINES = 4  # connections: names are dealt out over them, so that one slow part holds up fewer of the others
-SILENT_AFTER = 10.0  # times the patience that the first in line may wait before its connection is given up
-IDLE_LIMIT = 3.0  # seconds unused after which a line is opened anew: the counter closes idle ones unannounced
+CONNECTIONS = 4  # names are spread over these, so that one slow counter partition delays fewer others
+SILENT_TIMEOUTS = 10.0  # call timeouts that the oldest call may wait before its connection is abandoned
+IDLE_LIMIT_S = 3.0  # older idle connections are replaced: the counter closes them without notice
 TOTAL = re.compile(rb"-?\d{1,20}(\.\d{1,20})?([eE][+-]?\d{1,2})?")
 
 
 class CounterCall:
-    """One call; told to the driver once, though its answer may come and take its place in line after that."""
+    """One call. Its outcome is reported once; a later answer must still be matched to it, in order."""
 
-    __slots__ = ("name", "started", "token", "told", "timer", "written")
+    __slots__ = ("name", "reported", "started", "timer", "token", "written")
 
     def __init__(self, name: str, started: float, token: int = 0) -> None:
-        self.name, self.started, self.told, self.written = name, started, False, False
-        self.token = token  # the caller's name for it, where one tells its calls apart
+        self.name, self.started, self.reported, self.written = name, started, False, False
+        self.token = token  # identifies the call to a caller that has several
         self.timer: asyncio.TimerHandle | None = None
 
 
-class CounterLine(asyncio.Protocol):
-    """One connection, with the calls that wait to be written and those that wait for their answers."""
+class CounterConnection(asyncio.Protocol):
+    """One connection, with the calls that wait to be written and those that wait for an answer."""
 
     def __init__(self, counter: Counter) -> None:
         self.counter = counter
@@ -40,21 +40,21 @@
         self.written: deque[CounterCall] = deque()
         self.reader = hiredis.Reader()
         self.used = counter.clock()
-        self.unsent = self.dead = self.leaving = False
+        self.unsent = self.dead = self.leaving = False  # unsent: not all is in the kernel's buffer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
-        self.transport.set_write_buffer_limits(high=0)  # pause_writing then tells that a call is not written
+        self.transport.set_write_buffer_limits(high=0)  # so that pause_writing means that a call is not sent
         self.write_waiting()
 
     def write_waiting(self) -> None:
-        """What waited for the line, or for the answer ahead of it; what was given up stays unwritten."""
+        """Writes calls that waited for the connection or for an earlier answer; abandoned ones are skipped."""
         waiting, self.unwritten = self.unwritten, []
         for number, (call, text) in enumerate(waiting):
-            if self.written and self.counter.one_by_one:
+            if self.written and self.counter.unpipelined:
                 self.unwritten = waiting[number:]
                 return
-            if not call.told:
+            if not call.reported:
                 self.write(call, text)
 
     def pause_writing(self) -> None:
@@ -64,56 +64,60 @@
         self.unsent = False
 
     def call(self, call: CounterCall, text: bytes) -> None:
+        """Writes a call, now or once the connection is ready for it."""
         self.used = call.started
-        if self.transport is None or self.written and self.counter.one_by_one:
+        if self.transport is None or self.written and self.counter.unpipelined:
             self.unwritten.append((call, text))
         else:
             self.write(call, text)
 
     def write(self, call: CounterCall, text: bytes) -> None:
+        """Writes a call and queues it for its answer."""
         assert self.transport is not None
         call.written = True
         self.written.append(call)
         self.transport.write(text)
 
-    def fit(self, now: float) -> bool:
-        """False where the next call should go over a new connection: it died, fell silent or stood idle."""
+    def is_usable(self, now: float) -> bool:
+        """False if the next call needs a new connection: this one died, fell silent or was idle too long."""
         if self.dead or self.transport is not None and self.transport.is_closing():
             return False
         if self.written:
-            return now - self.written[0].started < SILENT_AFTER * self.counter.patience
-        return now - self.used < IDLE_LIMIT
+            return now - self.written[0].started < SILENT_TIMEOUTS * self.counter.call_timeout
+        return now - self.used < IDLE_LIMIT_S
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
         try:
             while (reply := self.reader.gets()) is not False:
                 if not self.written:
-                    # an answer to nothing: what follows can't be matched either. Where a counter answers
-                    # twice, a call behind another gets that one's total: none goes behind another now
-                    self.counter.one_by_one = True
+                    # An answer without a call: later ones can't be matched either. If a counter answers
+                    # twice, a pipelined call gets the total of the call before it, so pipelining ends here.
+                    self.counter.unpipelined = True
                     return self.close()
                 answer = read_reply(reply)
-                self.counter.answered(self.written.popleft(), *(answer or (Outcome.TIMED_OUT, 0.0)))
+                self.counter.finish_call(self.written.popleft(), *(answer or (Outcome.TIMED_OUT, 0.0)))
                 if answer is None:
-                    return self.close()  # no answer that follows is sure to be the next call's
+                    return self.close()  # later answers may not belong to the next calls
                 if self.leaving and not self.written:
                     return self.close()
             if self.unwritten and not self.written:
                 self.write_waiting()
-        except (hiredis.ProtocolError, TypeError):  # a RESP3 map whose key can't be one raises the latter
+        except (hiredis.ProtocolError, TypeError):  # TypeError: a RESP3 map with an unhashable key
             self.close()
 
     def eof_received(self) -> bool:
+        """Transport callback: lets the transport close."""
         return False
 
     def leave(self) -> None:
-        """Takes no further call, and closes once those that are out have their answers."""
+        """Stops taking calls, and closes once those in flight are answered."""
         self.leaving = True
         if not (self.written or self.unwritten):
             self.close()
 
     def close(self) -> None:
+        """Closes the connection; calls in flight end when the transport reports it."""
         self.dead = True
         if self.transport is not None:
             self.transport.abort()
@@ -122,23 +126,23 @@
         self.end()
 
     def end(self) -> None:
-        """Tells what can be told of the calls left: the unwritten added nothing, the others may have."""
+        """Ends the remaining calls: those not written added nothing, the others may have been counted."""
         self.dead = True
         self.counter.leaving.discard(self)
         if self.unsent and self.written:
-            self.counter.answered(self.written.pop(), Outcome.NO_CONNECTION, 0.0)
+            self.counter.finish_call(self.written.pop(), Outcome.NO_CONNECTION, 0.0)
         while self.written:
-            self.counter.answered(self.written.popleft(), Outcome.TIMED_OUT, 0.0)
+            self.counter.finish_call(self.written.popleft(), Outcome.TIMED_OUT, 0.0)
         for call, _ in self.unwritten:
-            self.counter.answered(call, Outcome.NO_CONNECTION, 0.0)
+            self.counter.finish_call(call, Outcome.NO_CONNECTION, 0.0)
         self.unwritten = []
 
 
 def read_reply(reply: object) -> tuple[Outcome, float] | None:
     """A reply as outcome and total; None for one that is neither a number nor a known error.
 
-    The module takes all but a time-out as proof that nothing was added, which a spoilt reply is not. Words
-    that pass for numbers, as nan does, would set a level for good.
+    The decision module takes any failure but a time-out as proof that nothing was added, which a malformed
+    reply is not. A word that parses as a number, such as nan, would corrupt a level permanently.
     """
     if isinstance(reply, hiredis.ReplyError):
         known = str(reply).startswith(("BUSY", "ERR"))
@@ -151,83 +155,97 @@
 
 
 class Counter:
-    """The calls of one gateway. `told` hears of each exactly once, at its patience's end at the latest."""
+    """The counter calls of one gateway.
+
+    `on_counted` receives the outcome of each call exactly once, at its timeout at the latest.
+    """
 
     def __init__(
         self,
         clock: Callable[[], float],
         address: tuple[str, int],
-        patience: float,
+        call_timeout: float,
         dial_timeout: float,
-        told: Callable[[Counted], None],
+        on_counted: Callable[[Counted], None],
     ) -> None:
-        self.clock, self.address, self.patience, self.told = clock, address, patience, told
+        self.clock, self.address, self.call_timeout, self.on_counted = (
+            clock,
+            address,
+            call_timeout,
+            on_counted,
+        )
         self.dial_timeout = dial_timeout
         self.loop = asyncio.get_running_loop()
-        self.lines: list[CounterLine | None] = [None] * LINES
-        self.leaving: set[CounterLine] = set()  # to an address that was given up, with calls still out
+        self.connections: list[CounterConnection | None] = [None] * CONNECTIONS
+        self.leaving: set[CounterConnection] = set()  # to an earlier address, with calls in flight
         self.dials: set[asyncio.Task[None]] = set()
-        self.one_by_one = False  # this counter has answered a call twice: each waits for the one ahead
+        self.unpipelined = False  # pipelining is off: this counter has answered a call twice
 
     def add(self, name: str, amount: float, forget_after: float, token: int = 0) -> None:
+        """Adds an amount to a name's sum, which the counter drops after `forget_after` seconds."""
         now = self.clock()
         call = CounterCall(name, now, token)
-        call.timer = self.loop.call_later(self.patience, self.out_of_patience, call)
-        # by customer: calls for one name keep their order, and so do the names of one customer
-        place = zlib.crc32(name.partition(".")[0].encode()) % LINES
-        line = self.lines[place]
-        if line is None or not line.fit(now):
-            if line is not None:
-                line.close()
-            line = self.lines[place] = CounterLine(self)
-            task = self.loop.create_task(self.connect(line))
+        call.timer = self.loop.call_later(self.call_timeout, self.time_out, call)
+        # all names of one customer share a connection, which keeps their calls in order
+        index = zlib.crc32(name.partition(".")[0].encode()) % CONNECTIONS
+        connection = self.connections[index]
+        if connection is None or not connection.is_usable(now):
+            if connection is not None:
+                connection.close()
+            connection = self.connections[index] = CounterConnection(self)
+            task = self.loop.create_task(self.connect(connection))
             self.dials.add(task)
             task.add_done_callback(self.dials.discard)
         words = ("CNT.ADD", name, f"{amount:.9g}", str(max(1, round(forget_after * 1000))))
-        line.call(call, hiredis.pack_command(words))  # type: ignore[arg-type]  # its stub takes one word only
+        connection.call(call, hiredis.pack_command(words))  # type: ignore[arg-type]  # the stub allows only one word
 
     def count(self, action: Count) -> None:
+        """Carries out an action of the decision module."""
         self.add(action.name, action.amount, action.forget_after)
 
     def move(self, address: tuple[str, int]) -> None:
-        """The next calls go to another address; those that are out end on the lines that they went by."""
+        """Sends further calls to another address; calls in flight end on their present connections."""
         self.address = address
         self.leave()
 
     def leave(self) -> None:
-        """No call goes on the present lines any more; each closes once those out have their answers."""
-        self.one_by_one = False
-        old, self.lines = self.lines, [None] * LINES
-        for line in old:
-            if line is not None and not line.dead:
-                self.leaving.add(line)
-                line.leave()
-                # an answer may still be on its way then, but nobody waits for it
-                self.loop.call_later(2 * self.patience, line.close)
-
-    async def connect(self, line: CounterLine) -> None:
+        """Sends no more calls on the present connections; each closes once its calls are answered."""
+        self.unpipelined = False
+        old, self.connections = self.connections, [None] * CONNECTIONS
+        for connection in old:
+            if connection is not None and not connection.dead:
+                self.leaving.add(connection)
+                connection.leave()
+                # an answer may still arrive after that, but all callers have timed out
+                self.loop.call_later(2 * self.call_timeout, connection.close)
+
+    async def connect(self, connection: CounterConnection) -> None:
+        """Connects within the dial timeout, or ends the calls that waited for it."""
         try:
             async with asyncio.timeout(self.dial_timeout):
-                await self.loop.create_connection(lambda: line, *self.address)
+                await self.loop.create_connection(lambda: connection, *self.address)
         except (OSError, TimeoutError):
-            line.end()
-        if line.dead:
-            line.close()  # it was given up while it came up
+            connection.end()
+        if connection.dead:
+            connection.close()  # it was closed while it was connecting
 
-    def out_of_patience(self, call: CounterCall) -> None:
-        self.answered(call, Outcome.TIMED_OUT if call.written else Outcome.NO_CONNECTION, 0.0)
+    def time_out(self, call: CounterCall) -> None:
+        """Ends a call at its timeout."""
+        self.finish_call(call, Outcome.TIMED_OUT if call.written else Outcome.NO_CONNECTION, 0.0)
 
-    def answered(self, call: CounterCall, outcome: Outcome, total: float) -> None:
-        if call.told:
+    def finish_call(self, call: CounterCall, outcome: Outcome, total: float) -> None:
+        """Reports a call's outcome, unless that has been done."""
+        if call.reported:
             return
-        call.told = True
+        call.reported = True
         if call.timer is not None:
             call.timer.cancel()
-        self.told(Counted(call.name, outcome, self.clock() - call.started, total))
+        self.on_counted(Counted(call.name, outcome, self.clock() - call.started, total))
 
     def close(self) -> None:
-        for line in (*self.lines, *self.leaving):
-            if line is not None:
-                line.close()
+        """Closes all connections and stops dialling."""
+        for connection in (*self.connections, *self.leaving):
+            if connection is not None:
+                connection.close()
         for task in self.dials:
             task.cancel()
--- a/embersill/net/discovery.py
+++ b/embersill/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the whole list once, then one watch after the other, over one connection."""
+"""Discovery client: reads the whole backend list once, then long-polls for changes over one connection."""
 
 from __future__ import annotations
 
@@ -16,38 +16,44 @@
 from embersill.pacing import Pace
 from embersill.settings import STATUSES
 
-WATCH_MS = 4000  # a watch's wait: a silent agent is noticed soon after it
-MOST_LIST = 4 * 1024 * 1024  # bytes: a fleet of thousands fits
+WATCH_MS = 4000  # how long a watch waits for a change; a silent agent is noticed soon after it
+MAX_LIST_BYTES = 4 * 1024 * 1024  # room for a fleet of thousands
 
 log = logging.getLogger("embersill")
 
 
 class BadList(Exception):
-    """A list that the protocol does not allow, or no list at all."""
+    """A response that is no valid backend list, or no response at all."""
 
 
-class TurnedAway(BadList):
-    """Discovery has too much to do to answer now."""
+class DiscoveryOverloaded(BadList):
+    """Discovery is overloaded and has rejected the call (503)."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
+    """A backend and the address that it listens on."""
+
     backend: Backend
     address: tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
+    """A whole list or the changes since an earlier one."""
+
     kind: ListKind
     generation: int
     entries: tuple[Entry, ...]
 
     @property
     def whole(self) -> bool:
+        """True if backends that are not listed are gone."""
         return self.kind is not ListKind.CHANGES
 
 
 def read_address(text: str) -> tuple[str, int]:
+    """Splits HOST:PORT; an IPv6 host may stand in brackets."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f"not an address: {text!r}")
@@ -55,6 +61,7 @@
 
 
 def read_entry(entry: dict[str, Any]) -> Entry:
+    """Reads one instance of a list in discovery's JSON form."""
     started = float(entry.get("startedAtMs") or 0.0) / 1000.0
     status = STATUSES[entry["lifecycle"]]
     backend = Backend(
@@ -67,24 +74,24 @@
         started=started or None,
     )
     if not (math.isfinite(started) and math.isfinite(backend.rating) and backend.rating >= 0):
-        raise ValueError("a start or a weight that is no number")  # JSON's readers take NaN and 1e999
+        raise ValueError("startedAtMs or weight is out of range")  # JSON parsers accept NaN and 1e999
     host_port = entry.get("hostPort")
     gone = status is Status.GONE and not host_port  # nothing is dialled there any more
     return Entry(backend, ("", 0) if gone else read_address(str(host_port)))
 
 
 def read_listing(loaded: Any, kind: ListKind | None = None) -> Listing:
-    """A list in discovery's form; BadList says what is wrong with it."""
+    """Reads a list in discovery's JSON form; raises BadList if it is invalid."""
     try:
         entries = tuple(read_entry(e) for e in loaded["instances"])
-        told = kind or (ListKind.WHOLE if loaded["reset"] else ListKind.CHANGES)
-        return Listing(told, int(loaded["generation"]), entries)
+        list_kind = kind or (ListKind.WHOLE if loaded["reset"] else ListKind.CHANGES)
+        return Listing(list_kind, int(loaded["generation"]), entries)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise BadList(f"{type(error).__name__}: {error}") from error
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection to the agent; a call's answer, or its end, resolves the call's future."""
+    """One HTTP connection to the agent; the response, or the connection's end, resolves the call's future."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -97,6 +104,7 @@
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
 
     def ask(self, target: str, host: str) -> asyncio.Future[bytes]:
+        """Sends a GET request; the future yields the response's body."""
         assert self.transport is not None
         self.body.clear()
         self.answer = asyncio.get_running_loop().create_future()
@@ -104,140 +112,161 @@
         return self.answer
 
     def fail(self, why: str) -> None:
+        """Fails the call in progress and closes the connection."""
         if self.answer is not None and not self.answer.done():
             self.answer.set_exception(BadList(why))
         if self.transport is not None:
             self.transport.abort()
 
     def on_body(self, body: bytes) -> None:
+        """Parser callback."""
         self.body += body
 
     def on_message_complete(self) -> None:
+        """Parser callback: resolves the call's future."""
         if self.answer is None or self.answer.done():
             return
-        self.keep = self.parser.should_keep_alive()  # the parser knows only while in this call
+        self.keep = self.parser.should_keep_alive()  # the parser can only tell during this callback
         status = self.parser.get_status_code()
         if status == 200:
             self.answer.set_result(bytes(self.body))
         else:
-            self.answer.set_exception((TurnedAway if status == 503 else BadList)(f"status {status}"))
+            self.answer.set_exception((DiscoveryOverloaded if status == 503 else BadList)(f"status {status}"))
 
     def data_received(self, data: bytes) -> None:
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.fail(str(error))
-        if len(self.body) > MOST_LIST:
-            self.fail("an oversized list")
+        if len(self.body) > MAX_LIST_BYTES:
+            self.fail("the list is too long")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.fail("the connection ended")
+        self.fail("the connection closed before the response was complete")
 
 
-class Agent:
-    """Follows the list at one address until it is stopped, and tells every answer in order."""
+class ListWatcher:
+    """Watches the list at one address until it is stopped, and passes on every response in order."""
 
     def __init__(
         self,
         address: tuple[str, int],
         dial_timeout: float,
-        told: Callable[[Agent, Listing], None],
+        on_listing: Callable[[ListWatcher, Listing], None],
         pace: Pace,
         generation: int | None = None,
     ) -> None:
-        """`generation`: of a list that the gateway has already, where asking for it again costs others."""
-        self.address, self.dial_timeout, self.told, self.pace = address, dial_timeout, told, pace
+        """Starts watching.
+
+        `generation` is that of a list that the gateway already has; it is given where fetching the whole
+        list again would load a shared service.
+        """
+        self.address, self.dial_timeout, self.on_listing, self.pace = address, dial_timeout, on_listing, pace
         self.host = f"{address[0]}:{address[1]}"
         self.connection: DiscoveryConnection | None = None
         self.generation = generation
         self.task = asyncio.get_running_loop().create_task(self.run())
 
     async def run(self) -> None:
+        """Calls discovery until the task is cancelled."""
         await asyncio.sleep(self.pace.first())
         while True:
             try:
                 listing = await self.call()
             except (OSError, TimeoutError, BadList, ValueError) as error:
                 self.drop()
-                # the whole list is answered at once, a watch with the next change; but a service that has too
-                # much to do is asked for no more than what is missing
-                if self.pace.pushed or not isinstance(error, TurnedAway | TimeoutError):
+                # A call for the whole list is answered at once, a watch only with the next change.
+                # However, an overloaded shared service is asked only for the missing changes.
+                if self.pace.pushed or not isinstance(error, DiscoveryOverloaded | TimeoutError):
                     self.generation = None
                 await asyncio.sleep(self.pace.failed())
                 continue
             self.pace.answered()
             self.generation = listing.generation
             try:
-                self.told(self, listing)
-            except Exception:  # one list that goes wrong must not end the following of all later ones
-                log.exception("a list from discovery went wrong")
+                self.on_listing(self, listing)
+            except Exception:  # a failure on one list must not stop the watch
+                log.exception("a list from discovery could not be applied")
 
     async def call(self) -> Listing:
+        """Fetches the whole list, or waits for changes since the last known generation."""
         if self.generation is None:
-            target, within = "/v1/endpoints", self.pace.at_once
+            target, timeout_s = "/v1/endpoints", self.pace.at_once
         else:
             target = f"/v1/endpoints?since={self.generation}&timeout_ms={WATCH_MS}"
-            within = WATCH_MS / 1000.0 + self.pace.patience
+            timeout_s = WATCH_MS / 1000.0 + self.pace.patience
         connection = self.connection or await self.connect()
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout_s):
             body = await connection.ask(target, self.host)
         if not connection.keep:
             self.drop()
         return read_listing(json.loads(body))
 
     async def connect(self) -> DiscoveryConnection:
+        """Opens a new connection and keeps it for later calls."""
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(self.dial_timeout):
             _, self.connection = await loop.create_connection(DiscoveryConnection, *self.address)
         return self.connection
 
     def drop(self) -> None:
+        """Closes the connection; the next call opens a new one."""
         connection, self.connection = self.connection, None
         if connection is not None and connection.transport is not None:
             connection.transport.abort()
 
     def stop(self) -> None:
+        """Stops watching."""
         self.task.cancel()
         self.drop()
 
 
 class Discovery:
-    """The list as told by one agent after another: an old one serves until the new one has told it whole."""
+    """Follows the backend list across agents: the old agent is used until a new one has sent a list."""
 
     def __init__(
         self,
         address: tuple[str, int],
         dial_timeout: float,
-        told: Callable[[Listing], None],
+        on_listing: Callable[[Listing], None],
         pace: Pace | None = None,
         known: int | None = None,
     ) -> None:
-        """`known`: the generation of the remembered list. It is asked from where each call costs others."""
-        self.address, self.dial_timeout, self.told = address, dial_timeout, told
+        """`known` is the generation of the remembered list.
+
+        Watching continues from it where the discovery service is shared and a whole list would load it.
+        """
+        self.address, self.dial_timeout, self.on_listing = address, dial_timeout, on_listing
         self.pace = pace or Pace()
         self.known = None if self.pace.pushed else known
-        self.heard = asyncio.Event()  # set once discovery has answered at all
-        self.agents: list[Agent] = []  # the one that is believed, and behind it the one that is to follow it
+        self.answered = asyncio.Event()  # set once discovery has answered for the first time
+        self.watchers: list[ListWatcher] = []  # the current one, followed by its replacement
 
     def start(self) -> None:
-        known = None if self.agents else self.known  # another service may number its lists otherwise
-        self.agents.append(Agent(self.address, self.dial_timeout, self.agent_told, self.pace, known))
+        """Starts to watch the list at the current address."""
+        known = None if self.watchers else self.known  # another service numbers its lists differently
+        self.watchers.append(
+            ListWatcher(self.address, self.dial_timeout, self.watcher_answered, self.pace, known)
+        )
 
     def move(self, address: tuple[str, int]) -> None:
+        """Switches to another address, once the agent there has answered."""
         self.address = address
-        for overtaken in self.agents[1:]:
-            overtaken.stop()
-        del self.agents[1:]
-        if not self.agents or self.agents[0].address != address:
+        for replaced in self.watchers[1:]:
+            replaced.stop()
+        del self.watchers[1:]
+        if not self.watchers or self.watchers[0].address != address:
             self.start()
 
-    def agent_told(self, agent: Agent, listing: Listing) -> None:
-        for old in self.agents[: self.agents.index(agent)]:
-            old.stop()  # what it would still tell is older
-            self.agents.remove(old)
-        self.heard.set()
-        self.told(listing)
+    def watcher_answered(self, watcher: ListWatcher, listing: Listing) -> None:
+        """Passes on a watcher's list and stops the watchers before it."""
+        for old in self.watchers[: self.watchers.index(watcher)]:
+            old.stop()  # its lists are older
+            self.watchers.remove(old)
+        self.answered.set()
+        self.on_listing(listing)
 
     def stop(self) -> None:
-        for agent in self.agents:
-            agent.stop()
+        """Stops all watching."""
+        for watcher in self.watchers:
+            watcher.stop()
--- a/embersill/roles.py
+++ b/embersill/roles.py
@@ -70,7 +70,7 @@
     """Until discovery has given a list of its own, or the remembered one must do."""
     try:
         async with asyncio.timeout(FIRST_LIST_WITHIN):
-            await discovery.heard.wait()
+            await discovery.answered.wait()
     except TimeoutError:
         pass
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -9,7 +9,7 @@
 import pytest
 
 from embersill.interface import Counted, Outcome
-from embersill.net.counter import IDLE_LIMIT, SILENT_AFTER, Counter
+from embersill.net.counter import IDLE_LIMIT_S, SILENT_TIMEOUTS, Counter
 from embersill.net.discovery import read_address
 from tests.bed import run
 from tests.peers import HOST, SOON, CounterPeer
@@ -58,7 +58,7 @@
             peer.free.clear()
             counter.add("c1.7", 40.0, 4.0)
             assert await told.next() == ("c1.7", Outcome.TIMED_OUT, 0.0)
-            counter.patience = 5.0
+            counter.call_timeout = 5.0
             counter.add("c1.7", 2.0, 4.0)
             peer.free.set()
             assert await told.next() == ("c1.7", Outcome.SERVED, 42.0)
@@ -73,11 +73,11 @@
             peer.free.clear()
             counter.add("c1.7", 1.0, 4.0)
             assert (await told.next())[1] is Outcome.TIMED_OUT
-            told.now += 1.1 * SILENT_AFTER * counter.patience
+            told.now += 1.1 * SILENT_TIMEOUTS * counter.call_timeout
             peer.free = asyncio.Event()  # the first connection stays silent
             peer.free.set()
-            counter.patience = 5.0
-            told.now += SILENT_AFTER * counter.patience
+            counter.call_timeout = 5.0
+            told.now += SILENT_TIMEOUTS * counter.call_timeout
             counter.add("c1.7", 2.0, 4.0)
             assert await told.next() == ("c1.7", Outcome.SERVED, 3.0)
             assert peer.connections == 2
@@ -133,12 +133,12 @@
 def test_a_call_given_up_while_its_line_came_up_is_never_written() -> None:
     async def test() -> None:
         async with calling() as (counter, told, peer):
-            counter.patience = 0.0
+            counter.call_timeout = 0.0
             counter.add("c1.7", 1.0, 4.0)
-            line = next(x for x in counter.lines if x is not None)
-            counter.out_of_patience(line.unwritten[0][0])
+            line = next(x for x in counter.connections if x is not None)
+            counter.time_out(line.unwritten[0][0])
             assert (await told.next())[1] is Outcome.NO_CONNECTION
-            counter.patience = 5.0
+            counter.call_timeout = 5.0
             counter.add("c1.7", 2.0, 4.0)
             assert (await told.next())[2] == 2.0
             assert peer.calls == [("c1.7", 2.0)]
@@ -152,7 +152,7 @@
         async with calling() as (counter, told, peer):
             counter.add("c1.7", 1.0, 4.0)
             await told.next()
-            told.now += IDLE_LIMIT + 0.1
+            told.now += IDLE_LIMIT_S + 0.1
             counter.add("c1.7", 1.0, 4.0)
             assert (await told.next())[2] == 2.0 and peer.connections == 2
 
@@ -240,7 +240,7 @@
             counter.add("c1.7", 1.0, 4.0)
             assert await told.next() == ("c1.7", Outcome.SERVED, 1.0)
             async with asyncio.timeout(SOON):
-                while not counter.one_by_one:
+                while not counter.unpipelined:
                     await asyncio.sleep(0.001)
             peer.say = [b"$1\r\n%d\r\n$1\r\n%d\r\n" % (n, n) for n in (3, 6, 9)]
             for name, amount in (("c1.8", 3.0), ("c1.9", 6.0), ("c1.10", 9.0)):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -125,7 +125,7 @@
         discovery.move(read_address(old.address))  # put back, as after a mistake
         await old.change(old.entry("a", "127.0.0.1:9"))
         assert (await told.get()).entries[0].backend.address == "a"
-        assert len(discovery.agents) == 1 and old.connections == 1
+        assert len(discovery.watchers) == 1 and old.connections == 1
         discovery.stop()
         await old.stop()
 
