--- a/embersill/net/counter.py
+++ b/embersill/net/counter.py
@@ -48,7 +48,7 @@
         self.write_waiting()
 
     def write_waiting(self) -> None:
-        """Writes calls that waited for the connection or for an earlier answer; abandoned ones are skipped."""
+        """Writes calls that waited for the connection or an earlier answer; skips abandoned ones."""
         waiting, self.unwritten = self.unwritten, []
         for number, (call, text) in enumerate(waiting):
             if self.written and self.counter.unpipelined:
