--- a/embersill/net/calls.py
+++ b/embersill/net/calls.py
@@ -37,14 +37,14 @@
     for part in text.split(b","):
         match = QUOTA.fullmatch(part)
         if match is None or match[1] in found:
-            raise BadRequest(400, "Quota-Info is malformed")
+            raise BadRequest(400, "Quota-Info is not in its form")
         found[match[1]] = float(match[2])
     try:
         units, width, first = found[b"units"], found[b"spread"], found[b"first"]
     except KeyError as error:
         raise BadRequest(400, "Quota-Info lacks units, spread or first") from error
     if width != int(width) or first != int(first):
-        raise BadRequest(400, "spread and first in Quota-Info must be whole numbers")
+        raise BadRequest(400, "Quota-Info has a part of a gateway")
     return units, int(width), int(first)
 
 
@@ -74,22 +74,22 @@
         klass = self.classes.get((headers.get(b"x-call-class") or b"").decode("latin-1"))
         if klass is None:
             self.required(headers, b"x-call-class")
-            raise BadRequest(400, "X-Call-Class is not a known class")
+            raise BadRequest(400, "X-Call-Class names no class")
         required_method = b"GET" if klass.repeats is Repeats.SAFE else b"POST"
         if method != required_method:
-            raise BadRequest(405, "the class requires another method", b"Allow: %b\r\n" % required_method)
+            raise BadRequest(405, "the class goes by another method", b"Allow: %b\r\n" % required_method)
         plan = (headers.get(b"plan") or b"").decode("latin-1")
         if plan not in self.plans:
             self.required(headers, b"plan")
-            raise BadRequest(400, "Plan is not a known plan")
+            raise BadRequest(400, "Plan names no plan")
         if (body or rest) and method == b"GET":
-            raise BadRequest(400, "a GET request must not have a body")
+            raise BadRequest(400, "a GET with a body")
         units, width, first = read_quota(headers.get(b"quota-info") or self.required(headers, b"quota-info"))
         if not (0 < units <= self.most_units and 1 <= width <= self.gateways and first < self.gateways):
             raise BadRequest(400, "Quota-Info is out of bounds")
         budget = float(self.required_match(headers, b"x-budget", BUDGET))
         if not 0 < budget <= BUDGET_TOLERANCE * klass.deadline:
-            raise BadRequest(400, "X-Budget is zero or exceeds the class's deadline")
+            raise BadRequest(400, "X-Budget is nought, or longer than the class's deadline")
         call_id = self.required_match(headers, b"x-call-id", CALL_ID)
         return Call(
             call_id,
@@ -127,7 +127,7 @@
         if repeats is Repeats.BY_KEY:
             head += b"Idempotency-Key: %b\r\n" % self.required_match(headers, b"idempotency-key", KEY)
         elif b"idempotency-key" in headers:
-            raise BadRequest(400, "Idempotency-Key is not allowed for this class")
+            raise BadRequest(400, "Idempotency-Key on a class that carries none")
         if method != b"GET":
             head += b"Content-Length: %d\r\n" % (size or len(body))
             if b"content-type" in headers:
@@ -147,12 +147,12 @@
         """The value of a mandatory header."""
         value = headers.get(name)
         if not value:
-            raise BadRequest(400, f"{name.decode().title()} is missing")
+            raise BadRequest(400, f"no {name.decode().title()}")
         return value
 
     def required_match(self, headers: dict[bytes, bytes], name: bytes, pattern: re.Pattern[bytes]) -> bytes:
         """The value of a mandatory header that must match the whole pattern."""
         value = headers.get(name) or self.required(headers, name)
         if not pattern.fullmatch(value):
-            raise BadRequest(400, f"{name.decode().title()} is malformed")
+            raise BadRequest(400, f"{name.decode().title()} is not in its form")
         return value
