--- a/embersill/admission.py
+++ b/embersill/admission.py
@@ -1,4 +1,4 @@
-"""Admission by the throttles: what goes on at once, what waits in the buffer, what is turned away. No I/O."""
+"""Admission by the throttles: whether a request is sent at once, held in a queue, or rejected. No I/O."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from embersill.turn import Turn
 from embersill.work import EPS, Job, AdmissionSink
 
-HOLD_SHARE = 0.4  # of the aim that a request may wait for credit: the rest must do for the backend
-ROOMY = 0.5  # of the limit on what is out, below which requests beyond a quota that pays for them go on
+HOLD_SHARE = 0.4  # of the aim, for which a request may wait for credit: the rest is for the backend
+SPARE_CAPACITY = 0.5  # of the in-flight limit, below which requests beyond a quota are sent if it pays
 
 
 class Admission:
-    """The throttles of all customers here. What they let go, or turn away, goes to `after`."""
+    """The throttles of all customers here. Requests that they admit or reject are passed to `after`."""
 
     hold_share = HOLD_SHARE
-    strict = False  # what can't be had within the wait bound is turned away as soon as that is known
+    strict = False  # rejects a held request as soon as its credit is known to come too late
 
     def __init__(self, turn: Turn, totals: Totals, after: AdmissionSink) -> None:
         self.turn, self.totals, self.after, self.born = turn, totals, after, turn.now
         self.throttles = totals.throttles
         self.sweep: deque[str] = deque()
-        self.processes = 1  # of this gateway, that keep its ceilings together
+        self.processes = 1  # processes of this gateway, which split its ceilings
         totals.release = self.release
 
     def admit(self, job: Job) -> None:
-        """Lets a request go on if there is credit, else holds it within its wait bound, or turns it away."""
+        """Admits a request if there is credit, else holds it as long as it may wait, or rejects it."""
         request, klass, throttle = job.request, job.klass, job.throttle
         plan, units = throttle.plan, request.units
         throttle.refill(self.turn.now)
@@ -48,7 +48,7 @@
             self.totals.report_later(job)
             return self.after.place(job)
         borrows = self.may_borrow(throttle)
-        # the buffer: as many units as the rate brings within the wait bound
+        # the queue holds as many units as the rate brings within the longest wait
         behind = throttle.wait(0.0 if throttle.queue else units)
         if throttle.plan.rate > 0:
             behind = max(behind, (min(units, throttle.bank) - throttle.level) / throttle.rate)
@@ -63,11 +63,11 @@
         self.turn.actions.append(SetTimer(max(bound, 1e-6), f"h{request.id}"))
 
     def may_borrow(self, throttle: Throttle) -> bool:
-        """True where others may have what a slice lacks: not here, where it is a quota's whole part."""
+        """Whether a reserve may lend what the slice lacks; never here: there is no reserve."""
         return False
 
     def borrow(self, throttle: Throttle) -> None:
-        """Asks for what the buffer here waits for."""
+        """Asks the reserve for the units that the queue waits for."""
 
     def drop_held(self, job: Job) -> None:
         throttle = job.throttle
@@ -77,20 +77,20 @@
         self.overflow(job, throttle.wait(job.request.units))
 
     def overflow(self, job: Job, wait: float) -> None:
-        """Refuses what the buffer does not hold, but where the plan pays for it beyond its quota.
+        """Rejects a request beyond its quota, unless the plan makes it worth more than it costs.
 
-        There it goes on uncharged while the fleet has room: it takes nothing that is meant for another.
+        Then it is sent, uncharged, while the fleet has spare capacity: it takes nothing from other customers.
         """
         plan = job.throttle.plan
         pays = plan.beyond_worth > plan.beyond_cost and plan.ceiling_rate <= 0
-        roomy = job.fleet.passed >= 1.0 and job.fleet.flight < ROOMY * job.fleet.limit
+        roomy = job.fleet.passed >= 1.0 and job.fleet.flight < SPARE_CAPACITY * job.fleet.limit
         if pays and roomy and not job.attempts and not job.ended:
             job.beyond = True
             return self.after.place(job)
         return self.after.answer(job, wait, True)
 
     def release(self, throttle: Throttle) -> None:
-        """Lets go what the credit covers, turns away what waited too long, and sets the next exact timer."""
+        """Admits held requests that the credit covers, rejects those held too long, sets the next timer."""
         throttle.refill(self.turn.now)
         while throttle.queue and not throttle.asking:
             job = throttle.queue[0]
@@ -109,16 +109,16 @@
                 return
 
     def join(self, customer: str, width: int, plan: Plan, first: int = -1) -> Throttle:
-        """A throttle for a customer; two others are looked at, so that idle full ones go without a scan."""
+        """Creates a customer's throttle; also checks two others, to evict idle ones without a full scan."""
         for _ in range(min(2, len(self.sweep))):
-            looked_at = self.sweep.popleft()
-            old, now = self.throttles[looked_at], self.turn.now
+            candidate = self.sweep.popleft()
+            old, now = self.throttles[candidate], self.turn.now
             if old.read_until < now and old.second < now // PERIOD and old.idle(now):
-                del self.throttles[looked_at]
+                del self.throttles[candidate]
             else:
-                self.sweep.append(looked_at)
+                self.sweep.append(candidate)
         most = self.turn.settings.most_units if self.turn.settings.counter else 0.0
-        # where it repays, sums tell of every customer, however wide its slice
+        # with `repays` every customer is counted by sums, however large its slice
         most = math.inf if self.totals.repays else most
         width = max(1, width or self.turn.settings.gateways)
         throttle = Throttle(customer, plan, width, self.turn.now, self.born, most, first)
@@ -130,7 +130,7 @@
         return throttle
 
     def allotted(self, event: Allotted) -> None:
-        """Takes over the part of a customer's quota and ceiling that whoever deals them out gives it."""
+        """Sets the part of a customer's quota and ceiling that the instance in charge allots to this one."""
         plan = self.turn.plans.get(event.plan)
         if plan is not None:
             throttle = self.throttles.get(event.customer) or self.join(event.customer, 1, plan)
@@ -138,11 +138,11 @@
             self.release(throttle)
 
     def question(self, event: Question) -> None:
-        """Grants another program's question from the throttles that requests use, whole or not at all.
+        """Grants all takes of another program's question, from the throttles that requests use, or none.
 
-        It is decided at once: nothing waits in the buffer for it, and it does not overtake what waits there.
+        It is decided at once: it never waits in a queue, and does not overtake the requests held there.
         """
-        wanted: dict[str, float] = {}  # a customer may stand in it twice
+        wanted: dict[str, float] = {}  # a customer may occur in it twice
         asked: list[tuple[Take, Throttle, bool]] = []
         for take in event.takes:
             throttle = self.throttles.get(take.customer) or self.join(take.customer, take.width, take.plan)
@@ -153,7 +153,7 @@
             if not throttle.thin:
                 self.totals.start_counting(throttle)
             before = wanted.get(take.customer, 0.0)
-            # no request takes more, nor may a question
+            # more than the largest request is never granted
             most = max(throttle.bank, self.turn.settings.most_units)
             free = take.units <= 0 or (not throttle.queue and take.units <= most)
             granted = take.settles or (free and throttle.wait(take.units, before) <= 0)
@@ -163,7 +163,7 @@
         whole = all(granted or take.shadow for take, _, granted in asked)
         for take, throttle, granted in asked if whole else ():
             if take.shadow and not granted:
-                continue  # it would have been refused: a shadow counts what it would have let through
+                continue  # it would have been refused: a shadow limit charges only what it would have granted
             throttle.level -= take.units if throttle.plan.rate > 0 else 0.0
             if not take.settles:
                 throttle.charge(take.units, self.turn.now).final = True
@@ -173,7 +173,7 @@
         self.turn.actions.append(Verdict(event.id, whole, states))
 
     def share_ceilings(self, event: Shared) -> None:
-        """Two processes have half of every ceiling each, until one is alone with it again."""
+        """Halves every ceiling while two processes of this gateway run, and restores it afterwards."""
         if (self.processes == 2) == event.on:
             return
         self.processes = 2 if event.on else 1
--- a/embersill/attempts.py
+++ b/embersill/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of requests that were admitted: where each goes, what its end means, the one final answer."""
+"""Attempts of admitted requests: the backend of each, what its outcome means, and the one final answer."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from embersill.turn import Turn
 from embersill.work import EPS, Attempt, Job, Server, dedup_group
 
-WORTH_WAITING = 0.5  # of the worth left after the aim for which an attempt is kept on until the deadline
+WORTH_WAITING = 0.5  # worth left after the aim, from which an attempt may run until the deadline
 
 
 class Attempts:
     def __init__(self, turn: Turn, totals: Totals, backends: Backends) -> None:
         self.turn, self.totals, self.backends = turn, totals, backends
-        self.admission: Admission  # it lets requests go on to here, and is told of their ends
+        self.admission: Admission  # admits requests to here, and is notified of their ends
         self.jobs: dict[int, Job] = {}
-        # attempts by when they are late, by class: each class's timer is set while there are any
+        # attempts by class, in the order in which they become late; a class's timer is set while it has any
         self.late: dict[str, deque[tuple[float, Attempt]]] = {c.name: deque() for c in turn.settings.classes}
         backends.may_send = self.may_send
 
     def place(self, job: Job) -> None:
-        """Finds a backend for a request that has its credit, or turns it away."""
+        """Sends an admitted request to a backend, or rejects it if there is none."""
         server = None if not job.attempts and job.fleet.must_shed(job) else job.fleet.choose(job)
         if server is None:
             self.give_up(job)
@@ -43,7 +43,7 @@
         self.answer(job, PERIOD)
 
     def may_send(self, job: Job, server: Server) -> bool:
-        """The rules for one more attempt, each checked here and nowhere else."""
+        """Checks all rules for one more attempt; they are checked nowhere else."""
         settings, first, plan = self.turn.settings, job.may_have_run, job.throttle.plan
         if job.ended or job.streaming or self.turn.now >= job.request.deadline:
             return False
@@ -67,13 +67,13 @@
         return job.charge is not None or plan.ceiling_rate <= 0 or job.request.units <= job.throttle.cap + EPS
 
     def send(self, job: Job, server: Server) -> None:
-        """The one place where an attempt starts."""
+        """Starts an attempt; nothing else does."""
         if not self.may_send(job, server):
             return self.give_up(job)
         if job.charge is None and job.throttle.plan.ceiling_rate > 0:
             job.charge = job.throttle.charge(job.request.units, self.turn.now)
         if not job.attempts:
-            fleet = job.fleet  # a part of a further attempt is earned
+            fleet = job.fleet  # each first attempt adds to the retry budget
             fleet.retry_credit = min(fleet.retry_credit + self.turn.settings.retry_share, fleet.most_credit)
         attempt = Attempt(server, job.fleet, self.turn.now, job.fleet.usual_for(job))
         self.count_out(job, attempt)
@@ -81,13 +81,13 @@
         send = Send(job.request.id, server.backend.address, self.useful_until(job) - self.turn.now)
         if job.may_have_run is None:
             job.may_have_run = attempt
-        elif job.klass.repeats is Repeats.BY_KEY:  # a dial may outlast what the key is remembered for
+        elif job.klass.repeats is Repeats.BY_KEY:  # connecting may outlast the memory of the key
             send.write_by = job.may_have_run.sent + job.klass.memory
         self.turn.actions.append(send)
         self.watch(job.klass, attempt, self.turn.now + max(self.turn.settings.late_at * job.klass.aim, EPS))
 
     def useful_until(self, job: Job) -> float:
-        # an attempt is given up once its answer is worth little, or a backlog of such work builds up
+        # an attempt is stopped once its answer is worth little, else a backlog of such work builds up
         end = job.arrived + job.klass.aim if job.klass.late_share < WORTH_WAITING else job.request.deadline
         return min(job.request.deadline, max(end, self.turn.now + self.turn.settings.late_at * job.klass.aim))
 
@@ -98,7 +98,7 @@
         job.out += 1
 
     def watch(self, klass: RequestClass, attempt: Attempt, due: float) -> None:
-        """Looks at an attempt when it is late. One timer a class, which skips the many that have ended."""
+        """Checks an attempt when it is due; one timer for each class skips the many that have ended."""
         watched = self.late[klass.name]
         if not watched:
             self.turn.actions.append(SetTimer(due - self.turn.now, "o" + klass.name))
@@ -114,7 +114,7 @@
             self.turn.actions.append(SetTimer(max(watched[0][0] - self.turn.now, EPS), "o" + klass))
 
     def attempt_late(self, attempt: Attempt) -> None:
-        attempt.overdue = True  # speaks at once, and no longer fills the limit that sound backends need
+        attempt.overdue = True  # counted at once, and no longer against the limit that sound backends need
         attempt.server.overdue += 1
         attempt.fleet.flight -= 1
         attempt.fleet.judge(True, attempt.server)
@@ -149,7 +149,7 @@
             self.admission.release(job.throttle)
 
     def passed_on(self, job: Job, charge: Charge, attempt: Attempt) -> None:
-        """A ceiling is taken from with the first attempt that comes to a backend, not with one before it."""
+        """Makes a ceiling charge final once an attempt reached a backend; undoes it if none has."""
         if not attempt.not_delivered:
             charge.final = True
         elif all(a.not_delivered for a in job.attempts):
@@ -170,9 +170,9 @@
     def after_failure(self, job: Job, outcome: Outcome) -> None:
         end = min(job.request.deadline, job.arrived + job.klass.aim)
         fleet = job.fleet
-        if fleet.budgeted:  # by a budget that all gateways share: what came to a backend counts
+        if fleet.budgeted:  # a budget that all gateways share: an attempt that reached a backend counts
             free = outcome.undelivered
-        else:  # one turned away cost no work: only in overload does another come dear
+        else:  # a rejected attempt cost no work: retrying it is expensive only under overload
             free = outcome.never_ran and self.turn.random.random() < fleet.passed
         useful = outcome is not Outcome.TIMED_OUT and end - self.turn.now > job.fleet.usual_for(job)
         if useful and (free or fleet.retry_credit >= 1.0):
@@ -182,7 +182,7 @@
             self.answer(job, PERIOD)
 
     def answer(self, job: Job, retry_after: float, over_quota: bool = False) -> None:
-        """The one place where the gateway ends a request; refuses only where a retry is proven harmless."""
+        """Ends a request; nothing else does. Refuses it only if a retry by the client is proven harmless."""
         if job.ended or job.streaming:
             return
         job.ended = True
@@ -198,7 +198,7 @@
             self.jobs.pop(job.request.id, None)
 
     def advice(self, job: Job, wait: float, over_quota: bool) -> float:
-        """Seconds after which a refused client is told to come again; nought where none are told."""
+        """Seconds until a refused client should try again; 0 where the settings allow no such advice."""
         longest = self.turn.settings.max_retry_after if self.turn.settings.retry_after else 0.0
         return min(max(wait, 0.0), longest)
 
@@ -217,20 +217,20 @@
                 self.jobs.pop(event.request, None)
 
     def stream_begun(self, event: StreamBegun) -> None:
-        """The answer is on its way to the client: nothing else ends the request, and it is late no more."""
+        """Notes that the answer is being streamed: nothing else ends the request now, nor is it late."""
         job = self.jobs.get(event.request)
         if job is None or job.streaming or not 0 <= event.attempt < len(job.attempts):
             return
         job.streaming = True
         attempt = job.attempts[event.attempt]
         if attempt.out and not attempt.begun:
-            attempt.begun = True  # its backend is free of it, as far as limits and costs are concerned
+            attempt.begun = True  # no longer counted in its backend's limit and cost
             attempt.server.flight -= 1
             attempt.server.overdue -= attempt.overdue
             job.fleet.flight -= not attempt.overdue
 
     def inherited(self, event: Inherited) -> None:
-        """Goes on with a request that another instance began: nothing is charged, no attempt forgotten."""
+        """Takes over a request of another instance, with its attempts; charges nothing again."""
         request = event.request
         klass, plan = self.turn.classes.get(request.klass), self.turn.plans.get(request.plan)
         if request.id in self.jobs:
@@ -243,7 +243,7 @@
             request, klass, throttle, self.backends.fleet(request.service), self.turn.now - event.age)
         last = Outcome.NOT_SENT
         for address, age, outcome in event.attempts:
-            # one that is gone shares its repeats' memory with no backend that is known
+            # a backend that is gone is in the dedup group of no known backend
             unknown = Backend(address, "\0", "", -1, Status.GONE, 1.0, None)
             server = self.backends.servers.get(address) or Server(unknown, 1.0, self.turn.now)
             attempt = Attempt(server, job.fleet, self.turn.now - age, job.fleet.usual_for(job))
@@ -257,5 +257,5 @@
                 attempt.not_delivered = outcome.undelivered
         job.may_have_run = next((a for a in job.attempts if not a.did_not_run), None)
         if any(not a.not_delivered for a in job.attempts):
-            job.charge = Charge(self.turn.now, request.units, True)  # taken from the ceiling where it began
+            job.charge = Charge(self.turn.now, request.units, True)  # charged to the ceiling by that instance
         return None if job.out else self.after_failure(job, last)
--- a/embersill/control.py
+++ b/embersill/control.py
@@ -1,4 +1,4 @@
-"""A gateway's decisions, put together. Its types, events and actions stand in embersill/interface.py."""
+"""A gateway's decision logic, assembled. Its events and actions are defined in embersill/interface.py."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class Gateway:
-    """Decides for one gateway, on its settings and the events that it is given, and on nothing else."""
+    """Decides for one gateway, from its settings, its seed and the events that it is given alone."""
 
     def __init__(self, settings: Settings, seed: int, now: float, repays: bool = False) -> None:
-        """`repays`: what was sent on beyond a quota unknown to the others is taken from it afterwards."""
+        """`repays`: use beyond a quota, unknown to the other gateways, is charged to it afterwards."""
         self.turn = Turn(settings, seed, now)
         self.throttles: dict[str, Throttle] = {}
         self.totals = Totals(self.turn, self.throttles, repays)
@@ -39,7 +39,7 @@
         }
 
     def parts(self) -> tuple[Backends, Attempts, Admission]:
-        """Those that a kind of gateway may have of its own."""
+        """Creates the parts that other kinds of gateway replace by their own."""
         backends = Backends(self.turn)
         attempts = Attempts(self.turn, self.totals, backends)
         return backends, attempts, Admission(self.turn, self.totals, attempts)
@@ -57,11 +57,11 @@
         return self.turn.classes
 
     def fleet(self, service: str) -> Fleet:
-        """What is known of a service's backends."""
+        """The fleet of a service."""
         return self.backends.fleet(service)
 
     def avoided(self) -> int:
-        """Listed backends that get nothing now."""
+        """The number of listed backends that get no requests now."""
         return self.backends.avoided()
 
     def handle(self, event: Event, now: float) -> list[Action]:
@@ -86,7 +86,7 @@
         return self.admission.admit(job)
 
     def ruled(self, event: Ruled) -> None:
-        """Places a request whose quota another service has granted, or refuses it by that service's word."""
+        """Sends a request whose quota another service has granted, or refuses it as that service decided."""
         request = event.request
         klass, plan = self.turn.classes.get(request.klass), self.turn.plans.get(request.plan)
         if request.id in self.attempts.jobs:
@@ -98,7 +98,7 @@
         throttle.refill(self.turn.now)
         self.attempts.jobs[request.id] = job = Job(
             request, klass, throttle, self.backends.fleet(request.service), self.turn.now)
-        job.beyond = True  # nothing is charged here, so nothing is given back or settled
+        job.beyond = True  # not charged here, so nothing is returned or settled
         return self.attempts.place(job) if event.allowed else self.attempts.answer(job, event.retry_after)
 
     def timer_due(self, event: TimerDue) -> None:
@@ -112,7 +112,7 @@
         if kind == "h":
             job = self.attempts.jobs.get(int(rest))
             if job is not None and job in job.throttle.queue:
-                # each held one has its own end, wherever it stands: its client may have less patience
+                # each held request has its own limit, wherever it is in the queue: its deadline may be nearer
                 job.throttle.refill(self.turn.now)
                 self.admission.drop_held(job)
                 self.admission.release(job.throttle)
