--- a/benchmarks/linked_gateways.py
+++ b/benchmarks/linked_gateways.py
@@ -90,7 +90,7 @@
     tasks = [asyncio.create_task(gateway.run()) for gateway in gateways]
     while not ended.is_set():
         await asyncio.sleep(REPORT_EVERY)
-        report = Report(sum(len(gateway.links.up) for gateway in gateways), dict(versions))
+        report = Report(sum(len(gateway.links.by_peer) for gateway in gateways), dict(versions))
         versions.clear()
         sys.stdout.write(msgspec.json.encode(report).decode() + "\n")
         sys.stdout.flush()
--- a/embersill/edge/command.py
+++ b/embersill/edge/command.py
@@ -25,7 +25,7 @@
 from embersill.edge.configuration.policy import AS_BUILT, differences, read_policy
 from embersill.edge.configuration.rollouts import MOST_SHARE
 from embersill.edge.configuration.stages import Site, steps_of
-from embersill.edge.storage.store import look_into
+from embersill.edge.storage.store import read_stored
 from embersill.net.discovery import read_address
 
 ANSWER_WITHIN = 3.0  # seconds for a gateway to say what it believes
@@ -97,7 +97,7 @@
             }
         )
 
-    return look_into(Path(path)).bind(told)
+    return read_stored(Path(path)).bind(told)
 
 
 def ask(address: str, method: str, path: str, body: Any = None) -> Found:
--- a/embersill/edge/consensus/founding.py
+++ b/embersill/edge/consensus/founding.py
@@ -133,7 +133,7 @@
 
     def founders(self) -> list[Hello]:
         """Core machines that are eligible as first members."""
-        return [hello for hello in self.peers.cores() if hello.epoch == 0]
+        return [hello for hello in self.peers.core_machines() if hello.epoch == 0]
 
     def first_roster(self) -> Roster | None:
         """The roster that this gateway would propose; None while it sees no core machine."""
@@ -184,13 +184,15 @@
         would take itself in the next epoch for one that has lost its promises, and could not vote before
         the others did.
         """
-        stores = {hello.name: hello.store for hello in self.peers.cores()}
+        stores = {hello.name: hello.store for hello in self.peers.core_machines()}
         return {name: Seat(seat.ip, stores.get(name, seat.store)) for name, seat in members.items()}
 
     def zones(self) -> dict[str, str]:
         """Known zones of the members, by name."""
-        roster, seen = self.agreement.roster, self.peers.seen
-        known = {name: seen[name].zone for name in (roster.members if roster else ()) if name in seen}
+        roster, known_peers = self.agreement.roster, self.peers.known_peers
+        known = {
+            name: known_peers[name].zone for name in (roster.members if roster else ()) if name in known_peers
+        }
         return {**known, self.me.name: self.me.zone}
 
     def shortfall(self) -> Shortfall | None:
@@ -202,7 +204,7 @@
         """Core machines without a seat that have the state in force; others could not vote at once."""
         return [
             Candidate(hello.name, hello.zone, Seat(hello.ip, hello.store))
-            for hello in self.peers.cores()
+            for hello in self.peers.core_machines()
             if hello.name not in roster.members and not hello.leaving and self.up_to_date(hello.name)
         ]
 
--- a/embersill/edge/discovery/registry.py
+++ b/embersill/edge/discovery/registry.py
@@ -171,7 +171,7 @@
         it does not hear may be heard by the others. Who has no majority of the core judges none of them, and
         silence counts for it only once it has one again.
         """
-        if self.peers.on_its_own:
+        if self.peers.lacks_majority:
             self.instances.excuse(now)
             return
         self.tell(self.instances.silent(now, MISSED * self.beat_every))
@@ -179,9 +179,9 @@
 
     def adopt(self, now: float) -> None:
         """Watches over what a lost keeper kept, so that a backend that ended with it is noticed."""
-        away = self.peers.away
+        unlinked_since = self.peers.unlinked_since
         orphans = self.instances.orphans([*self.peers.linked, self.me.name])
-        lost = [one for one in orphans if now - away.get(one.keeper, now) >= ADOPT_AFTER]
+        lost = [one for one in orphans if now - unlinked_since.get(one.keeper, now) >= ADOPT_AFTER]
         mine = [one for one in lost if not one.lost and self.peers.keeper(one.zone) == self.me.name]
         if mine:
             self.instances.adopt(mine, now)
--- a/embersill/edge/node.py
+++ b/embersill/edge/node.py
@@ -104,7 +104,7 @@
             self.peers.roster = self.agreement.roster
         self.backends = stored.backends
         if stored.gateways:
-            self.peers.remember(stored.gateways, now)
+            self.peers.expect_count(stored.gateways, now)
 
     def begin(self) -> None:
         """Once whoever drives this listens: backends that the disk remembers serve from the start.
@@ -145,8 +145,8 @@
         self.registry.linked(hello.name)
         self.loads.linked(hello.name)
         self.on_view(f"link peer={hello.name} up zone={hello.zone} core={hello.core}")
-        if self.peers.told >= 0:
-            mail.append((hello.name, {"kind": "present", "count": self.peers.told}))
+        if self.peers.announced_count >= 0:
+            mail.append((hello.name, {"kind": "present", "count": self.peers.announced_count}))
         self.demand.linked(hello)
         self.distribution.catch_up()
 
@@ -162,7 +162,7 @@
     def heard(self, peer: str, message: Message, now: float) -> None:
         """A message of a linked peer's; KeyError, TypeError, ValueError for one that is none."""
         self.now = self.agreement.now = max(self.now, now)
-        self.peers.hear(peer, self.now)
+        self.peers.touch(peer, self.now)
         kind = message["kind"]
         if kind in ANSWERS and message["life"] != self.me.boot:
             return  # an earlier life of this process had asked, under a number that may stand for another now
@@ -184,7 +184,7 @@
             "fetch": lambda peer, told: self.distribution.send_state(peer),
             "document": lambda peer, told: self.adopt(msgspec.convert(told["state"], State)),
             "present": self.peers.heard,
-            "leaving": lambda peer, told: self.peers.leaves(peer),
+            "leaving": lambda peer, told: self.peers.mark_leaving(peer),
             "news": lambda peer, told: self.registry.heard(peer, told, self.now),
             "known": lambda peer, told: self.registry.heard(peer, told, self.now),
             "out": lambda peer, told: self.loads.told(peer, counts(told["out"])),
--- a/embersill/edge/peers/links.py
+++ b/embersill/edge/peers/links.py
@@ -1,4 +1,4 @@
-"""Links between the system's own processes: JSON, a line a message, over connections that are held."""
+"""Persistent connections between gateways, carrying one JSON message per line."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 from embersill.edge.peers.peer_set import Hello
 
-MOST_LINE = 16 << 20  # bytes: a configuration of some 20,000 routes fits
-MOST_UNSENT = 32 << 20  # bytes that wait for a peer, after which it is given up
-BEAT_EVERY = 0.4  # seconds without a message after which one says that this end is there
-SILENT_FOR = 1.4  # seconds without a byte after which a link is taken to be broken
-DIAL_WITHIN = 0.8  # seconds
-DIAL_AGAIN = 0.25  # seconds after a dial that failed; more with each further one, up to
-DIAL_AGAIN_MOST = 1.0
+MAX_LINE_BYTES = 16 << 20  # a configuration of some 20,000 routes fits
+MAX_UNSENT_BYTES = 32 << 20  # waiting to be sent; a peer with more is disconnected
+HEARTBEAT_INTERVAL_S = 0.4  # without a sent message, after which a heartbeat is sent
+LINK_TIMEOUT_S = 1.4  # without a received byte, after which a link is closed
+CONNECT_TIMEOUT_S = 0.8
+REDIAL_MIN_S = 0.25  # after the first failed dial; doubled with each further one up to the maximum
+REDIAL_MAX_S = 1.0
 Message = dict[str, Any]
 
 log = logging.getLogger("embersill.edge")
@@ -27,23 +27,23 @@
 
 
 class Peers(Protocol):
-    """What hears of links and messages."""
+    """The receiver of link events and messages."""
 
     def hello(self) -> Hello:
-        """How this gateway presents itself now."""
+        """This gateway's current hello message."""
 
     def linked(self, hello: Hello, now: float) -> None:
-        """A link to a peer is up."""
+        """Called when a link to a peer is up."""
 
     def unlinked(self, name: str, now: float) -> None:
-        """The link to a peer is gone."""
+        """Called when the link to a peer is lost."""
 
     def heard(self, peer: str, message: Message, now: float) -> None:
-        """A message of a linked peer's; KeyError, TypeError, ValueError for one that is none."""
+        """Handles a linked peer's message; raises KeyError, TypeError or ValueError for an invalid one."""
 
 
 class Link(asyncio.Protocol):
-    """One connection to a peer, whichever end dialled."""
+    """One connection to a peer, dialled by either end."""
 
     def __init__(self, links: Links, dialled: bool) -> None:
         self.links, self.dialled = links, dialled
@@ -54,7 +54,7 @@
         self.heard_at = self.sent_at = links.clock()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Presents this gateway."""
+        """Sends this gateway's hello."""
         self.transport = cast(asyncio.Transport, transport)
         self.links.open.add(self)
         self.send(msgspec.to_builtins(self.links.peers.hello()))
@@ -64,20 +64,20 @@
         self.write(_encode(message) + b"\n")
 
     def write(self, line: bytes) -> None:
-        """Sends one line; drops a peer that does not read."""
+        """Sends one line; drops a peer that does not read its messages."""
         if self.transport is None:
             return
-        if self.transport.get_write_buffer_size() > MOST_UNSENT:
-            return self.drop("does not read")
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            return self.drop("peer does not read its messages")
         self.sent_at = self.links.clock()
         self.transport.write(line)
 
     def data_received(self, data: bytes) -> None:
-        """Takes the lines that are whole."""
+        """Splits the stream into lines and handles the complete ones."""
         self.heard_at = self.links.clock()
         self.size += len(data)
-        if self.size > MOST_LINE:
-            return self.drop("a line that is too long")
+        if self.size > MAX_LINE_BYTES:
+            return self.drop("message too long")
         *lines, rest = data.split(b"\n")
         if not lines:
             self.parts.append(data)
@@ -86,36 +86,36 @@
         self.parts, self.size = [rest], len(rest)
         for line in lines:
             if line and self.transport is not None:
-                self.line_came(line)
+                self.on_line(line)
         self.links.flush()
 
-    def line_came(self, line: bytes) -> None:
-        """The first line presents the peer, the others are its messages."""
+    def on_line(self, line: bytes) -> None:
+        """Handles one line: the first is the peer's hello, the others are messages."""
         try:
             message = _decode(line)
             if self.hello is None:
                 self.hello = msgspec.convert(message, Hello)
-                return self.links.came(self)
-            if self.links.up.get(self.hello.name) is self:
+                return self.links.on_hello(self)
+            if self.links.by_peer.get(self.hello.name) is self:
                 self.links.peers.heard(self.hello.name, message, self.links.clock())
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError, AttributeError) as error:
-            self.drop(f"a message that is none: {type(error).__name__}: {error}")
+            self.drop(f"invalid message: {type(error).__name__}: {error}")
 
-    def drop(self, why: str) -> None:
-        """Ends this connection; `why` goes to the log."""
+    def drop(self, reason: str) -> None:
+        """Closes this connection and logs the reason unless it is empty."""
         if self.transport is not None:
-            if why:
-                log.info("link peer=%s %s", self.hello.name if self.hello else "?", why)
+            if reason:
+                log.info("link peer=%s %s", self.hello.name if self.hello else "?", reason)
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Reports the closed connection."""
         self.transport = None
-        self.links.gone(self)
+        self.links.on_closed(self)
 
 
 class Links:
-    """All links of this process. One to each peer counts: of two, that of the lower name's dialling."""
+    """All links of this process. One per peer counts: of two, the one dialled by the lower name."""
 
     def __init__(
         self, peers: Peers, clock: Callable[[], float], ip: str, port: int, targets: Callable[[], list[str]]
@@ -123,9 +123,11 @@
         self.peers, self.clock, self.ip, self.port, self.targets = peers, clock, ip, port, targets
         self.loop = asyncio.get_running_loop()
         self.open: set[Link] = set()
-        self.up: dict[str, Link] = {}
+        self.by_peer: dict[str, Link] = {}
         self.dialling: dict[str, asyncio.Task[None]] = {}
-        self.next_dial: dict[str, tuple[float, float]] = {}  # by IP: when, and the pause after it
+        self.next_dial: dict[
+            str, tuple[float, float]
+        ] = {}  # by IP address: time of the next dial, and the delay after it
         self.server: asyncio.Server | None = None
         self.flush: Callable[[], None] = lambda: None
         self.closed = False
@@ -136,11 +138,11 @@
             lambda: Link(self, False), self.ip, self.port, backlog=512
         )
 
-    def came(self, link: Link) -> None:
-        """A peer has said who it is."""
+    def on_hello(self, link: Link) -> None:
+        """Registers a peer's link after its hello; closes a duplicate."""
         assert link.hello is not None
         name, me = link.hello.name, self.peers.hello().name
-        before = self.up.get(name)
+        before = self.by_peer.get(name)
         if name == me:
             return link.drop("")
         if before is not None and before is not link and before.hello is not None:
@@ -148,27 +150,27 @@
             same_life = before.hello.boot == link.hello.boot
             if same_life and before.dialled == lower and link.dialled != lower:
                 return link.drop("")
-            self.up.pop(name)
+            self.by_peer.pop(name)
             self.peers.unlinked(name, self.clock())
             before.drop("")
-        self.up[name] = link
+        self.by_peer[name] = link
         self.peers.linked(link.hello, self.clock())
         self.flush()
 
-    def gone(self, link: Link) -> None:
-        """A connection is over, and with it the link if it was the one that counts."""
+    def on_closed(self, link: Link) -> None:
+        """Removes a closed connection, and the peer's link if it was that connection."""
         self.open.discard(link)
-        if link.hello is not None and self.up.get(link.hello.name) is link:
-            del self.up[link.hello.name]
+        if link.hello is not None and self.by_peer.get(link.hello.name) is link:
+            del self.by_peer[link.hello.name]
             self.peers.unlinked(link.hello.name, self.clock())
             if not self.closed:
                 self.flush()
 
     def post(self, mail: list[tuple[str, Message]]) -> None:
-        """Sends messages; those to a peer that is not linked are not: it will be told when it is."""
-        encoded: dict[int, bytes] = {}  # one message may go to many
+        """Sends messages; those to unlinked peers are dropped, since a new link brings a peer up to date."""
+        encoded: dict[int, bytes] = {}  # encodes a message to many peers once
         for name, message in mail:
-            link = self.up.get(name)
+            link = self.by_peer.get(name)
             if link is not None:
                 line = encoded.get(id(message))
                 if line is None:
@@ -176,23 +178,23 @@
                 link.write(line)
 
     def tick(self) -> None:
-        """Says that this end is there, gives up silent links, and dials."""
+        """Sends heartbeats, closes silent links, and dials missing peers."""
         now = self.clock()
         for link in list(self.open):
-            if now - link.heard_at > SILENT_FOR:
-                link.drop("silent")
-            elif now - link.sent_at > BEAT_EVERY and link.hello is not None:
+            if now - link.heard_at > LINK_TIMEOUT_S:
+                link.drop("heartbeat time-out")
+            elif now - link.sent_at > HEARTBEAT_INTERVAL_S and link.hello is not None:
                 link.send({"kind": "here"})
         for ip in self.targets():
-            when, pause = self.next_dial.get(ip, (0.0, DIAL_AGAIN))
-            if ip not in self.dialling and now >= when:
-                self.next_dial[ip] = now + pause, min(2 * pause, DIAL_AGAIN_MOST)
+            dial_at, delay = self.next_dial.get(ip, (0.0, REDIAL_MIN_S))
+            if ip not in self.dialling and now >= dial_at:
+                self.next_dial[ip] = now + delay, min(2 * delay, REDIAL_MAX_S)
                 self.dialling[ip] = self.loop.create_task(self.dial(ip))
 
     async def dial(self, ip: str) -> None:
-        """Tries to connect to a peer."""
+        """Tries to connect to a peer at an address."""
         try:
-            async with asyncio.timeout(DIAL_WITHIN):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, link = await self.loop.create_connection(lambda: Link(self, True), ip, self.port)
             sock = link.transport.get_extra_info("socket") if link.transport is not None else None
             if sock is not None:
@@ -204,7 +206,7 @@
             self.dialling.pop(ip, None)
 
     def close(self) -> None:
-        """Ends all links."""
+        """Stops listening and closes all links."""
         self.closed = True
         if self.server is not None:
             self.server.close()
--- a/embersill/edge/peers/peer_set.py
+++ b/embersill/edge/peers/peer_set.py
@@ -1,7 +1,7 @@
-"""Who is there: the gateways that are linked, those that others told of, and where to dial next. No I/O.
+"""Tracks the linked gateways, the number of gateways that core members report, and whom to dial. No I/O.
 
-Every gateway holds a link to each of the core, whose members watch it: a link that brings nothing for a while
-is over, on both ends. They tell everyone how many they see.
+Every gateway keeps a link to each core member, and the members watch it: both ends close a link that brings
+nothing for a while. The members tell every gateway how many gateways they see.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 from embersill.edge.records import Effects, Roster
 
-DROP_AFTER = 60.0  # seconds after which a gateway that nobody sees is no more counted on
-LINKED_WITHIN = 4.0  # seconds after a start in which gateways that were there link again
-UNHEARD = 0.65  # seconds without a word over a link from which its other end may be on its own
-SILENT_AFTER = 1.0  # seconds after the last word of one that is not linked: its last slice counts till then
+FORGET_AFTER_S = 60.0  # after which an unlinked gateway is no longer counted
+RELINK_GRACE_S = 4.0  # after a restart, within which the earlier gateways link again
+LINK_SILENT_AFTER_S = 0.65  # without a message over a link, after which its other end may be cut off
+UNLINKED_SILENT_AFTER_S = 1.0  # after an unlinked gateway's last message; until then its quota slice counts
 Message = dict[str, Any]
 
 
@@ -26,73 +26,76 @@
     name: str
     ip: str
     zone: str
-    control: str  # where it takes calls
-    core: bool  # it has a disk, and counts
+    control: str  # address of its control interface
+    core: bool  # it has a disk and may become a member
     store: str  # its disk's nonce
-    boot: str  # this life of its process
+    boot: str  # identifies this run of its process
     epoch: int = 0
     version: int = 0
     orders: int = 0  # the number of the orders beside the configuration
     elector: bool = False  # a seed that votes on the members of the first epoch
-    leaving: bool = False  # it was told to stop: another is to take its seat, if there is one
+    leaving: bool = False  # it is shutting down: another gateway should take its seat, if there is one
 
 
 class PeerSet:
-    """The gateways that are linked here, and those that were."""
+    """The gateways that are linked here, and those that were recently."""
 
     def __init__(self, me: Hello, seeds: Iterable[str], effects: Effects, now: float) -> None:
-        """`seeds`: IP numbers."""
+        """`seeds`: IP addresses."""
         self.all_seeds = list(seeds)
         self.me, self.seeds, self.effects = me, [ip for ip in self.all_seeds if ip != me.ip], effects
         self.linked: dict[str, Hello] = {}
-        self.seen: dict[str, Hello] = {}  # all that were ever linked here, and not for too long away
-        self.away: dict[str, float] = {}  # of these, since when nothing came from them
-        self.heard_at: dict[str, float] = {}  # of those that are linked, when something came last
-        self.others: dict[str, int] = {}  # by core member: how many gateways it counts
-        self.told = -1
+        self.known_peers: dict[str, Hello] = {}  # all that were linked here, until FORGET_AFTER_S
+        self.unlinked_since: dict[str, float] = {}  # time of the last message of each unlinked one
+        self.heard_at: dict[str, float] = {}  # time of the last message of each linked one
+        self.counts_by_member: dict[str, int] = {}  # how many gateways each core member counts
+        self.announced_count = -1
         self.roster: Roster | None = None
-        self.floor, self.floor_until = 0, now  # gateways there were before a restart: they will link again
+        self.min_count, self.min_count_until = (
+            0,
+            now,
+        )  # from before a restart: those gateways will link again
         self.count = 1
 
     def link(self, hello: Hello, now: float) -> None:
-        """A gateway is linked."""
-        self.linked[hello.name] = self.seen[hello.name] = hello
+        """Records a new link."""
+        self.linked[hello.name] = self.known_peers[hello.name] = hello
         self.heard_at[hello.name] = now
-        self.away.pop(hello.name, None)
+        self.unlinked_since.pop(hello.name, None)
 
     def unlink(self, name: str, now: float) -> None:
-        """A gateway is not linked any more."""
+        """Records a lost link."""
         if self.linked.pop(name, None) is not None:
-            self.away[name] = self.heard_at.pop(name)
-            self.others.pop(name, None)
+            self.unlinked_since[name] = self.heard_at.pop(name)
+            self.counts_by_member.pop(name, None)
 
     @property
     def core(self) -> list[str]:
-        """Linked members of the core, and this one if it is one."""
+        """Linked core members, including this gateway if it is one."""
         members = self.roster.members if self.roster is not None else {}
         return [name for name in members if name in self.linked or name == self.me.name]
 
     @property
-    def on_its_own(self) -> bool:
-        """True where no more than half of the members are linked, this one among them; also without any."""
+    def lacks_majority(self) -> bool:
+        """True if at most half of the members, this one included, are linked; also without members."""
         members = self.roster.members if self.roster is not None else {}
         return 2 * len(self.core) <= len(members)
 
     def targets(self) -> list[str]:
-        """IP numbers to hold links to, as far as there is none: the core's members, and the seeds."""
-        there = {hello.ip for hello in self.linked.values()}
+        """IP addresses to dial: unlinked core members and, if members are missing, the seeds."""
+        linked_ips = {hello.ip for hello in self.linked.values()}
         members = self.roster.members if self.roster is not None else {}
         wanted = [seat.ip for seat in members.values()]
         if not members or len(self.core) < len(members):
             wanted += self.seeds
-        return [ip for ip in dict.fromkeys(wanted) if ip != self.me.ip and ip not in there]
+        return [ip for ip in dict.fromkeys(wanted) if ip != self.me.ip and ip not in linked_ips]
 
-    def cores(self) -> list[Hello]:
-        """Core machines that are linked, on the roster or not, and this one."""
+    def core_machines(self) -> list[Hello]:
+        """Linked core machines, on the roster or not, including this gateway."""
         return [hello for hello in (self.me, *self.linked.values()) if hello.core]
 
     def keeper(self, zone: str) -> str:
-        """The member that keeps a zone's backends: of that zone if one is linked; empty if there is none."""
+        """The member that tracks a zone's backends, in that zone if possible; empty if none is linked."""
         core = self.core
         zones = {name: (self.me if name == self.me.name else self.linked[name]).zone for name in core}
         near = sorted(name for name in core if zones[name] == zone)
@@ -101,49 +104,53 @@
         return self.me.name if self.me.name in core else (sorted(core)[0] if core else "")
 
     def leaving(self, name: str) -> bool:
-        """True for a linked gateway that was told to stop."""
+        """True for a linked gateway that is shutting down."""
         return name in self.linked and self.linked[name].leaving
 
-    def leaves(self, name: str) -> None:
-        """A linked gateway has been told to stop."""
+    def mark_leaving(self, name: str) -> None:
+        """Records that a linked gateway is shutting down."""
         if name in self.linked:
             self.linked[name] = msgspec.structs.replace(self.linked[name], leaving=True)
 
     def distance(self, peer: str) -> tuple[bool, str]:
-        """Orders linked peers: those of one's own zone go first."""
+        """A sort key for linked peers that puts those of this zone first."""
         return self.linked[peer].zone != self.me.zone, peer
 
-    def hear(self, name: str, now: float) -> None:
-        """Something came over the link."""
+    def touch(self, name: str, now: float) -> None:
+        """Records that a message arrived over the link."""
         self.heard_at[name] = now
 
     def silent(self, now: float) -> list[str]:
-        """Gateways that may serve on their own: not linked for a while, or linked and silent."""
-        gone = [name for name, since in self.away.items() if SILENT_AFTER < now - since <= DROP_AFTER]
-        return gone + [name for name, at in self.heard_at.items() if now - at > UNHEARD]
+        """Gateways that may be serving while cut off: unlinked for a while, or linked and silent."""
+        absent = [
+            name
+            for name, since in self.unlinked_since.items()
+            if UNLINKED_SILENT_AFTER_S < now - since <= FORGET_AFTER_S
+        ]
+        return absent + [name for name, at in self.heard_at.items() if now - at > LINK_SILENT_AFTER_S]
 
     def tick(self, now: float) -> None:
-        """Forgets who was away for long, and counts those that are there."""
-        for name, since in list(self.away.items()):
-            if now - since > DROP_AFTER:
-                del self.away[name], self.seen[name]
+        """Forgets gateways that were unlinked for long, and updates and announces the count."""
+        for name, since in list(self.unlinked_since.items()):
+            if now - since > FORGET_AFTER_S:
+                del self.unlinked_since[name], self.known_peers[name]
         if self.roster is not None and self.me.name in self.roster.members:
-            if self.on_its_own:
-                # it would take itself for all there are, and each quota for its own
-                self.floor_until = now + LINKED_WITHIN
-            self.count = max(len(self.seen) + 1, self.floor if now < self.floor_until else 0)
-            if self.count != self.told:
-                self.told = self.count
+            if self.lacks_majority:
+                # otherwise it would count only itself and use each quota in full
+                self.min_count_until = now + RELINK_GRACE_S
+            self.count = max(len(self.known_peers) + 1, self.min_count if now < self.min_count_until else 0)
+            if self.count != self.announced_count:
+                self.announced_count = self.count
                 for name in self.linked:
                     self.effects.mail.append((name, {"kind": "present", "count": self.count}))
-        elif self.others:
-            self.count = max(self.others.values())
+        elif self.counts_by_member:
+            self.count = max(self.counts_by_member.values())
 
-    def remember(self, count: int, now: float) -> None:
-        """So many there were before this process started: none is thought away until they had their time."""
-        self.floor, self.floor_until = count, now + LINKED_WITHIN
+    def expect_count(self, count: int, now: float) -> None:
+        """Counts at least as many gateways as before the restart, until they have had time to link."""
+        self.min_count, self.min_count_until = count, now + RELINK_GRACE_S
 
     def heard(self, peer: str, message: Message) -> None:
-        """A member of the core tells how many gateways it counts."""
+        """Handles a core member's count of gateways."""
         if self.roster is not None and peer in self.roster.members:
-            self.others[peer] = max(int(message["count"]), 1)
+            self.counts_by_member[peer] = max(int(message["count"]), 1)
--- a/embersill/edge/peers/ring.py
+++ b/embersill/edge/peers/ring.py
@@ -1,4 +1,4 @@
-"""Places on a ring: who of several is responsible for a name, in an order that is the same everywhere."""
+"""Rendezvous hashing: an order of members per name that is the same on every gateway."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def rendezvous_order(name: str, members: Iterable[str]) -> list[str]:
-    """The members from the one that the name falls to on, each with its own order for each name.
+    """The members in the order in which they are responsible for a name; each name has an order of its own.
 
-    Highest random weight (Thaler and Ravishankar 1998): who leaves changes nothing for the others' names.
+    Highest random weight (Thaler and Ravishankar 1998): a leaving member does not move the names of others.
     """
 
     def weight(member: str) -> tuple[int, str]:
--- a/embersill/edge/storage/__init__.py
+++ b/embersill/edge/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway keeps on disk."""
+"""Persistent storage of a gateway's own state."""
--- a/embersill/edge/storage/store.py
+++ b/embersill/edge/storage/store.py
@@ -1,11 +1,12 @@
-"""A gateway's own state on disk: a few named values in an lmdb folder, written one by one by a thread.
+"""A gateway's own state on disk: a few named values in an lmdb folder, written by a background thread.
 
-Each value carries a checksum. lmdb writes a page anew and syncs it before the page that names it, so that a
-loss of power leaves the value before or the one after (SIGMOD has it as shadow paging; Chu 2011, "MDB").
+Each value carries a checksum. lmdb copies a page on write and syncs it before the page that refers to it, so
+that a power loss leaves either the old value or the new one (called shadow paging at SIGMOD; Chu 2011,
+"MDB").
 
-Where the page that names the others could not be written, as on a disk that filled up in between, lmdb
-refuses all later writes of that environment. It is opened anew then: else this member would keep nothing
-until its process ends, with the disk long well again.
+If the meta page could not be written, as on a disk that filled up in between, lmdb refuses all later writes
+of that environment. The environment is then reopened: otherwise this member would store nothing until its
+process ends, even long after the disk has recovered.
 """
 
 from __future__ import annotations
@@ -27,26 +28,26 @@
 from embersill.edge.configuration.document import State
 
 FORMAT = b"embersill-1"
-MOST_PART = 0.75  # of the disk that the map may take
-LEAST_MAP = 4 << 20
-MOST_MAP = 1 << 30
-MOST_WAITING = 1000  # saves
+MAX_DISK_SHARE = 0.75  # share of the disk that the map may take
+MIN_MAP_BYTES = 4 << 20
+MAX_MAP_BYTES = 1 << 30
+MAX_WAITING_SAVES = 1000  # saves in the queue
 
 log = logging.getLogger("embersill.edge")
 
 
 def framed(data: bytes) -> bytes:
-    """A value as it is kept, behind its checksum."""
+    """The value as stored, prefixed with its checksum."""
     return zlib.crc32(data).to_bytes(4, "big") + data
 
 
 def unframed(data: bytes) -> bytes | None:
-    """What was kept; None if it does not agree with its checksum."""
+    """The value without its checksum; None if the checksum does not match."""
     return data[4:] if len(data) >= 4 and zlib.crc32(data[4:]).to_bytes(4, "big") == data[:4] else None
 
 
 def read_values(environment: lmdb.Environment, folder: Path) -> Result[dict[str, bytes], str]:
-    """All values of a folder by name, none if it is empty, or what is wrong with it."""
+    """All values of a folder by name (none if it is empty), or an error message."""
     found: dict[str, bytes] = {}
     try:
         with environment.begin() as transaction:
@@ -63,7 +64,7 @@
 
 
 def stored_of(found: Mapping[str, bytes], folder: Path) -> Result[Stored, str]:
-    """What values mean, or which of them means nothing."""
+    """Decodes the stored values, or returns an error message."""
     begun, kept = found.get("begun"), found.get("remembered")
     try:
         return Ok(
@@ -78,11 +79,11 @@
             )
         )
     except (msgspec.MsgspecError, KeyError, ValueError) as error:
-        return Error(f"{folder}: a value that is none: {error}")
+        return Error(f"{folder}: invalid value: {error}")
 
 
-def look_into(folder: Path) -> Result[Stored, str]:
-    """What a gateway that is stopped would start with; nothing is written. An empty folder is an error."""
+def read_stored(folder: Path) -> Result[Stored, str]:
+    """Reads a stopped gateway's state without writing anything. An empty folder is an error."""
     place = folder / "state"
     if not (place / "data.mdb").is_file():
         return Error(f"{folder}: no state is kept there")
@@ -98,28 +99,28 @@
 
 
 class Store:
-    """One folder. Reads at the start; later saves come one by one, each answered once it is on disk."""
+    """One folder: read at startup, then written one save at a time; each save is reported once on disk."""
 
     def __init__(self, folder: Path, disk_mb: float) -> None:
-        """`disk_mb`: the size of the whole disk. lmdb.Error, OSError where it can't be opened."""
+        """`disk_mb`: the size of the whole disk. Raises lmdb.Error or OSError if it can't be opened."""
         self.folder = folder
-        self.map_size = int(min(max(disk_mb * MOST_PART * (1 << 20), LEAST_MAP), MOST_MAP))
+        self.map_size = int(min(max(disk_mb * MAX_DISK_SHARE * (1 << 20), MIN_MAP_BYTES), MAX_MAP_BYTES))
         folder.mkdir(parents=True, exist_ok=True)
         self.environment = self.open(create=True)
-        self.unusable = False  # the environment refuses all writes, whatever the disk does
-        self.waiting: queue.Queue[Save | None] = queue.Queue(MOST_WAITING)
+        self.unusable = False  # lmdb refuses all further writes in this environment
+        self.waiting: queue.Queue[Save | None] = queue.Queue(MAX_WAITING_SAVES)
         self.loop: asyncio.AbstractEventLoop | None = None
         self.thread: threading.Thread | None = None
-        self.done: Callable[[Save, bool], None] = lambda save, good: save.then(good)
+        self.done: Callable[[Save, bool], None] = lambda save, ok: save.then(ok)
         self.failing = False
 
     def open(self, create: bool) -> lmdb.Environment:
-        """The folder's environment, opened; `create`: made where there is none."""
+        """Opens the folder's environment; `create`: creates it if it does not exist."""
         place = str(self.folder / "state")
         return lmdb.open(place, map_size=self.map_size, lock=False, max_dbs=0, create=create)
 
     def write(self, values: dict[str, bytes]) -> None:
-        """All of them or none; on disk once it returns. lmdb.Error, OSError where the disk refuses."""
+        """Writes the values atomically and durably; raises lmdb.Error or OSError if the write fails."""
         if self.unusable:
             self.reopen()
         try:
@@ -129,22 +130,22 @@
             self.put(values)
 
     def put(self, values: dict[str, bytes]) -> None:
-        """One transaction with these values."""
+        """Writes the values in one transaction."""
         with self.environment.begin(write=True) as transaction:
             for name, value in values.items():
                 transaction.put(name.encode(), framed(value))
 
     def reopen(self) -> None:
-        """Opens the environment anew after a write that lmdb can't go on from."""
+        """Reopens the environment after a failed write from which lmdb can't recover."""
         self.unusable = True
         self.environment.close()
         self.environment = self.open(create=False)
         self.unusable = False
 
     def begin(self, fresh: Callable[[], str], vote: Vote | None = None) -> Result[Stored, str]:
-        """What the disk remembers; an empty one is named, with a nonce, before anything rests on it.
+        """Reads the disk; an empty one first gets a nonce, `fresh()`, before anything depends on it.
 
-        `vote`: written with the name, where this is a seed at the very first start of the system.
+        `vote`: written with the nonce, for a seed at the very first start of the system.
         """
         read = read_values(self.environment, self.folder)
         if read.is_error() or read.ok:
@@ -159,37 +160,37 @@
         return stored_of(found, self.folder)
 
     def start(self, done: Callable[[Save, bool], None]) -> None:
-        """From now on saves may be asked for; `done` hears of each in the loop's own thread."""
+        """Starts the writer thread; `done` is called for each save in the event loop's thread."""
         self.loop, self.done = asyncio.get_running_loop(), done
         self.thread = threading.Thread(target=self.run, name="store", daemon=True)
         self.thread.start()
 
     def save(self, save: Save) -> None:
-        """Has it written after those that wait; it has failed at once where too many do."""
+        """Queues a save; reports it as failed at once if the queue is full."""
         try:
             self.waiting.put_nowait(save)
         except queue.Full:
             self.done(save, False)
 
     def run(self) -> None:
-        """The thread that writes, until it is told to end."""
+        """Body of the writer thread; ends at a None in the queue."""
         while (save := self.waiting.get()) is not None:
-            good, why = True, ""
+            ok, error_text = True, ""
             try:
                 self.write({save.name: save.data, **save.also})
             except (lmdb.Error, OSError) as error:
-                good, why = False, str(error)
-            if good == self.failing:
-                self.failing = not good
-                log.warning("disk %s", f"refuses to write: {why}" if self.failing else "writes again")
+                ok, error_text = False, str(error)
+            if ok == self.failing:
+                self.failing = not ok
+                log.warning("disk %s", f"refuses to write: {error_text}" if self.failing else "writes again")
             assert self.loop is not None
             try:
-                self.loop.call_soon_threadsafe(self.done, save, good)
+                self.loop.call_soon_threadsafe(self.done, save, ok)
             except RuntimeError:
-                return  # the loop is closed: nobody waits any more
+                return  # the event loop is closed: nobody waits for the result
 
     def close(self) -> None:
-        """Ends the thread without waiting for a disk that hangs."""
+        """Ends the writer thread without waiting for a hanging disk."""
         try:
             self.waiting.put_nowait(None)
         except queue.Full:
--- a/embersill/lab/edge/fleet.py
+++ b/embersill/lab/edge/fleet.py
@@ -255,7 +255,7 @@
                 if self.hears(machine.name, name):
                     machine.up[name] = now
                     if machine.node is not None:
-                        machine.node.peers.hear(name, now)
+                        machine.node.peers.touch(name, now)
                 elif now - heard > SILENT:
                     self.unlink(machine, self.by_name[name])
             for ip in machine.node.peers.targets() if machine.node is not None else ():
--- a/embersill/lab/edge/news.py
+++ b/embersill/lab/edge/news.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from embersill.edge.peers.links import BEAT_EVERY
+from embersill.edge.peers.links import HEARTBEAT_INTERVAL_S
 from embersill.lab.edge.fleet import Machine
 from embersill.lab.edge.town import Gateway, Town, with_tenants
 
@@ -177,7 +177,7 @@
             for kind in sorted({kind for kind, _ in town.told})
         },
         "messages_a_gateway_and_s": round(sum(town.messages.values()) / unit, 2),
-        "heartbeats_at_most": round(links / shape.gateways * HEARTBEAT / BEAT_EVERY, 1),
+        "heartbeats_at_most": round(links / shape.gateways * HEARTBEAT / HEARTBEAT_INTERVAL_S, 1),
         "busiest_out_bytes_a_s": round(max(town.out_of.values()) / seconds),
         "busiest_in_bytes_a_s": round(max(town.into.values()) / seconds),
         "least_of_core_out_bytes_a_s": round(min(town.out_of[m.name] for m in core) / seconds),
--- a/tests/edge/test_store.py
+++ b/tests/edge/test_store.py
@@ -79,8 +79,8 @@
 
 def test_what_is_whole_and_means_nothing_is_named_too(tmp_path: Path, capsys: Output) -> None:
     for value, data, why in (
-        ("begun", b"{}", "a value that is none"),
-        ("gateways", b"many", "none"),
+        ("begun", b"{}", "invalid value"),
+        ("gateways", b"many", "invalid value"),
         ("backends", b"\xc1", "list of backends"),
         ("format", b"embersill-9", "another format"),
     ):
