--- a/embersill/edge/dataplane/dialect.py
+++ b/embersill/edge/dataplane/dialect.py
@@ -49,7 +49,7 @@
         elif name == b"x-attempt-id":
             connection.answers_to = value.strip()
         elif name == b"keep-alive":
-            connection.idles = read_keep_alive(value)
+            connection.idle_limit_s = read_keep_alive(value)
         elif name == b"x-backend-seal":
             connection.units = 1.0
         if name not in HOP_BY_HOP_HEADERS:
@@ -64,8 +64,8 @@
         status, load = connection.status, connection.load
         if connection.answers_to != attempt.id and (connection.answers_to or status < 300):
             return Answer(Outcome.BROKEN)  # it answers another request
-        if connection.idles:
-            connection.pool.keeps(connection.idles)
+        if connection.idle_limit_s:
+            connection.pool.set_idle_limit(connection.idle_limit_s)
         if connection.rejected or status == MISDIRECTED_STATUS:
             if status == MISDIRECTED_STATUS:
                 self.misdirected(attempt.backend)
--- a/embersill/edge/dataplane/metrics.py
+++ b/embersill/edge/dataplane/metrics.py
@@ -31,7 +31,7 @@
             "requests_unanswered": driver.unanswered,
             "requests_pending": len(driver.pending),
             "requests_held": sum(len(t.queue) for t in self.gateway.throttles.values()),
-            "attempts_out": sum(pending.out for pending in driver.pending.values()),
+            "attempts_out": sum(pending.open_attempts for pending in driver.pending.values()),
             "attempts_counted_out": sum(server.flight for server in self.gateway.servers.values()),
             "loop_delay_max_seconds": round(delay, 4),
         }
--- a/embersill/edge/program.py
+++ b/embersill/edge/program.py
@@ -95,11 +95,11 @@
         clients = max(int(descriptors * CLIENTS_PART), 16)
         dialect = EdgeDialect(self.misdirected)
         self.pool = Pool(self.clock, DIAL_WITHIN, KEPT, max(descriptors - clients, 16), dialect)
-        self.pool.pass_long_answers()
+        self.pool.enable_streaming()
         self.gateway = EdgeGateway(self.settings(), seed, now)
         self.node.roller.counts = self.gateway.seen
         self.driver = Driver(self.gateway, self.clock, self.pool)
-        self.driver.busy = 503
+        self.driver.busy_status = 503
         self.in_flight = InFlight(self.node, self.driver.post, self.loop.call_later)
         self.in_flight.on_flush = self.carry_out
         self.gateway.attempts.on_in_flight_change = self.in_flight.changed
@@ -299,7 +299,7 @@
         await asyncio.sleep(3 * SHORT)
         self.front.close_idle()
         await self.driver.wait_answered(max(end - self.clock() - 5 * SHORT, SHORT))
-        self.driver.rescue_all()
+        self.driver.fail_unanswered()
         self.handler.expire_early(math.inf)
         self.front.close_idle()
         await self.front.wait_drained(4 * SHORT)
--- a/embersill/lab/fuzzing/targets.py
+++ b/embersill/lab/fuzzing/targets.py
@@ -94,7 +94,7 @@
     def __init__(self) -> None:
         self.answers: list[Answer] = []
 
-    def attempt_began(
+    def stream_began(
         self, attempt: Attempt, headers: bytes, length: int | None, source: BackendConnection
     ) -> None:
         """Long answers are not passed on here: none is wanted."""
@@ -116,9 +116,9 @@
                 owner = Owned()
                 now = harness.loop.time()
                 attempt = Attempt(
-                    connection.line.backend, b"GET / HTTP/1.1\r\n", b"", now, now + 5.0, 0, owner
+                    connection.endpoint.backend, b"GET / HTTP/1.1\r\n", b"", now, now + 5.0, 0, owner
                 )
-                connection.line.idle.remove(connection)
+                connection.endpoint.idle.remove(connection)
                 connection.send(attempt, 1.0)
                 for start in range(0, len(data), step):
                     connection.data_received(data[start : start + step])
--- a/embersill/lab/still.py
+++ b/embersill/lab/still.py
@@ -131,7 +131,7 @@
         self.driver.list_told(Listing(ListKind.WHOLE, 1, entries))
         self.transports: list[CountingTransport] = []
         self.backends: list[tuple[BackendConnection, CountingTransport]] = []
-        for line in self.pool.lines.values():
+        for line in self.pool.endpoints.values():
             for _ in range(connections):
                 connection = BackendConnection(self.pool, line)
                 transport = self.transport("backend")
--- a/embersill/net/backends.py
+++ b/embersill/net/backends.py
@@ -1,7 +1,7 @@
-"""Connections to backends: a pool, one attempt at a time on each, and how every attempt ended.
+"""A pool of connections to backends, which carry one attempt at a time and report how it ended.
 
-An attempt is written once, on one connection, and never again by this file: whether a request may be sent
-another time depends on how far this one came, and only the decision module judges that.
+An attempt is written once, on one connection, and never retried here: whether a request may be sent again
+depends on how far its attempt came, which only the decision module judges.
 """
 
 from __future__ import annotations
@@ -18,75 +18,77 @@
 from embersill.interface import Outcome
 from embersill.net.deadlines import Deadline, Deadlines
 
-MOST_BODY = 64 * 1024  # bytes of an answer's body, by the protocol
-MOST_HEAD = 32 * 1024  # bytes before the body, interim answers too: a sound backend sends a hundredth of it
-MOST_STREAM = 32 * 1024 * 1024  # bytes of an answer's body where bodies over 64 KiB are passed on in pieces
-SLOW_STALLED = 2.0  # seconds without a byte, there: backends write as slowly as they like
-STREAM_STALLED = 10.0  # the same once it is being passed on, when giving up loses the request
-STALLED = 0.5  # seconds that the rest of an answer may take once it has begun: what it has is ready by then
-MOST_STRANGERS = 2  # answers of other requests that are passed over on one connection
-RESTED = 0.01  # seconds unused before another request goes out: what comes behind an answer shows by then
-IDLE_PART = 0.5  # of the backends' idle limit after which a connection is closed here: well before theirs
-LEAST_IDLE = 0.05  # seconds that a connection may stay unused, however many kept ones turn out to be dead
-IDLE_LESS, IDLE_MORE = 0.7, 1.01  # times the limit for a kept one that was dead, and for one that was not
-DEAD_WITHIN = 0.02  # seconds after the write in which a dead connection breaks: an answer's cut comes later
-SWEEP_EVERY = 1.0  # seconds between looks for idle connections
+MAX_BODY_BYTES = 64 * 1024  # of a response, by the protocol
+MAX_HEAD_BYTES = 32 * 1024  # before the body, with interim responses: a sound backend sends a hundredth
+MAX_STREAM_BYTES = 32 * 1024 * 1024  # of a response's body if those over 64 KiB are streamed
+SLOW_STALL_TIMEOUT_S = 2.0  # without a byte, if long bodies are streamed: backends may write slowly
+STREAM_STALL_TIMEOUT_S = 10.0  # the same once it is streamed to the client: giving up loses the request
+STALL_TIMEOUT_S = 0.5  # for the rest of a response that has begun: backends send it when it is complete
+MAX_FOREIGN_ANSWERS = 2  # responses to other requests that are skipped on one connection
+MIN_IDLE_S = 0.01  # before a connection is reused: surplus data behind a response shows by then
+IDLE_LIMIT_SHARE = 0.5  # of the backends' idle limit: connections are closed here well before that
+MIN_IDLE_LIMIT_S = 0.05  # lower bound of the idle limit, however many idle connections turn out dead
+IDLE_DECREASE, IDLE_INCREASE = 0.7, 1.01  # factors on the idle limit for a dead connection and a live one
+DEAD_WITHIN_S = 0.02  # after the write, a dead connection breaks: a response is cut off only later
+SWEEP_INTERVAL_S = 1.0  # between checks for idle connections
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """How an attempt ended, with the backend's answer if there was a whole one."""
+    """How an attempt ended, with the backend's response if it was complete."""
 
     outcome: Outcome
     body: bytes = b""
     units: float = 0.0
-    headers: bytes = b""  # header lines that tell how to read the body
-    status: int = 0  # the backend's own, where a whole answer came
-    load: tuple[float, ...] = ()  # what it told of its load
+    headers: bytes = b""  # header lines for the client, such as Content-Type
+    status: int = 0  # of a complete response of the backend
+    load: tuple[float, ...] = ()  # the load that the backend reported
 
 
 class Dialect(Protocol):
-    """What gateways and backends of a deployment say to one another in the heads of their messages."""
+    """The protocol between gateways and backends, as far as it is in message heads."""
 
     def head(self, attempt: Attempt, wait: float) -> bytes:
-        """The head of a request whose client waits so many seconds more."""
+        """The head of a request whose client waits `wait` seconds more."""
         ...
 
     def header(self, connection: BackendConnection, name: bytes, value: bytes) -> None:
-        """Takes one header line of an answer, its name in lower case."""
+        """Handles one header line of a response; its name is in lower case."""
         ...
 
     def judge(self, connection: BackendConnection, attempt: Attempt, body: bytes) -> Answer:
-        """What a whole answer comes to."""
+        """The outcome of an attempt that got a complete response."""
         ...
 
     def belongs(self, connection: BackendConnection, attempt: Attempt) -> bool:
-        """True if an answer is the attempt's own, as far as its head tells: before that none is passed on."""
+        """True if a response belongs to the attempt, by its head: no other is streamed to the client."""
         ...
 
 
 class Sink(Protocol):
-    """Where an answer goes that is passed on while it comes."""
+    """Where a streamed response goes."""
 
-    def more(self, data: bytes) -> bool:
-        """Takes a piece; False if no further ones may come until the source is told to go on."""
+    def send_piece(self, data: bytes) -> bool:
+        """Takes a piece; False if the source must pause until it is told to resume."""
         ...
 
 
 class Owner(Protocol):
-    """Who wants to know how an attempt ended."""
+    """Receives the outcome of an attempt."""
 
-    def attempt_began(
+    def stream_began(
         self, attempt: Attempt, headers: bytes, length: int | None, source: BackendConnection
     ) -> Sink | None:
-        """An answer of more than 64 KiB begins; None if nobody wants it any more."""
+        """A response of more than 64 KiB begins; None if it is no longer wanted."""
         ...
 
-    def attempt_ended(self, attempt: Attempt, answer: Answer) -> None: ...
+    def attempt_ended(self, attempt: Attempt, answer: Answer) -> None:
+        """The attempt has ended; called once."""
+        ...
 
 
 class Attempt:
-    """One attempt: what to write, where to, and what became of it. Its owner hears of the end just once."""
+    """One attempt: what to write, where to, and how it ended. Its owner is told of the end exactly once."""
 
     __slots__ = (
         "backend",
@@ -98,7 +100,7 @@
         "id",
         "owner",
         "place",
-        "rest",
+        "body_pieces",
         "sent_at",
         "timer",
         "until",
@@ -119,25 +121,26 @@
         self.backend, self.head, self.body = backend, head, body
         self.sent_at, self.until, self.place, self.write_by = sent_at, until, place, write_by
         self.owner: Owner | None = owner
-        self.rest: list[bytes] | None = None  # the body in its pieces, where it is over 64 KiB
-        self.id = b""  # the client's own for its try, where backends say which one they answer
-        self.began_at = 0.0  # when its answer began to be passed on
+        self.body_pieces: list[bytes] | None = None  # the pieces of a body over 64 KiB, instead of `body`
+        self.id = b""  # the client's id for it, where backends name the attempt that they answer
+        self.began_at = 0.0  # when its response began to be streamed
         self.connection: BackendConnection | None = None
         self.dial: asyncio.Task[None] | None = None
         self.timer: Deadline | None = None
 
     @property
     def ended(self) -> bool:
+        """True once its owner has been told of the end."""
         return self.owner is None
 
     @property
     def written(self) -> bool:
-        """True once any of it was handed to a connection: from then on it may run."""
+        """True once a connection has it: from then on the backend may run it."""
         return self.connection is not None
 
     def end(self, answer: Answer) -> None:
-        """The first end counts; a dial under way is stopped, and a connection still in use is given up."""
-        owner, self.owner = self.owner, None  # also parts the two: they name each other while it is out
+        """Ends the attempt unless it has ended; stops its dial and closes a connection still in use."""
+        owner, self.owner = self.owner, None  # also breaks the reference cycle with the owner
         if owner is None:
             return
         if self.timer is not None:
@@ -149,20 +152,21 @@
         owner.attempt_ended(self, answer)
 
     def time_out(self) -> None:
-        # one that still waits for its connection was never written, so it is known not to have run
+        """Ends the attempt at its deadline."""
+        # an attempt that still waits for a connection was never written, so it has certainly not run
         connection = self.connection
         self.end(Answer(Outcome.TIMED_OUT if connection is not None else Outcome.NO_CONNECTION))
         if connection is not None:
-            # a machine that is cut off leaves its kept connections open and silent: what is written to them
-            # may have run, while a dial that does not come up is known not to have
-            connection.line.drop_idle()
+            # The idle connections of an unreachable machine stay open and silent. A request written to one
+            # may have run, whereas one that waits for a failed dial certainly has not.
+            connection.endpoint.drop_idle()
 
 
-class Line:
-    """A backend as it was told: at this address, since this start. Its connections serve no other.
+class Endpoint:
+    """A backend at one address, since one start. Its connections are used for no other.
 
-    An id may come back at another address, or its address go to another id: whatever was dialled before is
-    the old one's, and stays with the old Line.
+    An id may come back at another address, or its address may pass to another id: connections that were
+    dialled before belong to the old Endpoint.
     """
 
     __slots__ = ("address", "backend", "idle", "started")
@@ -172,43 +176,46 @@
         self.idle: list[BackendConnection] = []  # the longest idle first
 
     def drop_idle(self) -> None:
+        """Closes all idle connections."""
         idle, self.idle = self.idle, []
         for connection in idle:
             connection.close()
 
 
 class BackendConnection(asyncio.Protocol):
-    """A kept-alive connection that carries one attempt at a time."""
+    """A persistent connection that carries one attempt at a time."""
 
-    def __init__(self, pool: Pool, line: Line) -> None:
-        self.pool, self.line = pool, line
+    def __init__(self, pool: Pool, endpoint: Endpoint) -> None:
+        self.pool, self.endpoint = pool, endpoint
         self.transport: asyncio.Transport | None = None
         self.descriptor = -1
         self.attempt: Attempt | None = None
         self.stall: asyncio.TimerHandle | None = None
-        self.idle_since = self.rested = 0.0  # since when it is unused, and how long it was before
-        self.unsent = False  # the kernel has not yet taken all of the request
-        self.paused = False  # the client has no room for what would come
+        self.idle_since = self.idle_time = 0.0  # since when it is idle; how long it was before its last use
+        self.unsent = False  # part of the request is not yet in the kernel's buffer
+        self.paused = False  # reading has stopped because the client's buffer is full
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self.start_answer()
 
     def start_answer(self) -> None:
-        self.taken = self.status = self.strangers = 0
-        self.complete = self.keep = self.surplus = self.garbled = self.begun = self.in_body = False
+        """Resets the state of the response as a whole."""
+        self.received_bytes = self.status = self.foreign_answers = 0
+        self.complete = self.keep = self.surplus = self.malformed = self.begun = self.in_body = False
         self.length: int | None = None
         self.chunked = False
         self.sink: Sink | None = None
         self.start_message()
 
     def start_message(self) -> None:
+        """Resets the state of one message; interim responses are messages of their own."""
         self.parts: list[bytes] = []
         self.size, self.units, self.headers, self.rejected = 0, 0.0, b"", False
-        self.answers_to, self.idles = b"", 0.0  # what a dialect reads: the try's id, when it closes if unused
+        self.answers_to, self.idle_limit_s = b"", 0.0  # set by dialects
         self.load: tuple[float, ...] = ()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
-        # with no room above the kernel's buffer, pause_writing tells that the request is not written whole
+        # with no buffer above the kernel's, pause_writing means that part of the request is unsent
         self.transport.set_write_buffer_limits(high=0)
         self.poll = select.poll()
         self.descriptor = self.transport.get_extra_info("socket").fileno()
@@ -222,51 +229,54 @@
         self.unsent = False
 
     def send(self, attempt: Attempt, wait: float) -> None:
+        """Writes an attempt whose client waits `wait` seconds more."""
         assert self.transport is not None
         self.attempt, attempt.connection = attempt, self
         self.start_answer()
         self.pool.tries += 1
         self.transport.write(self.pool.dialect.head(attempt, wait) + attempt.body)
-        if attempt.rest:
-            self.transport.writelines(attempt.rest)
+        if attempt.body_pieces:
+            self.transport.writelines(attempt.body_pieces)
 
     def give_up(self, attempt: Attempt) -> None:
-        """Closing is how a backend is told that nobody waits for the attempt any more."""
+        """Closes the connection, which tells the backend that the attempt was cancelled."""
         if self.attempt is attempt:
             self.attempt = None
             self.close()
 
     def close(self) -> None:
+        """Closes the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
     def usable(self) -> bool:
+        """True while the connection is up."""
         return self.transport is not None and not self.transport.is_closing()
 
     def is_quiet(self) -> bool:
-        """True if nothing waits to be read: no surplus that would pass for the next answer, and no end."""
+        """True if nothing is readable: no surplus that would pass for the next response, no end."""
         return not self.poll.poll(0)
 
-    # what the parser tells
+    # parser callbacks
 
     def on_message_begin(self) -> None:
         self.begun = True
         if self.complete:
             self.surplus = True
         else:
-            self.start_message()  # an interim answer ahead has left nothing behind
+            self.start_message()  # discards what an interim response has set
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.complete:  # the answer is whole: what follows it, a second one maybe, belongs to nobody
+        if self.complete:  # what follows a complete response belongs to no attempt
             return
         name = name.lower()
         if name == b"content-length":
-            # one that is declared too long is not waited for
+            # a response that declares too long a body is rejected at once
             if value.isdigit():
                 self.length = length = int(value)
-                self.garbled = self.garbled or length > self.pool.most_body
+                self.malformed = self.malformed or length > self.pool.most_body
             else:
-                self.garbled = True
+                self.malformed = True
         elif name == b"transfer-encoding":
             self.chunked = True
         else:
@@ -287,108 +297,120 @@
         self.begun = False
         status = self.parser.get_status_code()
         if self.answers_to and self.attempt is not None and self.answers_to != self.attempt.id:
-            self.strangers += 1  # another request's, late: this one's own is still to come
+            self.foreign_answers += 1  # a late response to another request: the right one may still come
             self.in_body, self.length, self.chunked = False, None, False
-            self.garbled = self.garbled or self.strangers > MOST_STRANGERS
-        elif not is_interim(status):  # an interim answer goes before the real one
+            self.malformed = self.malformed or self.foreign_answers > MAX_FOREIGN_ANSWERS
+        elif not is_interim(status):  # interim responses precede the final one
             self.complete, self.status = True, status
-            self.keep = self.parser.should_keep_alive()  # the parser knows only while in this call
+            self.keep = self.parser.should_keep_alive()  # the parser can only tell during this callback
 
-    # what the transport tells
+    # transport callbacks
 
     def data_received(self, data: bytes) -> None:
         attempt = self.attempt
         if attempt is None:
-            return self.close()  # nothing was asked, or more came than belonged to the answer
-        self.taken += len(data)
+            return self.close()  # unrequested data, or surplus behind a response
+        self.received_bytes += len(data)
         self.parse(data)
         if self.pool.streams and self.sink is None and not self.complete and self.is_long():
-            self.long_answer(attempt)
+            self.handle_long_answer(attempt)
         if self.sink is not None and self.attempt is attempt:
             self.pass_on(self.sink)
         if self.attempt is not attempt:
-            return  # its client has gone meanwhile
+            return  # its client has left meanwhile
         if self.complete:
             self.finish(attempt)
-        elif self.is_spoilt():
-            # a backend that answers at all may have run the request, however odd the answer is
+        elif self.is_invalid():
+            # a backend that sends anything may have run the request, however malformed the response is
             attempt.end(Answer(Outcome.BROKEN))
         elif self.begun and (self.stall is None or self.pool.streams):
             if self.stall is not None:
                 self.stall.cancel()
-            self.stall = self.pool.loop.call_later(self.patience(), self.has_stalled, attempt)
+            self.stall = self.pool.loop.call_later(self.stall_timeout(), self.has_stalled, attempt)
 
     def is_long(self) -> bool:
-        """True if this is a good answer, over 64 KiB by its length or by what has come of it."""
-        if not self.in_body or self.garbled or self.parser is None:
+        """True for a 200 response over 64 KiB, by its declared length or by what has arrived."""
+        if not self.in_body or self.malformed or self.parser is None:
             return False
-        return self.parser.get_status_code() == 200 and max(self.length or 0, self.size) > MOST_BODY
+        return self.parser.get_status_code() == 200 and max(self.length or 0, self.size) > MAX_BODY_BYTES
 
-    def long_answer(self, attempt: Attempt) -> None:
-        """One that is too long to be kept whole: passed on if it is the attempt's own, and never else."""
+    def handle_long_answer(self, attempt: Attempt) -> None:
+        """Handles a response that is too long to be buffered: streams it if it belongs to the attempt."""
         if self.pool.dialect.belongs(self, attempt):
             self.begin_stream(attempt)
         elif self.answers_to and self.answers_to != attempt.id:
-            self.parts.clear()  # another request's, late: this one's own may follow it
+            self.parts.clear()  # a late response to another request: the right one may follow
         else:
             attempt.end(Answer(Outcome.BROKEN))
 
     def begin_stream(self, attempt: Attempt) -> None:
+        """Starts to stream the response to the attempt's owner."""
         owner = attempt.owner
         if owner is None:
             return
         attempt.began_at = self.pool.clock()
         if attempt.timer is not None:
-            attempt.timer.cancel()  # what begins in time is passed on to its end
+            attempt.timer.cancel()  # a response that begins in time is streamed to its end
         length = None if self.chunked else self.length
-        self.sink = owner.attempt_began(attempt, self.headers, length, self)
+        self.sink = owner.stream_began(attempt, self.headers, length, self)
         if self.sink is None:
             attempt.end(Answer(Outcome.CANCELLED))
 
     def pass_on(self, sink: Sink) -> None:
+        """Hands on what has arrived, and pauses reading if the sink is full."""
         parts, self.parts = self.parts, []
-        if parts and not sink.more(b"".join(parts)) and not self.complete and self.transport is not None:
+        if (
+            parts
+            and not sink.send_piece(b"".join(parts))
+            and not self.complete
+            and self.transport is not None
+        ):
             self.paused = True
             self.transport.pause_reading()
 
-    def go_on(self) -> None:
-        """The client has room for more."""
+    def resume(self) -> None:
+        """Resumes reading: the client has room for more."""
         if self.paused and self.usable() and self.transport is not None:
             self.paused = False
             self.transport.resume_reading()
 
-    def patience(self) -> float:
+    def stall_timeout(self) -> float:
+        """Seconds that the rest of the response, or its next bytes, may take."""
         if not self.pool.streams:
-            return STALLED
-        return STREAM_STALLED if self.sink is not None else SLOW_STALLED
+            return STALL_TIMEOUT_S
+        return STREAM_STALL_TIMEOUT_S if self.sink is not None else SLOW_STALL_TIMEOUT_S
 
     def parse(self, data: bytes) -> None:
+        """Feeds the parser, and starts a new one behind an upgrade."""
         while self.parser is not None and data:
             try:
                 return self.parser.feed_data(data)
             except httptools.HttpParserUpgrade as upgrade:
-                # a 101 that nobody asked for: the real answer comes behind it, for a parser of its own
+                # an unrequested 101: the final response follows it and needs a new parser
                 self.parser, data = httptools.HttpResponseParser(self), data[upgrade.args[0] :]
             except httptools.HttpParserError:
-                self.garbled = True
+                self.malformed = True
                 return
 
-    def is_spoilt(self) -> bool:
-        # chunks may bring their framing along, within reason
-        most = MOST_HEAD + 2 * self.pool.most_body if self.in_body else MOST_HEAD
-        return self.garbled or self.taken > most or self.size > self.pool.most_body
+    def is_invalid(self) -> bool:
+        """True if the response is malformed or too long."""
+        # chunk framing is allowed to double the size of the body
+        most = MAX_HEAD_BYTES + 2 * self.pool.most_body if self.in_body else MAX_HEAD_BYTES
+        return self.malformed or self.received_bytes > most or self.size > self.pool.most_body
 
     def has_stalled(self, attempt: Attempt) -> None:
-        # half an answer whose rest does not come is spoilt; while it is waited for, another try could help
+        """Timer callback: no more of the response came in time."""
+        # the attempt is ended early, since another one may help while this response is waited for
         self.stall = None
         if self.attempt is not attempt:
             return
-        if self.paused:  # it is the client that does not take it, and who looks after that one sees to it
-            self.stall = self.pool.loop.call_later(self.patience(), self.has_stalled, attempt)
+        if self.paused:  # the client does not read: its own connection has a time limit for that
+            self.stall = self.pool.loop.call_later(self.stall_timeout(), self.has_stalled, attempt)
         else:
             attempt.end(Answer(Outcome.BROKEN))
 
     def finish(self, attempt: Attempt) -> None:
+        """Ends the attempt with the complete response, and returns the connection to the pool."""
         if self.stall is not None:
             self.stall.cancel()
             self.stall = None
@@ -399,18 +421,23 @@
         else:
             answer = Answer(Outcome.BROKEN)
         whole = answer.outcome is not Outcome.BROKEN
-        # the connection is free before anybody hears of the answer: the next attempt may want it
-        if whole and self.keep and not (self.unsent or self.surplus or self.garbled or self.strangers):
+        # the connection is returned before the outcome is reported: the next attempt may need it
+        if (
+            whole
+            and self.keep
+            and not (self.unsent or self.surplus or self.malformed or self.foreign_answers)
+        ):
             self.attempt = attempt.connection = None
-            self.pool.was_alive(self.rested)
+            self.pool.raise_idle_limit(self.idle_time)
             self.pool.put_back(self)
         attempt.end(answer)
 
     def eof_received(self) -> bool:
+        """Transport callback: the end of the stream may complete a response."""
         attempt = self.attempt
         delimited = self.length is None and not self.chunked
-        if self.pool.streams and attempt is not None and self.in_body and delimited and not self.garbled:
-            # an answer with neither length nor chunks is whole when the backend ends the connection in order
+        if self.pool.streams and attempt is not None and self.in_body and delimited and not self.malformed:
+            # a response with neither length nor chunks is complete when the backend closes cleanly
             if not self.complete and self.parser is not None:
                 self.complete, self.keep, self.status = True, False, self.parser.get_status_code()
                 self.finish(attempt)
@@ -419,14 +446,18 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.closed(self)
         attempt, self.attempt = self.attempt, None
-        self.parser = self.transport = None  # the parser knows its connection: parted, both are freed at once
+        self.parser = self.transport = None  # breaks the cycle with the parser: both are freed at once
         if self.stall is not None:
             self.stall.cancel()
         if attempt is not None:
-            if self.rested and not self.taken and self.pool.clock() - attempt.sent_at < DEAD_WITHIN:
-                self.pool.was_dead(self.rested)
-            # an unsent rest proves that the backend never had the whole; a write that went through proves
-            # nothing, also not on a kept connection that the backend had closed by then
+            if (
+                self.idle_time
+                and not self.received_bytes
+                and self.pool.clock() - attempt.sent_at < DEAD_WITHIN_S
+            ):
+                self.pool.lower_idle_limit(self.idle_time)
+            # An unsent remainder proves that the backend never got the whole request. A completed write
+            # proves nothing, not even on an idle connection that the backend had already closed.
             self.pool.tries -= self.unsent
             attempt.end(Answer(Outcome.NO_CONNECTION if self.unsent else Outcome.BROKEN))
 
@@ -435,9 +466,11 @@
     """The protocol of the gateway in service: budgets in seconds, rejections and billed units."""
 
     def head(self, attempt: Attempt, wait: float) -> bytes:
+        """The attempt's head with the remaining budget."""
         return b"%bX-Budget: %.3f\r\n\r\n" % (attempt.head, wait)
 
     def header(self, connection: BackendConnection, name: bytes, value: bytes) -> None:
+        """Reads the headers of rejections and billing, and set_idle_limit those that describe the body."""
         if name == b"x-rejected":
             connection.rejected = value.strip() == b"1"
         elif name == b"billed-units":
@@ -446,9 +479,11 @@
             connection.headers += b"%b: %b\r\n" % (name.title(), value)
 
     def belongs(self, connection: BackendConnection, attempt: Attempt) -> bool:
-        return True  # nothing in these heads tells
+        """Always true: these heads name no attempt."""
+        return True
 
     def judge(self, connection: BackendConnection, attempt: Attempt, body: bytes) -> Answer:
+        """The outcome by status; only an explicit rejection proves that the request was not run."""
         if connection.status == 200:
             return Answer(Outcome.SERVED, body, connection.units, connection.headers)
         turned_away = connection.status in (503, 504) and connection.rejected
@@ -456,10 +491,12 @@
 
 
 def is_interim(status: int) -> bool:
+    """True for 1xx statuses, which precede the final response."""
     return 100 <= status < 200
 
 
 def read_units(value: bytes) -> float:
+    """Billed units; 0 for a value that is invalid or out of bounds."""
     try:
         units = float(value)
     except ValueError:
@@ -468,7 +505,7 @@
 
 
 class Pool:
-    """All connections to backends, at most `most` of them with the dials under way."""
+    """All connections to backends: at most `most`, including dials in progress."""
 
     def __init__(
         self,
@@ -480,162 +517,169 @@
     ) -> None:
         self.clock, self.dial_timeout, self.most = clock, dial_timeout, most
         self.dialect: Dialect = dialect or CallDialect()
-        self.streams, self.most_body = False, MOST_BODY
-        self.idle_limit = self.most_idle = keepalive * IDLE_PART
+        self.streams, self.most_body = False, MAX_BODY_BYTES
+        self.idle_limit = self.most_idle = keepalive * IDLE_LIMIT_SHARE
         self.loop = asyncio.get_running_loop()
         self.deadlines = Deadlines(self.loop, lambda: self.clock())
-        self.lines: dict[str, Line] = {}
+        self.endpoints: dict[str, Endpoint] = {}
         self.connections: set[BackendConnection] = set()
-        self.dialling: dict[Attempt, Line] = {}
-        self.tries = 0  # attempts written whole to backends
-        self.sweeper = self.loop.call_later(SWEEP_EVERY, self.sweep)
+        self.dialling: dict[Attempt, Endpoint] = {}
+        self.tries = 0  # attempts written completely to backends
+        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
-    def keeps(self, told: float) -> None:
-        """A backend says after how many seconds it closes what is unused."""
-        most = told * IDLE_PART
+    def set_idle_limit(self, told: float) -> None:
+        """Adopts a backend's announced idle limit, in seconds."""
+        most = told * IDLE_LIMIT_SHARE
         if most != self.most_idle:
             self.idle_limit = self.most_idle = most
 
-    def pass_long_answers(self) -> None:
-        """Bodies over 64 KiB occur, and are passed on while they come."""
-        self.streams, self.most_body = True, MOST_STREAM
+    def enable_streaming(self) -> None:
+        """Allows response bodies over 64 KiB, which are streamed to the client."""
+        self.streams, self.most_body = True, MAX_STREAM_BYTES
 
     def set_address(self, backend: str, address: tuple[str, int], started: float | None = None) -> None:
-        """Where a backend listens; connections to where it was, or to before its restart, are of no use."""
-        line = self.lines.get(backend)
-        if line is None or (line.address, line.started) != (address, started):
+        """Sets a backend's address; connections to an earlier address or start are retired."""
+        endpoint = self.endpoints.get(backend)
+        if endpoint is None or (endpoint.address, endpoint.started) != (address, started):
             self.retire(backend)
-            self.lines[backend] = Line(backend, address, started)
+            self.endpoints[backend] = Endpoint(backend, address, started)
 
     def at(self, address: tuple[str, int]) -> list[str]:
-        """The backends that were told to listen there."""
-        return [b for b, line in self.lines.items() if line.address == address]
+        """The backends that are listed with this address."""
+        return [b for b, endpoint in self.endpoints.items() if endpoint.address == address]
 
     def retire(self, backend: str) -> None:
-        """For one that drains or is gone: nothing is written to it from now on, not even what is dialling.
+        """Stops writing to a backend that drains or is gone; attempts that are still dialling it end.
 
-        Attempts that are out go on to their ends, and their connections are closed after them.
+        Attempts in flight run to their ends, and their connections are closed after that.
         """
-        line = self.lines.pop(backend, None)
-        if line is not None:
-            line.drop_idle()
-            for attempt in [a for a, towards in self.dialling.items() if towards is line]:
+        endpoint = self.endpoints.pop(backend, None)
+        if endpoint is not None:
+            endpoint.drop_idle()
+            for attempt in [a for a, target in self.dialling.items() if target is endpoint]:
                 attempt.end(Answer(Outcome.NO_CONNECTION))
 
-    def rest_line(self, backend: str) -> None:
-        """Nothing goes there for now: what is kept open there is closed, what is dialling is not written."""
-        line = self.lines.get(backend)
-        if line is not None:
-            line.drop_idle()
-        self.call_back(backend)
+    def suspend(self, backend: str) -> None:
+        """Closes a backend's idle connections and ends attempts that are dialling it; for a hold."""
+        endpoint = self.endpoints.get(backend)
+        if endpoint is not None:
+            endpoint.drop_idle()
+        self.cancel_dials(backend)
 
-    def call_back(self, backend: str) -> None:
-        """What is still dialling there is not written: somebody else was told that it drains."""
+    def cancel_dials(self, backend: str) -> None:
+        """Ends attempts that are still dialling a backend, for which a drain was reported elsewhere."""
         for attempt in [a for a in self.dialling if a.backend == backend]:
             attempt.end(Answer(Outcome.NO_CONNECTION))
 
     def forget_others(self, known: Iterable[str]) -> None:
-        """After a whole list: what it does not name is gone."""
-        for backend in self.lines.keys() - set(known):
+        """Retires backends that a whole list does not name."""
+        for backend in self.endpoints.keys() - set(known):
             self.retire(backend)
 
     def start(self, attempt: Attempt) -> None:
+        """Writes an attempt to an idle connection, or dials one for it."""
         now = self.clock()
         attempt.timer = self.deadlines.at(attempt.until, Attempt.time_out, attempt)
-        line = self.lines.get(attempt.backend)
-        if line is None:
+        endpoint = self.endpoints.get(attempt.backend)
+        if endpoint is None:
             return attempt.end(Answer(Outcome.NO_CONNECTION))
-        connection = self.take_idle(line, now)
+        connection = self.take_idle(endpoint, now)
         if connection is not None:
             return connection.send(attempt, max(attempt.until - now, 0.001))
         if not self.has_room():
             return attempt.end(Answer(Outcome.NO_CONNECTION))
-        self.dialling[attempt] = line
-        attempt.dial = self.loop.create_task(self.connect(attempt, line))
+        self.dialling[attempt] = endpoint
+        attempt.dial = self.loop.create_task(self.connect(attempt, endpoint))
         return None
 
-    def take_idle(self, line: Line, now: float) -> BackendConnection | None:
-        """The last used of those that have rested; what brought more than its answer is closed instead."""
-        for place in range(len(line.idle) - 1, -1, -1):
-            connection = line.idle[place]
-            if now - connection.idle_since < RESTED:
+    def take_idle(self, endpoint: Endpoint, now: float) -> BackendConnection | None:
+        """The last used connection that has been idle long enough; closes those that became unusable."""
+        for place in range(len(endpoint.idle) - 1, -1, -1):
+            connection = endpoint.idle[place]
+            if now - connection.idle_since < MIN_IDLE_S:
                 continue
-            del line.idle[place]
+            del endpoint.idle[place]
             fresh = now - connection.idle_since < self.idle_limit
             if fresh and connection.usable() and connection.is_quiet():
-                connection.rested = now - connection.idle_since
+                connection.idle_time = now - connection.idle_since
                 return connection
             connection.close()
         return None
 
-    def was_dead(self, rested: float) -> None:
-        """Kept connections that die unannounced cost a request each: they are kept for less long then."""
-        self.idle_limit = max(min(self.idle_limit, rested) * IDLE_LESS, LEAST_IDLE)
+    def lower_idle_limit(self, idle_time: float) -> None:
+        """Lowers the idle limit: each idle connection that was closed without notice costs a request."""
+        self.idle_limit = max(min(self.idle_limit, idle_time) * IDLE_DECREASE, MIN_IDLE_LIMIT_S)
 
-    def was_alive(self, rested: float) -> None:
-        if rested > self.idle_limit / 2:
-            self.idle_limit = min(self.idle_limit * IDLE_MORE, self.most_idle)
+    def raise_idle_limit(self, idle_time: float) -> None:
+        """Raises the idle limit after a connection was reused well into it."""
+        if idle_time > self.idle_limit / 2:
+            self.idle_limit = min(self.idle_limit * IDLE_INCREASE, self.most_idle)
 
     def has_room(self) -> bool:
-        """True if one more may be dialled; an idle connection makes way where the bound is reached."""
+        """True if one more may be dialled; at the limit, the longest idle connection is closed for it."""
         if len(self.connections) + len(self.dialling) < self.most:
             return True
         oldest = min(
-            (line.idle[0] for line in self.lines.values() if line.idle),
+            (endpoint.idle[0] for endpoint in self.endpoints.values() if endpoint.idle),
             default=None,
             key=lambda c: c.idle_since,
         )
         if oldest is None:
             return False
-        oldest.line.idle.remove(oldest)
+        oldest.endpoint.idle.remove(oldest)
         oldest.close()
         return True
 
-    async def connect(self, attempt: Attempt, line: Line) -> None:
-        made, up = BackendConnection(self, line), False
+    async def connect(self, attempt: Attempt, endpoint: Endpoint) -> None:
+        """Dials a connection and writes the attempt to it."""
+        connection, up = BackendConnection(self, endpoint), False
         try:
             async with asyncio.timeout(self.dial_timeout):
-                await self.loop.create_connection(lambda: made, *line.address)
-            up = made.usable()
-        except (OSError, TimeoutError):  # refused, unreachable, no descriptor left, or not up in time
+                await self.loop.create_connection(lambda: connection, *endpoint.address)
+            up = connection.usable()
+        except (OSError, TimeoutError):  # refused, unreachable, out of descriptors, or timed out
             pass
         finally:
             self.dialling.pop(attempt, None)
             attempt.dial = None
             if not up or attempt.ended:
-                made.close()  # also where the attempt ended just as its connection came up
-        if up and self.clock() > attempt.write_by:  # a slow dial, or this process stood still
+                connection.close()  # also if the attempt ended just as its connection came up
+        if up and self.clock() > attempt.write_by:  # the dial was slow, or this process was suspended
             up = False
-            made.close()
+            connection.close()
         if up and not attempt.ended:
-            made.send(attempt, max(attempt.until - self.clock(), 0.001))
+            connection.send(attempt, max(attempt.until - self.clock(), 0.001))
         else:
             attempt.end(Answer(Outcome.NO_CONNECTION))
 
     def opened(self, connection: BackendConnection) -> None:
+        """Registers a connection."""
         self.connections.add(connection)
 
     def closed(self, connection: BackendConnection) -> None:
+        """Removes a connection that was lost."""
         self.connections.discard(connection)
-        if connection in connection.line.idle:
-            connection.line.idle.remove(connection)
+        if connection in connection.endpoint.idle:
+            connection.endpoint.idle.remove(connection)
 
     def put_back(self, connection: BackendConnection) -> None:
-        line = connection.line
-        if self.lines.get(line.backend) is not line:
+        """Keeps a connection for reuse, unless its backend has been retired."""
+        endpoint = connection.endpoint
+        if self.endpoints.get(endpoint.backend) is not endpoint:
             return connection.close()
         connection.idle_since = self.clock()
-        return line.idle.append(connection)
+        return endpoint.idle.append(connection)
 
     def sweep(self) -> None:
-        """Closes what has been idle for long; the longest idle stand first in their line."""
+        """Closes connections over the idle limit, at intervals; in each list the longest idle come first."""
         before = self.clock() - self.idle_limit
-        for line in self.lines.values():
-            while line.idle and line.idle[0].idle_since < before:
-                line.idle.pop(0).close()
-        self.sweeper = self.loop.call_later(SWEEP_EVERY, self.sweep)
+        for endpoint in self.endpoints.values():
+            while endpoint.idle and endpoint.idle[0].idle_since < before:
+                endpoint.idle.pop(0).close()
+        self.sweeper = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def close(self) -> None:
+        """Closes all connections."""
         self.sweeper.cancel()
         for connection in list(self.connections):
             connection.close()
--- a/embersill/net/calls.py
+++ b/embersill/net/calls.py
@@ -63,12 +63,12 @@
         target: bytes,
         headers: dict[bytes, bytes],
         body: bytes,
-        rest: list[bytes] | None = None,
+        body_pieces: list[bytes] | None = None,
         size: int = 0,
     ) -> Call:
         """Reads one request.
 
-        `rest` holds a body of `size` bytes, in pieces, that is too long to be joined into `body`.
+        `body_pieces` holds a body of `size` bytes that is too long to be joined into `body`.
         """
         customer = self.customer(target)
         klass = self.classes.get((headers.get(b"x-call-class") or b"").decode("latin-1"))
@@ -82,7 +82,7 @@
         if plan not in self.plans:
             self.required(headers, b"plan")
             raise BadRequest(400, "Plan names no plan")
-        if (body or rest) and method == b"GET":
+        if (body or body_pieces) and method == b"GET":
             raise BadRequest(400, "a GET with a body")
         units, width, first = read_quota(headers.get(b"quota-info") or self.required(headers, b"quota-info"))
         if not (0 < units <= self.most_units and 1 <= width <= self.gateways and first < self.gateways):
@@ -104,7 +104,7 @@
             headers.get(b"x-again") == b"1",
             self.head(method, target, call_id, headers, klass.repeats, body, size),
             body,
-            rest=rest,
+            body_pieces=body_pieces,
         )
 
     def head(
--- a/embersill/net/clients.py
+++ b/embersill/net/clients.py
@@ -101,7 +101,7 @@
         self.connection.flush()
         return self
 
-    def more(self, data: bytes) -> bool:
+    def send_piece(self, data: bytes) -> bool:
         self.text = (self.text or b"") + (b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
         self.connection.flush()
         return self.connection.has_room_for(self)
@@ -320,7 +320,7 @@
     def resume_writing(self) -> None:
         self.stuck = False
         if self.exchanges and self.exchanges[0].source is not None:
-            self.exchanges[0].source.go_on()
+            self.exchanges[0].source.resume()
         self.read_on()
 
     def flush(self) -> None:
@@ -334,7 +334,7 @@
             if exchange.source is not None:
                 exchange.text = b""
                 if not self.stuck:
-                    exchange.source.go_on()
+                    exchange.source.resume()
                 return self.pace()
             self.exchanges.popleft()
             if exchange.reserved:
--- a/embersill/net/driver.py
+++ b/embersill/net/driver.py
@@ -1,7 +1,7 @@
-"""Joins the decision module to the sockets: events in, actions out, one final answer a request.
+"""Connects the decision module to the network: events in, actions out, one response per request.
 
-Nothing is chosen here. What happened becomes an event of the module; its actions are carried out in their
-order. The one exception is the guard that answers a request which would otherwise go without, and logs it.
+No decisions are made here. What happens becomes an event for the module, and its actions are carried out
+in order. The one exception is the guard, which answers a request that the module left unanswered and logs it.
 """
 
 from __future__ import annotations
@@ -45,17 +45,18 @@
 if TYPE_CHECKING:
     from embersill.service.figures import Figures
 
-EARLY = 0.1  # seconds before the client's end at which the module takes a request to be over: the budget
-# runs from the client's send, the answer has its way back, and the core may be busy with another gateway
-GUARD = 0.05  # seconds before the client's end at which an unanswered request is failed by the guard
-SCANT = 0.25  # of the budget, at most, that these two may take
+# The module's deadline for a request is this much before the client's: the budget runs from the moment of the
+# client's send, the response takes time to travel back, and the CPU core may be busy with another gateway.
+DEADLINE_MARGIN_S = 0.1
+GUARD_MARGIN_S = 0.05  # before the client's deadline, the guard fails a request that has no response
+MAX_MARGIN_SHARE = 0.25  # of the budget that these two may take
 
 log = logging.getLogger("embersill")
 
 
 @dataclass(slots=True)
 class Call:
-    """A client's request in the protocol's terms, as it goes to the module and to backends."""
+    """A client's request in the protocol's terms, as the module and the backends get it."""
 
     id: bytes
     received: float
@@ -67,28 +68,30 @@
     width: int
     first_gateway: int
     repeat: bool
-    head: bytes  # request line and headers for a backend, but for the budget and the blank line
+    head: bytes  # request line and headers for a backend, without the budget and the blank line
     body: bytes
-    service: str = ""  # whose backends it goes to, where there are several
-    rest: list[bytes] | None = None  # in its place a body over 64 KiB, in the pieces in which it came
+    service: str = ""  # the service whose backends get it, if there are several
+    body_pieces: list[bytes] | None = None  # instead of `body`, the pieces of one over 64 KiB
 
 
 class Exchange(Protocol):
-    """Where a request's answer goes."""
+    """Where a request's response goes."""
 
-    def answer(self, status: int, body: bytes, headers: bytes = b"") -> None: ...
+    def answer(self, status: int, body: bytes, headers: bytes = b"") -> None:
+        """Sends a complete response."""
+        ...
 
     def begin(self, headers: bytes, length: int | None, source: BackendConnection) -> Sink:
-        """Begins an answer that is passed on while it comes."""
+        """Begins a streamed response."""
         ...
 
     def done(self, whole: bool) -> None:
-        """Ends that one; where it is not whole the client must be able to tell."""
+        """Ends a streamed response; the client must notice if it is not complete."""
         ...
 
 
-class Pending:
-    """A request that was taken, until it has its answer and the last of its attempts has ended."""
+class PendingRequest:
+    """An accepted request, until it has its response and its last attempt has ended."""
 
     __slots__ = (
         "attempts",
@@ -100,7 +103,7 @@
         "guard",
         "left_at",
         "number",
-        "out",
+        "open_attempts",
         "over",
         "streamed",
     )
@@ -108,65 +111,79 @@
     def __init__(self, driver: Driver, number: int, call: Call, exchange: Exchange) -> None:
         self.driver, self.number, self.call = driver, number, call
         self.exchange: Exchange | None = exchange
-        self.end = call.received + call.budget - min(EARLY, SCANT * call.budget)
+        self.end = call.received + call.budget - min(DEADLINE_MARGIN_S, MAX_MARGIN_SHARE * call.budget)
         self.attempts: list[Attempt] = []
-        self.out, self.over = 0, False
+        self.open_attempts, self.over = 0, False
         self.guard: Deadline | None = None
-        self.error: Answer | None = None  # a backend's own answer that is none of success
-        self.streamed: Attempt | None = None  # the one whose answer is being passed on
-        self.left_at = 0.0  # when its client was seen to have left without an answer; 0: it has not
+        self.error: Answer | None = None  # a backend's own error response
+        self.streamed: Attempt | None = None  # the attempt whose response is being streamed
+        self.left_at = 0.0  # when its client left without a complete response; 0: it has not
 
-    def attempt_began(
+    def stream_began(
         self, attempt: Attempt, headers: bytes, length: int | None, source: BackendConnection
     ) -> Sink | None:
-        return self.driver.attempt_began(self, attempt, headers, length, source)
+        """Passes the beginning of a streamed response to the driver."""
+        return self.driver.stream_began(self, attempt, headers, length, source)
 
     def attempt_ended(self, attempt: Attempt, answer: Answer) -> None:
+        """Passes the end of an attempt to the driver."""
         self.driver.attempt_ended(self, attempt, answer)
 
 
 class Decider(Protocol):
-    """What decides: the module itself, or a stand-in that asks one elsewhere and performs what it says."""
+    """The decision module, or a proxy that forwards events to one elsewhere and performs its actions."""
 
     @property
-    def settings(self) -> Settings: ...
+    def settings(self) -> Settings:
+        """The settings in force."""
+        ...
 
-    def handle(self, event: Event, now: float) -> list[Action]: ...
+    def handle(self, event: Event, now: float) -> list[Action]:
+        """Handles an event; returns the actions to carry out, in order."""
+        ...
 
 
-class Counts(Protocol):
-    """Where the module's calls of the counter go; what becomes of them comes back by `counter_told`."""
+class CounterClient(Protocol):
+    """Carries out the module's counter calls; their outcomes come back through `on_counted`."""
 
-    def count(self, action: Count) -> None: ...
+    def count(self, action: Count) -> None:
+        """Starts a call."""
+        ...
 
-    def move(self, address: tuple[str, int]) -> None: ...
+    def move(self, address: tuple[str, int]) -> None:
+        """Sends later calls to another counter."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes all connections."""
+        ...
 
 
 class Driver:
-    """Owns the one decider of this process."""
+    """Feeds events to the one decider of this process and carries out its actions."""
 
     def __init__(self, gateway: Decider, clock: Callable[[], float], pool: Pool) -> None:
         self.gateway, self.clock, self.pool = gateway, clock, pool
         self.most_units = gateway.settings.most_units
-        self.counter: Counts | None = None
-        self.reserve: Callable[[Borrow], None] | None = None  # `post` hears what it lends
-        self.busy = 429  # the status of a refusal that is not for the customer's quota
+        self.counter: CounterClient | None = None
+        self.reserve: Callable[[Borrow], None] | None = (
+            None  # the outcome comes back as an event, through `post`
+        )
+        self.busy_status = 429  # the status of a refusal for another reason than the customer's quota
         self.loop = asyncio.get_running_loop()
         self.deadlines = pool.deadlines
-        self.pending: dict[int, Pending] = {}
-        self.open: set[bytes] = set()  # the clients' ids of these
+        self.pending: dict[int, PendingRequest] = {}
+        self.open: set[bytes] = set()  # the client-given ids of the pending requests
         self.unanswered = 0
         self.taken = 0
         self.all_answered = asyncio.Event()
-        self.serving: set[str] = set()  # backends that the list shows as serving
-        self.listed: set[str] = set()  # these and those that drain
+        self.serving: set[str] = set()  # backends that are listed as serving
+        self.listed: set[str] = set()  # backends that are listed as serving or draining
         self.figures: Figures | None = None
         self.disconnects = ClientDisconnects()
         self.events: deque[tuple[Event, float]] = deque()
         self.handling = False
-        self.carry: dict[type, Callable[..., None]] = {
+        self.action_handlers: dict[type, Callable[..., None]] = {
             Send: self.send,
             SetTimer: self.set_timer,
             Refuse: self.refuse,
@@ -176,17 +193,17 @@
             Borrow: self.borrow,
         }
 
-    # what happened
+    # events
 
     def take(self, call: Call, exchange: Exchange) -> int:
-        """A client's request; its number is the module's name for it."""
+        """Accepts a client's request; returns the number that identifies it to the module."""
         self.taken += 1
-        pending = Pending(self, self.taken, call, exchange)
+        pending = PendingRequest(self, self.taken, call, exchange)
         self.pending[pending.number] = pending
         self.open.add(call.id)
         self.unanswered += 1
-        end = call.received + call.budget - min(GUARD, SCANT * call.budget / 2)
-        pending.guard = self.deadlines.at(end, self.rescue, pending)
+        end = call.received + call.budget - min(GUARD_MARGIN_S, MAX_MARGIN_SHARE * call.budget / 2)
+        pending.guard = self.deadlines.at(end, self.guard_expired, pending)
         self.post(
             Request(
                 pending.number,
@@ -204,9 +221,11 @@
         return pending.number
 
     def is_open(self, call_id: bytes) -> bool:
+        """True while a request with this client-given id is pending."""
         return call_id in self.open
 
     def client_left(self, number: int) -> None:
+        """The client closed its connection before the response was complete."""
         pending = self.pending.get(number)
         if pending is not None and not pending.over:
             pending.left_at = self.clock()
@@ -216,11 +235,12 @@
             self.forget(pending)
 
     def list_told(self, listing: Listing) -> None:
+        """Applies a list from discovery and posts it to the module."""
         backends: list[Backend] = []
         for entry in listing.entries:
             backend = entry.backend
             if backend.status is Status.SERVING:
-                # an address that goes to a new id is no longer the old one's, whose end may be told later
+                # an address that passes to a new id ends the old id, whose removal may be listed only later
                 for old in self.pool.at(entry.address):
                     if old != backend.address:
                         self.pool.retire(old)
@@ -245,26 +265,30 @@
         self.post(BackendList(listing.kind, tuple(backends)))
 
     def hold(self, held: BackendHold) -> None:
-        """Staff's word on a backend: nothing that waits to be written goes there any more."""
+        """Applies an operator's hold or release: attempts that are not yet written no longer go there."""
         self.post(held)
-        self.pool.rest_line(held.backend)
+        self.pool.suspend(held.backend)
 
-    def counter_told(self, counted: Counted) -> None:
+    def on_counted(self, counted: Counted) -> None:
+        """Posts the outcome of a counter call."""
         self.post(counted)
 
     def timer_due(self, key: str, due: float) -> None:
-        # the loop counts whole milliseconds and may come early: for the module a timer is never early
+        """Posts a timer of the module's.
+
+        The event loop counts whole milliseconds and may call too early; the module then sees the due time.
+        """
         self.post(TimerDue(key), due)
 
-    def attempt_began(
+    def stream_began(
         self,
-        pending: Pending,
+        pending: PendingRequest,
         attempt: Attempt,
         headers: bytes,
         length: int | None,
         source: BackendConnection,
     ) -> Sink | None:
-        """From the first byte that is passed on this attempt's answer is the request's, whole or not."""
+        """Begins a streamed response, which from now on is the request's response, complete or not."""
         exchange = pending.exchange
         if pending.over or exchange is None or pending.streamed is not None:
             return None
@@ -274,8 +298,9 @@
         self.post(StreamBegun(pending.number, attempt.place))
         return exchange.begin(headers, length, source)
 
-    def attempt_ended(self, pending: Pending, attempt: Attempt, answer: Answer) -> None:
-        pending.out -= 1
+    def attempt_ended(self, pending: PendingRequest, attempt: Attempt, answer: Answer) -> None:
+        """Sends a success to the client at once, and posts the end of the attempt."""
+        pending.open_attempts -= 1
         if pending.left_at:
             self.disconnects.attempt_ended(
                 self.clock() - pending.left_at,
@@ -290,7 +315,7 @@
             pending.error = answer
         elapsed = (attempt.began_at or self.clock()) - attempt.sent_at
         over = pending.over
-        units = answer.units if answer.units <= self.most_units else 0.0  # no request takes as much
+        units = answer.units if answer.units <= self.most_units else 0.0  # more than any request can use
         self.post(
             AttemptEnded(
                 pending.number,
@@ -305,10 +330,10 @@
         )
         self.forget(pending)
 
-    # the module
+    # handing events to the module
 
     def post(self, event: Event, due: float = 0.0) -> None:
-        """Hands an event on; one that an action brings about waits until all actions are carried out."""
+        """Handles an event; one that an action causes waits until all actions are carried out."""
         if self.handling:
             return self.events.append((event, due))
         self.handling = True
@@ -321,87 +346,101 @@
         return None
 
     def perform(self, actions: Iterable[Action]) -> None:
-        """Carries out decisions that were made elsewhere, and then what comes of them."""
+        """Carries out actions decided elsewhere, and handles the events that they cause."""
         self.handling = True
         try:
-            self.act(actions)
+            self.carry_out(actions)
             while self.events:
                 self.handle(*self.events.popleft())
         finally:
             self.handling = False
 
     def handle(self, event: Event, due: float) -> None:
+        """Hands one event to the module and carries out its actions."""
         try:
             now = self.clock()
-            self.act(self.gateway.handle(event, now if now > due else due))
-        except Exception:  # one event that goes wrong must not take the other requests with it
-            log.exception("the event %r went wrong", event)
+            self.carry_out(self.gateway.handle(event, now if now > due else due))
+        except Exception:  # a failure on one event must not affect other requests
+            log.exception("the event %r could not be handled", event)
 
-    def act(self, actions: Iterable[Action]) -> None:
-        carry = self.carry
+    def carry_out(self, actions: Iterable[Action]) -> None:
+        """Carries out actions in order."""
+        action_handlers = self.action_handlers
         for action in actions:
             kind = type(action)
-            if kind in carry:  # the one other is Subscribe: discovery is followed all the time
-                carry[kind](action)
+            if kind in action_handlers:  # only Subscribe has none: discovery is followed all the time
+                action_handlers[kind](action)
 
-    # what the module wants
+    # actions
 
     def send(self, action: Send) -> None:
+        """Starts an attempt."""
         pending = self.pending.get(action.request)
         if pending is None:
-            return log.warning("a send for request %d, which is over and done", action.request)
+            return log.warning("a send for request %d, which has already ended", action.request)
         now, place = self.clock(), len(pending.attempts)
         until = pending.end if action.timeout <= 0 else min(pending.end, now + action.timeout)
         attempt = Attempt(
             action.backend, pending.call.head, pending.call.body, now, until, place, pending, action.write_by
         )
-        attempt.rest, attempt.id = pending.call.rest, pending.call.id
+        attempt.body_pieces, attempt.id = pending.call.body_pieces, pending.call.id
         pending.attempts.append(attempt)
-        pending.out += 1
+        pending.open_attempts += 1
         if pending.over or now >= pending.end:
             return attempt.end(Answer(Outcome.NOT_SENT))
         return self.pool.start(attempt)
 
     def cancel(self, action: Cancel) -> None:
+        """Cancels an attempt."""
         pending = self.pending.get(action.request)
         if pending is not None and action.attempt < len(pending.attempts):
             pending.attempts[action.attempt].end(Answer(Outcome.CANCELLED))
 
     def refuse(self, action: Refuse) -> None:
-        advice = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0 else b""
-        self.finish_number(action.request, 429 if action.over_quota else self.busy, b"", advice)
+        """Refuses a request, with advice on when to retry."""
+        retry_header = b"Retry-After: %.3f\r\n" % action.retry_after if action.retry_after > 0 else b""
+        self.finish_by_number(
+            action.request, 429 if action.over_quota else self.busy_status, b"", retry_header
+        )
 
     def fail(self, action: Fail) -> None:
+        """Fails a request."""
         pending = self.pending.get(action.request)
         error = None if pending is None else pending.error
-        if error is not None:  # what the backend said itself tells the client more than a word of ours
-            return self.finish_number(action.request, error.status, error.body, error.headers)
-        return self.finish_number(action.request, 502)
+        if error is not None:  # the backend's own error tells the client more than a plain 502
+            return self.finish_by_number(action.request, error.status, error.body, error.headers)
+        return self.finish_by_number(action.request, 502)
 
     def set_timer(self, action: SetTimer) -> None:
+        """Sets a timer of the module's."""
         due = self.clock() + action.delay
         self.loop.call_later(action.delay, self.timer_due, action.key, due)
 
     def count(self, action: Count) -> None:
+        """Starts a counter call; without a counter it fails at once."""
         if self.counter is None:
             return self.post(Counted(action.name, Outcome.NO_CONNECTION, 0.0, 0.0))
         return self.counter.count(action)
 
     def borrow(self, action: Borrow) -> None:
+        """Asks the shared reserve for units; without a reserve nothing is lent."""
         if self.reserve is None:
             return self.post(Lent(action.customer, 0.0))
         return self.reserve(action)
 
-    # final answers
+    # final responses
 
-    def finish_number(self, number: int, status: int, body: bytes = b"", headers: bytes = b"") -> None:
+    def finish_by_number(self, number: int, status: int, body: bytes = b"", headers: bytes = b"") -> None:
+        """Sends the final response to a request, unless it has one."""
         pending = self.pending.get(number)
         if pending is not None and not pending.over:
             self.finish(pending, status, body, headers)
             self.forget(pending)
 
-    def finish(self, pending: Pending, status: int = 0, body: bytes = b"", headers: bytes = b"") -> None:
-        """The one place where a request ends; with no status its client is gone and hears nothing."""
+    def finish(
+        self, pending: PendingRequest, status: int = 0, body: bytes = b"", headers: bytes = b""
+    ) -> None:
+        """Ends a request; every request ends here. Without a status, the client has left and gets nothing."""
         pending.over = True
         self.unanswered -= 1
         if not self.unanswered:
@@ -417,30 +456,32 @@
             else:
                 exchange.answer(status, body, headers)
         for attempt in pending.attempts:
-            if not (attempt.ended or attempt.written):  # it must not be written for a request that is over
+            if not (attempt.ended or attempt.written):  # it must not be written after its request has ended
                 attempt.end(Answer(Outcome.NOT_SENT))
             elif attempt is pending.streamed and not attempt.ended:
-                attempt.end(Answer(Outcome.CANCELLED))  # nobody is there to read the rest
+                attempt.end(Answer(Outcome.CANCELLED))  # the client does not get the rest
 
-    def forget(self, pending: Pending) -> None:
-        if pending.over and not pending.out and self.pending.pop(pending.number, None) is not None:
+    def forget(self, pending: PendingRequest) -> None:
+        """Removes a request that has ended together with all its attempts."""
+        if pending.over and not pending.open_attempts and self.pending.pop(pending.number, None) is not None:
             self.open.discard(pending.call.id)
 
-    def rescue(self, pending: Pending) -> None:
-        """The guard: the module should have ended this request by now, and its client's time is up."""
+    def guard_expired(self, pending: PendingRequest) -> None:
+        """Fails a request that the module has not ended although its client's deadline is near."""
         if not pending.over:
-            log.warning("request %d had no answer from the module at its end", pending.number)
+            log.warning("request %d had no response from the module by its deadline", pending.number)
             self.finish(pending, 504)
             self.post(ClientLeft(pending.number))
             self.forget(pending)
 
-    def rescue_all(self) -> None:
+    def fail_unanswered(self) -> None:
+        """Fails all requests that have no response."""
         for pending in list(self.pending.values()):
-            self.rescue(pending)
+            self.guard_expired(pending)
 
-    async def wait_answered(self, at_most: float) -> bool:
-        """Waits until nothing that was taken is unanswered; False if that took too long."""
-        end = self.clock() + at_most
+    async def wait_answered(self, timeout_s: float) -> bool:
+        """Waits until all accepted requests have responses; False if that takes too long."""
+        end = self.clock() + timeout_s
         while self.unanswered:
             self.all_answered.clear()
             try:
--- a/embersill/operated.py
+++ b/embersill/operated.py
@@ -104,7 +104,7 @@
                 clock,
                 told.settings.counter_patience,
                 told.limits.dial_timeout,
-                self.driver.counter_told,
+                self.driver.on_counted,
             )
 
     async def start(self) -> None:
--- a/embersill/rig/soak/fences.py
+++ b/embersill/rig/soak/fences.py
@@ -35,7 +35,7 @@
             "a gateway that is told to end would not wait for what it has taken",
             "max(end - self.clock() - 5 * SHORT, SHORT)",
             "SHORT",
-            (("embersill.edge.program", "self.driver.rescue_all()", "pass"),),
+            (("embersill.edge.program", "self.driver.fail_unanswered()", "pass"),),
         ),
         Fence(
             "identity",
--- a/embersill/roles.py
+++ b/embersill/roles.py
@@ -99,7 +99,7 @@
                 told.counter,
                 told.settings.counter_patience,
                 told.limits.dial_timeout,
-                self.driver.counter_told,
+                self.driver.on_counted,
             )
         self.driver.list_told(told.known)
         pace = Pace(told.settings.list_pushed, told.settings.gateways, told.seed)
@@ -118,7 +118,7 @@
             avoided = decides.avoided if isinstance(decides, Gateway) else lambda: 0
             self.operations = Operations(self, told.name, avoided)
             self.front.shares, self.front.read_within = True, SLOW_WITHIN
-            self.pool.pass_long_answers()
+            self.pool.enable_streaming()
             self.front.room_in_all = self.front.room = int(told.memory * BODIES_PART)
 
     def serves(self) -> bool:
@@ -164,7 +164,7 @@
         await asyncio.sleep(LAST_READ)
         self.front.close_idle()
         if not await self.driver.wait_answered(all_answered - still_coming - LAST_READ):
-            self.driver.rescue_all()
+            self.driver.fail_unanswered()
         self.front.close_idle()
         await self.front.wait_drained(LAST_BYTES)
         self.front.close()
--- a/embersill/tiers/links.py
+++ b/embersill/tiers/links.py
@@ -505,7 +505,7 @@
         if self.core.withdrawn:
             assert self.driver is not None
             for backend in self.core.withdrawn:
-                self.driver.pool.call_back(backend)
+                self.driver.pool.cancel_dials(backend)
             self.core.withdrawn.clear()
 
     def perform(self, actions: Iterable[Action]) -> None:
--- a/tests/edge/test_connection_states.py
+++ b/tests/edge/test_connection_states.py
@@ -16,7 +16,7 @@
 
 from embersill.edge.dataplane.dialect import EdgeDialect
 from embersill.interface import Outcome
-from embersill.net.backends import RESTED, Answer, Attempt, BackendConnection, Pool
+from embersill.net.backends import MIN_IDLE_S, Answer, Attempt, BackendConnection, Pool
 from tests.bed import run
 
 HOST = "127.0.0.1"
@@ -185,7 +185,7 @@
     def __init__(self) -> None:
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
-    def attempt_began(
+    def stream_began(
         self, attempt: Attempt, headers: bytes, length: int | None, source: BackendConnection
     ) -> None:
         raise AssertionError("another request's answer is passed on")
@@ -198,7 +198,7 @@
     owner, now = Owner(), pool.clock()
     head = b"POST /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %b\r\nContent-Length: %d\r\n" % (name, size)
     attempt = Attempt("b", head, b"", now, now + WAIT, 0, owner)
-    attempt.id, attempt.rest = name, [b"y" * size]
+    attempt.id, attempt.body_pieces = name, [b"y" * size]
     pool.start(attempt)
     return await owner.answer
 
@@ -235,7 +235,7 @@
         backend = Backend(behave)
         server = await asyncio.start_server(backend.serve, HOST, 0)
         pool = Pool(asyncio.get_running_loop().time, 0.25, 60.0, 10, EdgeDialect())
-        pool.pass_long_answers()
+        pool.enable_streaming()
         pool.set_address("b", server.sockets[0].getsockname()[:2])
         first = await attempted(pool, b"one", size)
         assert first.outcome is outcome
@@ -243,7 +243,7 @@
             assert b"one" not in backend.ran  # the promise that lets it go elsewhere
         if first.outcome is Outcome.SERVED:
             assert first.body == b"own"
-        await asyncio.sleep(RESTED + 0.15)
+        await asyncio.sleep(MIN_IDLE_S + 0.15)
         for name in (b"two", b"three"):
             following = await attempted(pool, name, 2)
             assert (following.outcome, following.body) == (Outcome.SERVED, b"own")
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -13,7 +13,15 @@
 
 from embersill.interface import Outcome
 from embersill.net import backends
-from embersill.net.backends import MOST_BODY, MOST_HEAD, RESTED, Answer, Attempt, BackendConnection, Pool
+from embersill.net.backends import (
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MIN_IDLE_S,
+    Answer,
+    Attempt,
+    BackendConnection,
+    Pool,
+)
 from tests.bed import run
 from tests.peers import HOST, SOON, Asked, BackendPeer, Step, message
 
@@ -29,7 +37,7 @@
     def attempt_ended(self, attempt: Attempt, answer: Answer) -> None:
         self.answer.set_result(answer)
 
-    def attempt_began(
+    def stream_began(
         self, attempt: Attempt, headers: bytes, length: int | None, source: BackendConnection
     ) -> None:
         raise AssertionError("long answers are not passed on here")
@@ -93,8 +101,8 @@
         (message(504, b"", "X-Rejected: 1"), Outcome.TURNED_AWAY),
         (message(504, b"", "X-Rejected: 0"), Outcome.ERROR),
         (b"rubbish\r\n\r\n", Outcome.BROKEN),
-        (message(200, b"x" * MOST_BODY), Outcome.SERVED),
-        (message(200, b"x" * (MOST_BODY + 1)), Outcome.BROKEN),
+        (message(200, b"x" * MAX_BODY_BYTES), Outcome.SERVED),
+        (message(200, b"x" * (MAX_BODY_BYTES + 1)), Outcome.BROKEN),
     ],
 )
 def test_an_answer_tells_whether_the_attempt_ran(text: bytes, outcome: Outcome) -> None:
@@ -128,7 +136,7 @@
     async def test() -> None:
         async with sending(says(message(200)), cuts) as (sender, peer):
             assert await sender.outcome() is Outcome.SERVED
-            await asyncio.sleep(2 * RESTED)
+            await asyncio.sleep(2 * MIN_IDLE_S)
             assert await sender.outcome() is Outcome.BROKEN
             assert len(peer.seen) == 2 and peer.connections == 1
 
@@ -251,13 +259,13 @@
             _, second = sender.start(5.0)
             await peer.until(lambda: len(peer.seen) == 2)
             assert await sender.outcome() is Outcome.SERVED  # a third connection, kept
-            line = sender.pool.lines["b"]
+            line = sender.pool.endpoints["b"]
             assert len(line.idle) == 1
             attempt = next(c.attempt for c in sender.pool.connections if c.attempt is not None)
             attempt.time_out()
             assert not line.idle and (first.done() or second.done())
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 4
-            sender.pool.set_address("b", sender.pool.lines["b"].address, 7.0)
+            sender.pool.set_address("b", sender.pool.endpoints["b"].address, 7.0)
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 5
 
     run(test)
@@ -274,7 +282,7 @@
             first.end(Answer(Outcome.CANCELLED))
             await peer.until(lambda: peer.ended == 1)
             assert await sender.outcome() is Outcome.SERVED
-            sender.pool.set_address("c", sender.pool.lines["b"].address)
+            sender.pool.set_address("c", sender.pool.endpoints["b"].address)
             now = sender.pool.clock()
             sender.pool.start(Attempt("c", HEAD, b"ab", now, now + 5, 0, Ended()))
             await peer.until(lambda: peer.ended >= 2)
@@ -302,7 +310,7 @@
             _, first = sender.start()
             answer = await first
             assert (answer.outcome, answer.body, answer.units) == (Outcome.SERVED, b"mine", 2.0)
-            await asyncio.sleep(2 * RESTED)
+            await asyncio.sleep(2 * MIN_IDLE_S)
             assert (await sender.start()[1]).body == b"next"
             assert peer.connections == 2  # what brings more than it was asked for is not used again
 
@@ -313,7 +321,7 @@
     async def test() -> None:
         async with sending(says(message(200, b"mine"))) as (sender, peer):
             await sender.outcome()
-            await asyncio.sleep(2 * RESTED)
+            await asyncio.sleep(2 * MIN_IDLE_S)
             (connection,) = sender.pool.connections
             assert connection.is_quiet()
             sock = next(iter(peer.open)).get_extra_info("socket")
@@ -341,7 +349,7 @@
                 assert answer == Answer(Outcome.SERVED, b"real", 0.0, b"")
             else:
                 assert answer.outcome is Outcome.ERROR  # the rejection was not the real answer's
-            await asyncio.sleep(2 * RESTED)
+            await asyncio.sleep(2 * MIN_IDLE_S)
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 1
 
     run(test)
@@ -350,12 +358,13 @@
 @pytest.mark.parametrize(
     "text",
     [
-        b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppppppppppppppp\r\n" * (MOST_HEAD // 20),
-        b"HTTP/1.1 100 Continue\r\n\r\n" * (MOST_HEAD // 20),
+        b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppppppppppppppp\r\n" * (MAX_HEAD_BYTES // 20),
+        b"HTTP/1.1 100 Continue\r\n\r\n" * (MAX_HEAD_BYTES // 20),
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
         b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nabc",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1;xxxxxxxx\r\na\r\n" * (MOST_BODY // 5),
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        + b"1;xxxxxxxx\r\na\r\n" * (MAX_BODY_BYTES // 5),
         b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
         b"HTTP/1.1 200 OK\r\nContent-Le",
     ],
@@ -366,7 +375,7 @@
     # each of these was waited for until the attempt's time was up, and the request failed with it
     async def test() -> None:
         if len(text) > 50 or b"\r\n\r\n" in text and b": 10\r" not in text:  # all but those that just stop
-            monkeypatch.setattr(backends, "STALLED", 1000.0)
+            monkeypatch.setattr(backends, "STALL_TIMEOUT_S", 1000.0)
         async with sending(says(text)) as (sender, peer):
             assert await sender.outcome(1000.0) is Outcome.BROKEN
             await peer.until(lambda: peer.ended == 1)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from embersill.net.backends import RESTED
+from embersill.net.backends import MIN_IDLE_S
 from embersill.net.clients import MOST_BODY, MOST_ERRORS, MOST_HEAD, SETTLED
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
 from tests.peers import SOON, Asked, message, serve, serve_after
@@ -38,7 +38,7 @@
     async def test(bed: Bed, client: Client) -> None:
         for number in range(5):
             assert (await client.ask(request(number)))[0] == 200
-            await asyncio.sleep(2 * RESTED)
+            await asyncio.sleep(2 * MIN_IDLE_S)
         assert bed.backends[0].connections == 1
 
     with_bed(test)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -143,7 +143,7 @@
             await bed.discovery.until_asked(asked + 1)
             driver = bed.program.driver
             assert isinstance(driver.gateway, Gateway)
-            assert driver.serving == {"new"} == set(driver.pool.lines) == set(driver.gateway.servers)
+            assert driver.serving == {"new"} == set(driver.pool.endpoints) == set(driver.gateway.servers)
             assert (await client.ask(request(2)))[0] == 200
             assert bed.backends[0].connections == 2  # none that was dialled for the old one
 
