--- a/embersill/lab/fuzzing/targets.py
+++ b/embersill/lab/fuzzing/targets.py
@@ -259,7 +259,7 @@
         for _, key in timers:
             core.timer_due(key, at, at)
         if "f0" in core.sessions:
-            core.said(session)
+            core.take_outbox(session)
     for throttle in core.gateway.throttles.values():
         expect(math.isfinite(throttle.cap) and math.isfinite(throttle.level), "a level that is no number")
         plan = throttle.plan
--- a/embersill/lab/levels/fences.py
+++ b/embersill/lab/levels/fences.py
@@ -24,7 +24,7 @@
         (
             (
                 FORWARDER,
-                "min(echoed + self.terms.fresh + WRITTEN_WITHIN, self.remembered_until(task))",
+                "min(echoed + self.terms.fresh + WRITE_GRACE_S, self.remembered_until(task))",
                 "self.remembered_until(task)",
             ),
         ),
@@ -33,7 +33,7 @@
         "write-by",
         FORWARDER,
         "a dial that takes long is written however late",
-        "min(echoed + self.terms.fresh + WRITTEN_WITHIN, self.remembered_until(task))",
+        "min(echoed + self.terms.fresh + WRITE_GRACE_S, self.remembered_until(task))",
         "self.remembered_until(task)",
     ),
     Fence(
@@ -121,7 +121,7 @@
         "reserve-told",
         FORWARDER,
         "a new planner does not hear what is held",
-        "out.append(Holds(holds[start : start + REPORTED]))",
+        "out.append(Holds(holds[start : start + CUSTOMERS_PER_MESSAGE]))",
         "pass",
     ),
     Fence(
@@ -135,7 +135,7 @@
         "reserve-known",
         PLANNER,
         "a new planner takes what others hold for its own",
-        "return cap - self.held_of(part, customer), level",
+        "return cap - self.reserves_held(part, customer), level",
         "return cap, level",
     ),
     Fence(
@@ -206,14 +206,14 @@
         "proven",
         PLANNER,
         "a stale loan counts though its forwarder may be elsewhere",
-        "return shown_at(lender.session) >= part.changed_at  #",
+        "return proven_at(lender.session) >= part.changed_at  #",
         "return True  #",
     ),
     Fence(
         "at-one-moment",
         PLANNER,
         "a part is whole though one forwarder may have left before the last came",
-        "shown_at(lender.session) >= part.changed_at and self",
+        "proven_at(lender.session) >= part.changed_at and self",
         "self",
     ),
     Fence(
@@ -248,8 +248,8 @@
         "inherited",
         PLANNER,
         "attempts of a request that is taken over are forgotten",
-        "self.tell(Inherited(job.request, ask.age, attempts))",
-        "self.tell(Inherited(job.request, ask.age, ()))",
+        "self.run_module(Inherited(job.request, ask.age, attempts))",
+        "self.run_module(Inherited(job.request, ask.age, ()))",
     ),
     # what a ledger and a wire keep
     Fence(
--- a/embersill/lab/levels/nodes.py
+++ b/embersill/lab/levels/nodes.py
@@ -220,7 +220,7 @@
         for wire in tuple(self.wires):
             session = wire.session
             if session is not None and (session.outbox or session.acked > session.acked_told):
-                messages, basis, acked = core.said(session)
+                messages, basis, acked = core.take_outbox(session)
                 if self.world.detailed:
                     self.world.sent(self, wire.forwarder, messages)
                 wire.say(self, messages, basis, acked)
--- a/embersill/lab/levels/search.py
+++ b/embersill/lab/levels/search.py
@@ -349,7 +349,7 @@
         core = self.planners[name]
         for (forwarder, planner), session in sorted(self.sessions.items(), key=lambda item: item[0]):
             if planner == name and (session.outbox or session.acked > session.acked_told):
-                messages, basis, acked = core.said(session)
+                messages, basis, acked = core.take_outbox(session)
                 if (forwarder, planner) in self.linked:
                     self.queues[planner, forwarder].append(Batch(0, basis, acked, messages))
 
--- a/embersill/tiers/forwarder.py
+++ b/embersill/tiers/forwarder.py
@@ -1,9 +1,9 @@
-"""What a forwarder decides itself: whom it asks, whose word it obeys, and what it lends. No I/O.
+"""A forwarder's logic: which planner it asks, whose grants it executes, which shares it lends. No I/O.
 
-Everything about servers, retries and refusals comes from the decision module: at a planner, or, where none
-can be asked, in an instance of the module here that has this forwarder's share and no more.
+All decisions on backends, retries and refusals come from the decision module: at a planner, or, if none can
+be reached, from a local instance of the module that is limited to this forwarder's share.
 
-`Forwarder.handle` is what a gateway's driver calls in place of the module's; the links call the rest. Each
+A gateway's driver calls `Forwarder.handle` in place of the module's; the links call the other methods. Each
 call returns actions for the driver, and leaves messages for planners in `outbox`.
 """
 
@@ -65,17 +65,19 @@
 from embersill.tiers.reasons import limiting_factor
 from embersill.tiers.terms import Terms
 
-LENT_AT_ONCE = 2000  # customers whose spends are reported in one go, or those of one part: some 20 ms
-REPORTED = 50  # customers in one Spent message: it fits any frame
-REMEMBERED = 60.0  # seconds after its end that a loan is kept: for so long a share may have filled since
-WRITTEN_WITHIN = 0.05  # seconds past its freshness that a grant's request may begin: 0.5 s in all, less drift
-ALONE = 1.5  # times its part of a quota that a forwarder on its own serves: rather a little too much
-KEPT_ECHOES = 64  # of which the times are kept: far more than fit into a grant's freshness
+MAX_CUSTOMERS_PER_REVIEW = 2000  # whose spends are reported at once, or one part's: about 20 ms
+CUSTOMERS_PER_MESSAGE = 50  # in one Spent message, which then fits any frame
+ENDED_LOANS_KEPT_S = 60.0  # an ended loan is kept this long: the share may refill from its end
+WRITE_GRACE_S = (
+    0.05  # a request may be written this long after its grant's freshness: 0.5 s in all, less drift
+)
+ALONE_QUOTA_FACTOR = 1.5  # without a planner it serves this multiple of its part of a quota: rather too much
+MAX_ECHOES = 64  # whose times are kept: far more than fit into a grant's freshness
 
 
 @dataclass(slots=True)
 class Link:
-    """What is known of one planner. Down: `up` is False, and nothing is sent to it."""
+    """The state of one planner. While `up` is False nothing is sent to it."""
 
     name: str
     up: bool = False
@@ -83,12 +85,12 @@
     gathered: bool = False
     silent: bool = False
     incarnation: str = ""
-    heard: float = 0.0  # when it last said anything
-    reach: int = -1  # how many forwarders it hears, by its word; below nought: it has not said
-    short: bool = False  # it has heard fewer than another planner for long enough to count
-    turned: float = float("inf")  # since when it has heard fewer, while that does not count yet
-    fit_since: float = 0.0  # when it was heard again, after it was not
-    echoes: dict[int, float] = field(default_factory=dict)  # beat: when it was echoed
+    heard: float = 0.0  # when its last message arrived
+    reach: int = -1  # forwarders that it says it receives from; negative: not reported yet
+    short: bool = False  # it has reached fewer forwarders than another planner for `silent_after`
+    short_since: float = float("inf")  # since when it has reached fewer, before that counts
+    reachable_since: float = 0.0  # since when it is reachable
+    echoes: dict[int, float] = field(default_factory=dict)  # beat number: when it was echoed
     last_echo: float = float("-inf")
     acked: int = 0
 
@@ -99,56 +101,59 @@
 
 @dataclass(slots=True)
 class Part:
-    """One part of the customers, as this forwarder sees it."""
+    """This forwarder's state of one part of the customers."""
 
     number: int
-    order: list[str]  # its planners, the first choice first
+    order: list[str]  # its planners, the most preferred first
     holder: Link | None = None
-    term: int = 0  # of the loan to it
-    lent: bool = True  # some planner may still use the share; looked at with each tick
+    term: int = 0  # identifier of the loan to the holder
+    lent: bool = True  # some planner may still use the share; updated at each tick
     # incarnations of planners that held it: until when each may use this forwarder's share of its ceilings
     loans: dict[str, float] = field(default_factory=dict)
-    recalled: int = 0  # token of a Recall that is out; nought if none is
+    recalled: int = 0  # token of a pending Recall; zero if there is none
     recall_until: float = 0.0
 
     def free_at(self, but_for: str | None = None) -> float:
-        """When no planner uses the share any more, but for the life of one that is named."""
+        """When no planner may use the share any more, except the incarnation `but_for`."""
         return max((until for life, until in self.loans.items() if life != but_for), default=0.0)
 
     def forget_ended(self, now: float) -> None:
-        self.loans = {life: until for life, until in self.loans.items() if until > now - REMEMBERED}
+        """Drops loans that ended more than ENDED_LOANS_KEPT_S ago."""
+        self.loans = {life: until for life, until in self.loans.items() if until > now - ENDED_LOANS_KEPT_S}
 
 
 @dataclass(slots=True)
 class Reserved:
-    """What this forwarder holds of a customer's ceiling, and its part of what the customer asks for."""
+    """This forwarder's reserve of a customer's ceiling, and its fraction of the customer's demand."""
 
     units: float
     portion: float
 
 
-NOTHING = Reserved(0.0, 0.0)  # of a customer of whom this forwarder was told nothing: never changed
+NO_RESERVE = Reserved(0.0, 0.0)  # shared default of customers without a reserve; never modified
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """A request that the driver owes an answer or whose attempts are out."""
+    """A request that is unanswered or has attempts in flight."""
 
     request: Request
     part: Part
     arrived: float
-    ask: int = 0  # its name at the planner that decides it; nought: it is decided here, or waits
+    ask: int = 0  # its identifier at the deciding planner; zero: decided locally, or waiting
     link: Link | None = None
     local: bool = False
     over: bool = False
-    charged: float | None = None  # when its units were put into the ledger, if they stand there
-    # (backend, sent, outcome) by the driver's numbers
+    charged: float | None = None  # when its units were recorded in the ledger, if they are there
+    # (backend, sent, outcome), indexed by the driver's attempt numbers
     attempts: list[tuple[str, float, Outcome | None]] = field(default_factory=list)
-    theirs: list[int] = field(default_factory=list)  # the driver's number of each attempt of the planner's
+    planner_attempts: list[int] = field(
+        default_factory=list
+    )  # the planner's attempts: the driver's number of each
 
 
 class Forwarder:
-    """One forwarder among `forwarders`, which ask `planners` about `parts` parts of the customers."""
+    """One of `forwarders` forwarders, which ask `planners` about the customers in `parts` parts."""
 
     def __init__(
         self,
@@ -165,34 +170,36 @@
         self.settings, self.terms, self.share = settings, terms, 1.0 / forwarders
         self.plans = {p.name: p for p in settings.plans}
         self.keyed = {c.name: c for c in settings.classes if c.repeats is Repeats.BY_KEY}
-        # the module here decides alone, as one of the forwarders, with no counter to tell of the others
+        # the local module decides as one of several gateways, without a counter for the others' use
         alone = replace(settings, gateways=forwarders, counter=False)
         self.local = Gateway(alone, seed, now)
         self.links = {name: Link(name) for name in planners}
         self.parts = [
-            # what an earlier life of this process lent may still be in use
+            # an earlier process may have lent the share, and it may still be in use
             Part(n, ranking(n, self.links), loans={"": now + terms.bequest})
             for n in range(parts)
         ]
         self.ledger = Ledger(settings.plans, most_customers, now, parts)
-        self.unlent = False  # parts wait to be lent: each costs time in which nothing is forwarded
+        self.lend_pending = False  # parts wait to be lent: a report takes time in which nothing is forwarded
         self.tasks: dict[int, Task] = {}
         self.asks: dict[int, Task] = {}
         self.last_ask = self.last_token = self.last_term = 0
         self.most_customers = most_customers
-        self.reserves: dict[str, Reserved] = {}  # by customer, the one told of last at the end
-        self.patience: list[tuple[float, int]] = []  # heap of (until, ask) not known to be taken
+        self.reserves: dict[str, Reserved] = {}  # by customer, the most recently updated last
+        self.patience: list[
+            tuple[float, int]
+        ] = []  # heap of (until, ask) that the planner has not acknowledged
         self.outbox: dict[str, list[AnyMessage]] = {name: [] for name in self.links}
         self.actions: list[Action] = []
-        self.dead: list[str] = []  # planners whose links are to be closed: nothing is heard on them
-        self.withdrawn: list[str] = []  # backends that planners say drain, for the driver's pool
+        self.dead: list[str] = []  # planners whose links are to be closed, since nothing arrives on them
+        self.withdrawn: list[str] = []  # backends that planners report as draining, for the driver's pool
         self.refusals: Counter[str] = Counter()  # by reason
-        self.on_refused: Callable[[Request, str], None] | None = None  # for whoever wants each
+        self.on_refused: Callable[[Request, str], None] | None = None  # called for each refusal
         self.counts = {"asked": 0, "local": 0, "moved": 0, "stale": 0}
         self.now = now
         self.stopping = False
 
-    # the driver's side
+    # called by the driver
 
     def handle(self, event: Event, now: float) -> list[Action]:
         self.now = max(self.now, now)
@@ -204,7 +211,7 @@
         elif isinstance(event, ClientLeft):
             self.client_left(event)
         elif isinstance(event, BackendList | TimerDue):
-            self.tell_local(event)
+            self.run_local(event)
         return self.actions
 
     def arrive(self, request: Request) -> None:
@@ -217,7 +224,7 @@
         part = task.part
         if part.holder is None:
             self.decide_here(task)
-        elif not part.recalled:  # else it waits for the move, which `lend` or a tick ends
+        elif not part.recalled:  # else it waits for the part to move, in `lend` or at a tick
             self.ask(task, part.holder)
 
     def ask(self, task: Task, link: Link) -> None:
@@ -225,7 +232,7 @@
         self.last_ask += 1
         task.ask, task.link = self.last_ask, link
         self.asks[task.ask] = task
-        task.theirs = list(range(len(task.attempts)))
+        task.planner_attempts = list(range(len(task.attempts)))
         left = request.deadline - self.now
         if task.attempts:
             attempts = [
@@ -266,12 +273,12 @@
             task.charged = None
         task.over = task.over or event.over
         if task.local:
-            self.tell_local(event)
-        elif task.link is not None and event.attempt in task.theirs:
+            self.run_local(event)
+        elif task.link is not None and event.attempt in task.planner_attempts:
             self.outbox[task.link.name].append(
                 Ended(
                     task.ask,
-                    task.theirs.index(event.attempt),
+                    task.planner_attempts.index(event.attempt),
                     event.backend,
                     event.outcome.value,
                     event.elapsed,
@@ -287,28 +294,28 @@
             return
         task.over = True
         if task.local:
-            self.tell_local(event)
+            self.run_local(event)
         elif task.link is not None:
             self.outbox[task.link.name].append(Left(task.ask))
         self.forget(task)
 
     def forget(self, task: Task) -> None:
-        """A request is over with its answer and the end of its last attempt."""
+        """Drops a request that is answered and whose last attempt has ended."""
         if task.over and all(outcome is not None for _, _, outcome in task.attempts):
             self.tasks.pop(task.request.id, None)
             self.asks.pop(task.ask, None)
 
-    # decisions made here
+    # local decisions
 
     def decide_here(self, task: Task) -> None:
-        """Has the module here decide a request, with its attempts so far and this forwarder's share."""
+        """Lets the local module decide a request, with its attempts so far and this forwarder's share."""
         self.release(task)
         task.local = True
         self.counts["local"] += 1
         request = replace(task.request, width=1)
-        self.allot_here(request.customer, request.plan, task.part)
+        self.allot_alone(request.customer, request.plan, task.part)
         if task.attempts:
-            self.tell_local(
+            self.run_local(
                 Inherited(
                     request,
                     self.now - task.arrived,
@@ -316,66 +323,66 @@
                 )
             )
         else:
-            self.tell_local(request)
+            self.run_local(request)
 
-    def allot_here(self, customer: str, plan_name: str, part: Part) -> None:
-        """This forwarder's part of a customer's quota, and of its ceiling once nobody else may use it."""
+    def allot_alone(self, customer: str, plan_name: str, part: Part) -> None:
+        """Allots this forwarder's part of a quota, and of a ceiling once no planner may use it."""
         plan = self.plans.get(plan_name)
         if plan is None:
             return
-        kept, cap = self.reserves.get(customer, NOTHING), None
+        kept, cap = self.reserves.get(customer, NO_RESERVE), None
         if plan.ceiling_rate > 0 and (part.lent or customer not in self.local.throttles):
-            cap = self.cap_here(part, plan, kept)
+            cap = self.cap_alone(part, plan, kept)
         self.allot_local(part, customer, plan, kept, cap)
 
-    def cap_here(self, part: Part, plan: Plan, kept: Reserved) -> float:
-        """What is here of a ceiling that nothing was spent of here since it was lent last.
+    def cap_alone(self, part: Part, plan: Plan, kept: Reserved) -> float:
+        """The available part of a ceiling of which nothing was spent locally since it was last lent.
 
-        The reserve is there at any time. The share fills once no planner may use it any more, and as if from
-        then on however late that is looked at.
+        The reserve is always available. The share fills from the moment that no planner may use it any more,
+        even if this is computed later.
         """
         filled = 0.0 if part.lent else plan.ceiling_rate * self.share * (self.now - part.free_at())
         return kept.units + filled
 
     def allot_local(self, part: Part, customer: str, plan: Plan, kept: Reserved, cap: float | None) -> None:
-        # a quota is soft: one that comes here only since this forwarder is alone has an even part at least
-        portion = min(ALONE * max(kept.portion, self.share), 1.0)
+        # quotas are soft: a customer that is new to this forwarder gets at least an even part
+        portion = min(ALONE_QUOTA_FACTOR * max(kept.portion, self.share), 1.0)
         ceiling, depth = self.share, max(plan.ceiling_depth * self.share, kept.units)
-        if part.lent:  # it does not fill here
+        if part.lent:  # a lent share does not fill here
             ceiling, depth = 0.0, kept.units
-        self.tell_local(Allotted(customer, plan.name, portion, ceiling, cap, None, depth))
+        self.run_local(Allotted(customer, plan.name, portion, ceiling, cap, None, depth))
 
     def allot_part(self, part: Part) -> None:
-        """The share is lent, or is free again: nothing that waits here leaves on what is another's now."""
+        """Updates the module after the share was lent or freed, so that it never spends a lent share."""
         part.lent = part.holder is not None or part.free_at() > self.now
         for customer, throttle in list(self.local.throttles.items()):
             plan = throttle.plan
             if plan.ceiling_rate > 0 and part_of(customer, len(self.parts)) == part.number:
-                kept = self.reserves.get(customer, NOTHING)
-                self.allot_local(part, customer, plan, kept, self.cap_here(part, plan, kept))
+                kept = self.reserves.get(customer, NO_RESERVE)
+                self.allot_local(part, customer, plan, kept, self.cap_alone(part, plan, kept))
 
-    def reserve_told(self, link: Link, message: Reserve) -> None:
-        """A planner hands out units of a ceiling, or asks for some back, in the loan that holds now only.
+    def on_reserve(self, link: Link, message: Reserve) -> None:
+        """A planner adds units to a reserve or recalls some; counts only within the current loan.
 
-        What it said in an earlier loan it has forgotten: it would hand the same units out again.
+        The planner has forgotten what it sent in an earlier loan and would hand out the same units again.
         """
         part = self.parts[part_of(message.customer, len(self.parts))]
         if part.holder is not link or part.term != message.term or message.plan not in self.plans:
             return
         kept = self.reserves.pop(message.customer, None) or Reserved(0.0, self.share)
         if len(self.reserves) >= self.most_customers:
-            del self.reserves[next(iter(self.reserves))]  # nobody's until the part is lent anew
+            del self.reserves[next(iter(self.reserves))]  # its units are lost until the part is lent again
         self.reserves[message.customer] = kept
         kept.portion = message.portion
         back = min(kept.units, max(-message.units, 0.0))
         kept.units += max(message.units, 0.0) - back
         if back:
             self.outbox[link.name].append(Yielded(message.customer, back))
-        if message.customer in self.local.throttles:  # what waits here may leave on what is held, no more
+        if message.customer in self.local.throttles:  # waiting requests may use what is held, and no more
             self.allot_local(part, message.customer, self.plans[message.plan], kept, kept.units)
 
     def take_reserve(self, task: Task) -> None:
-        """Units of a request that was decided here count against the reserve first."""
+        """Deducts the units of a locally decided request from the reserve."""
         request, part = task.request, task.part
         plan, kept = self.plans.get(request.plan), self.reserves.get(request.customer)
         if plan is None or plan.ceiling_rate <= 0 or kept is None:
@@ -384,7 +391,7 @@
         if part.holder is not None and not part.recalled:
             self.outbox[part.holder.name].append(Used(request.customer, request.plan, request.units))
 
-    def tell_local(self, event: Event) -> None:
+    def run_local(self, event: Event) -> None:
         for action in self.local.handle(event, self.now):
             if isinstance(action, Send):
                 task = self.tasks[action.request]
@@ -401,7 +408,7 @@
             self.actions.append(action)
 
     def started(self, task: Task, backend: str) -> None:
-        """An attempt goes out; a request's units count with the first that comes to a backend."""
+        """Records an attempt; a request's units are charged with its first one."""
         if task.charged is None:
             task.charged = self.now
             request = task.request
@@ -411,28 +418,28 @@
         task.attempts.append((backend, self.now, None))
 
     def release(self, task: Task) -> None:
-        """Takes a request back from the planner that decided it: nothing that this one still says counts."""
+        """Takes a request back from its planner, whose later messages about it are ignored."""
         if task.link is not None and task.link.up:
             self.outbox[task.link.name].append(Left(task.ask))
         self.asks.pop(task.ask, None)
         task.ask, task.link = 0, None
 
-    # the links' side
+    # called by the links
 
     def link_up(self, planner: str, incarnation: str, now: float) -> list[Action]:
-        """A planner has let this forwarder in; `incarnation` names this life of its process."""
+        """A session with a planner has started; `incarnation` identifies the planner's process."""
         self.begin(now)
         link = self.links[planner]
         link.up, link.leaving, link.silent, link.gathered = True, False, False, False
         link.incarnation, link.heard, link.acked = incarnation, self.now, 0
-        self.fit_again(link)
+        self.mark_reachable(link)
         link.echoes.clear()
         self.outbox[planner].clear()
         self.review()
         return self.actions
 
     def link_lost(self, planner: str, now: float) -> list[Action]:
-        """No path leads to a planner just now: as good as silence, until something is heard again."""
+        """No path leads to a planner: treats it as silent until a message arrives again."""
         self.begin(now)
         link = self.links[planner]
         if link.up and not link.silent:
@@ -441,7 +448,7 @@
         return self.actions
 
     def link_down(self, planner: str, now: float) -> list[Action]:
-        """The link is broken: what was not heard over it will not be heard any more."""
+        """The session has ended: messages that have not arrived never will."""
         self.begin(now)
         link = self.links[planner]
         if link.up:
@@ -451,7 +458,7 @@
         return self.actions
 
     def received(self, planner: str, batch: Batch, now: float) -> list[Action]:
-        """A batch from a planner whose link is up."""
+        """Handles a batch from a planner whose link is up."""
         self.begin(now)
         link = self.links[planner]
         if not link.up:
@@ -459,7 +466,7 @@
         link.heard, link.acked = self.now, max(link.acked, batch.acked)
         if link.silent:
             link.silent = False
-            self.fit_again(link)
+            self.mark_reachable(link)
             self.review()
         for message in batch.messages:
             if isinstance(message, Grant):
@@ -468,8 +475,8 @@
                 self.answered(link, message)
             elif isinstance(message, Cancelled):
                 task = self.asks.get(message.ask)
-                if task is not None and task.link is link and message.attempt < len(task.theirs):
-                    place = task.theirs[message.attempt]
+                if task is not None and task.link is link and message.attempt < len(task.planner_attempts):
+                    place = task.planner_attempts[message.attempt]
                     if place >= 0:
                         self.actions.append(Cancel(task.request.id, place))
             elif isinstance(message, Beat):
@@ -481,25 +488,25 @@
             elif isinstance(message, Taken):
                 self.ledger.record(message.customer, message.plan, message.units, self.now)
             elif isinstance(message, Reserve):
-                self.reserve_told(link, message)
+                self.on_reserve(link, message)
             elif isinstance(message, Leaving):
                 link.leaving = True
                 self.review()
         return self.actions
 
-    def fit_again(self, link: Link) -> None:
-        """A planner is heard again. Where another has served meanwhile its word is waited for.
+    def mark_reachable(self, link: Link) -> None:
+        """A planner is reachable again. If another one has served meanwhile, waits for its next reach.
 
-        So all forwarders take it at one time, also those that never lost it. One that lost all planners at
-        once goes back to the first of each part at once, as all do.
+        So all forwarders return to it at the same time, also those that never lost it. A forwarder that
+        lost all planners goes back to the first planner of each part at once, as all forwarders do.
         """
         link.reach = -1
         link.short = any(
-            other.fit and self.now - other.fit_since >= self.terms.settle
+            other.fit and self.now - other.reachable_since >= self.terms.settle
             for other in self.links.values()
             if other is not link
         )
-        link.turned, link.fit_since = float("inf"), self.now
+        link.short_since, link.reachable_since = float("inf"), self.now
 
     def begin(self, now: float) -> None:
         self.now = max(self.now, now)
@@ -508,7 +515,7 @@
     def echo(self, link: Link, beat: Beat) -> None:
         self.outbox[link.name].append(Echo(beat.number))
         link.echoes[beat.number] = link.last_echo = self.now
-        while len(link.echoes) > KEPT_ECHOES:
+        while len(link.echoes) > MAX_ECHOES:
             del link.echoes[next(iter(link.echoes))]
         link.reach = beat.reach
         if beat.gathered and not link.gathered:
@@ -518,27 +525,27 @@
     def granted(self, link: Link, grant: Grant, basis: int) -> None:
         task = self.asks.get(grant.ask)
         if task is None or task.link is not link:
-            return  # it has been taken back, or is over: the planner hears or has heard of that
-        if grant.attempt != len(task.theirs):
-            return  # it has been executed or turned away already
+            return  # taken back or over: the planner is or will be notified
+        if grant.attempt != len(task.planner_attempts):
+            return  # already executed or rejected
         echoed = link.echoes.get(basis)
         if task.over or echoed is None or self.now - echoed > self.terms.fresh:
-            # a grant on its way for so long may rest on a share that was lent elsewhere since, or be for a
-            # backend that drains since
+            # so old a grant may rely on a share that has been lent to another planner, or name a backend that
+            # is draining by now
             self.counts["stale"] += 1
-            task.theirs.append(-1)
+            task.planner_attempts.append(-1)
             self.outbox[link.name].append(
                 Ended(task.ask, grant.attempt, grant.backend, Outcome.NOT_SENT.value, 0.0, task.over, 0.0)
             )
             return
-        task.theirs.append(len(task.attempts))
+        task.planner_attempts.append(len(task.attempts))
         self.started(task, grant.backend)
-        # a dial that takes long does not make the grant any fresher
-        write_by = min(echoed + self.terms.fresh + WRITTEN_WITHIN, self.remembered_until(task))
+        # a slow dial does not extend the grant's freshness
+        write_by = min(echoed + self.terms.fresh + WRITE_GRACE_S, self.remembered_until(task))
         self.actions.append(Send(task.request.id, grant.backend, grant.timeout, write_by))
 
     def remembered_until(self, task: Task) -> float:
-        """Until when a further attempt of a keyed request may begin, as those that may have run are known."""
+        """Until when a keyed request may be repeated: while attempts that may have run are remembered."""
         klass = self.keyed.get(task.request.klass)
         if klass is None or len(task.attempts) < 2:
             return float("inf")
@@ -564,44 +571,45 @@
             self.on_refused(task.request, why)
 
     def state(self, part: Part) -> str:
-        """How this forwarder's share of a part stands where it decides itself."""
+        """The state of a part's share, for the reason of a local refusal."""
         if part.holder is not None:
             return "not taken"  # by the planner that was asked
         return "alone, still lent" if part.free_at() > self.now else "alone"
 
-    # whom each part is lent to
+    # lending parts to planners
 
     def judge_reach(self) -> bool:
-        """Whether a planner now counts as short of forwarders, or no more.
+        """Updates which planners are short of forwarders; True if that changed.
 
-        Shares of those that a planner does not hear are no use to it, so its parts are better lent where more
-        forwarders are heard. All forwarders hear the same of it, hence they move together. A planner is left
-        once it was short for `silent_after`, in which all planners notice a forwarder that is gone from all
-        of them. It is taken again as soon as it says so: what it counts has been there for `settle`.
+        A planner can't use the shares of forwarders that it does not hear, so parts are better lent to a
+        planner that hears more of them. All forwarders receive the same counts, hence they move together. A
+        planner is left once it was short for `silent_after`, within which all planners notice a forwarder
+        that is gone from all of them. It is used again as soon as its count is restored, since it counts
+        only forwarders that it has heard for `settle`.
         """
         most = max((link.reach for link in self.links.values() if link.fit), default=0)
         changed = False
         for link in self.links.values():
             if not link.fit or (link.reach < 0 and not link.short):
-                continue  # it has not said yet
+                continue  # it has not reported its count yet
             if link.reach >= most:
                 changed |= link.short
-                link.short, link.turned = False, float("inf")
+                link.short, link.short_since = False, float("inf")
             elif not link.short:
-                link.turned = min(link.turned, self.now)
-                if self.now - link.turned >= self.terms.silent_after:
+                link.short_since = min(link.short_since, self.now)
+                if self.now - link.short_since >= self.terms.silent_after:
                     link.short = changed = True
         return changed
 
     def best_for(self, part: Part) -> Link | None:
-        """The part's first planner of those that hear most, or of those that are heard at all."""
+        """The first reachable planner that is not short of forwarders, else the first reachable one."""
         fit = [link for link in map(self.links.__getitem__, part.order) if link.fit]
         return next((link for link in fit if not link.short), fit[0] if fit else None)
 
     def review(self) -> None:
-        """Moves parts whose planner is gone, or whose first choice is back."""
+        """Moves parts whose planner is gone, or whose preferred planner is back."""
         lent: dict[str, list[Part]] = {}
-        room, self.unlent = LENT_AT_ONCE, False
+        room, self.lend_pending = MAX_CUSTOMERS_PER_REVIEW, False
         for part in self.parts:
             best = self.best_for(part)
             holder = part.holder
@@ -613,7 +621,7 @@
                 continue
             if part.holder is None and best is not None and not self.stopping:
                 if room <= 0:
-                    self.unlent = True  # the next tick goes on
+                    self.lend_pending = True  # continued at the next tick
                     continue
                 room -= len(self.ledger.by_part[part.number])
                 lent.setdefault(best.name, []).append(part)
@@ -621,7 +629,7 @@
             self.lend(self.links[name], parts)
 
     def detach(self, part: Part) -> None:
-        """The holder is gone or silent; it may use this forwarder's share until the loan's end."""
+        """The holder is gone or silent; it may use this forwarder's share until the loan ends."""
         link = part.holder
         assert link is not None
         part.holder, part.recalled = None, 0
@@ -629,7 +637,7 @@
         part.loans[link.incarnation] = max(part.loans.get(link.incarnation, until), until)
         part.forget_ended(self.now)
         if link.up:
-            # it may only have paused: no echo that it still gets may lend it this part again
+            # it may only have paused: a late echo must not renew the loan of this part
             self.outbox[link.name].append(Recall([part.number], 0))
         self.allot_part(part)
 
@@ -651,24 +659,24 @@
                 return
 
     def lend(self, link: Link, parts: list[Part]) -> None:
-        """Lends parts that nobody holds, with all that a new holder needs to know of them."""
+        """Lends parts that have no holder, with the reports that the new holder needs."""
         numbers = {part.number for part in parts}
         out = self.outbox[link.name]
         report = [told for part in parts for told in self.ledger.report(part.number, self.now)]
-        for start in range(0, len(report), REPORTED):
-            out.append(Spent(report[start : start + REPORTED]))
+        for start in range(0, len(report), CUSTOMERS_PER_MESSAGE):
+            out.append(Spent(report[start : start + CUSTOMERS_PER_MESSAGE]))
         holds = [
             (customer, kept.units)
             for customer, kept in self.reserves.items()
             if kept.units > 0 and part_of(customer, len(self.parts)) in numbers
         ]
-        for start in range(0, len(holds), REPORTED):
-            out.append(Holds(holds[start : start + REPORTED]))
+        for start in range(0, len(holds), CUSTOMERS_PER_MESSAGE):
+            out.append(Holds(holds[start : start + CUSTOMERS_PER_MESSAGE]))
         remembers = self.now - self.ledger.since
         self.last_term += 1
         groups: dict[float, list[int]] = {}
         for part in parts:
-            # what this life of the planner still has of an earlier loan is its own anyway
+            # what the same incarnation still has of an earlier loan does not conflict with the new one
             free_in = max(part.free_at(link.incarnation) - self.now, 0.0)
             groups.setdefault(free_in, []).append(part.number)
             part.holder, part.term = link, self.last_term
@@ -677,23 +685,25 @@
         self.counts["moved"] += len(parts)
         for task in list(self.tasks.values()):
             if task.part.number in numbers and not (task.local or task.over):
-                # one that waits for the move has none to be taken back from
+                # a request that waits for the move has no planner to be taken back from
                 self.asks.pop(task.ask, None)
                 self.ask(task, link)
             elif task.part.number in numbers and task.local and not (task.over or task.attempts):
-                self.tell_local(ClientLeft(task.request.id))  # it waits here for credit that is lent now
+                self.run_local(ClientLeft(task.request.id))  # it waits here for tokens that are lent now
                 task.local = False
                 self.ask(task, link)
             elif task.part.number in numbers and task.over and not task.local:
-                self.asks.pop(task.ask, None)  # answered: what is still out is no new holder's concern
+                self.asks.pop(
+                    task.ask, None
+                )  # answered: its attempts in flight do not concern the new holder
                 task.link = None
         for part in parts:
             self.allot_part(part)
 
-    # time
+    # timers
 
     def tick(self, now: float) -> list[Action]:
-        """To be called every few hundredths of a second: nothing waits for a planner without bound."""
+        """To be called every few tens of milliseconds: bounds all waiting for planners."""
         self.begin(now)
         changed = False
         for link in self.links.values():
@@ -705,7 +715,7 @@
             if part.recalled and self.now >= part.recall_until:
                 self.detach(part)
                 changed = True
-        if self.judge_reach() or changed or self.unlent:
+        if self.judge_reach() or changed or self.lend_pending:
             self.review()
         for part in self.parts:
             if part.lent and part.holder is None and part.free_at() <= self.now:
@@ -719,7 +729,7 @@
         return self.actions
 
     def is_silent(self, link: Link) -> bool:
-        """Not a word for `silent_after` while another is heard, or twice as long where all are late."""
+        """Silent for `silent_after` while another planner is heard, or else for twice as long."""
         silent = self.now - link.heard
         if silent <= self.terms.silent_after:
             return False
@@ -728,7 +738,7 @@
         return other or silent > 2 * self.terms.silent_after
 
     def settle_unheld(self) -> None:
-        """Requests of parts that nobody holds any more, and that no planner could take, are decided here."""
+        """Decides locally the requests of parts without a holder, which no planner could take."""
         if all(part.holder is not None for part in self.parts):
             return
         for task in list(self.tasks.values()):
@@ -736,14 +746,14 @@
                 self.decide_here(task)
 
     def stop(self, now: float) -> None:
-        """After the last request: what is lent is left to its holders for the time of a bequest."""
+        """To be called after the last request: leaves the lent shares to their holders for `bequest`."""
         self.begin(now)
         self.stopping = True
         for name in {part.holder.name for part in self.parts if part.holder is not None}:
             self.outbox[name].append(Bequeath())
 
     def status(self) -> dict[str, object]:
-        """What an operator watches; docs/operate/tiers.md explains each figure."""
+        """The status line's figures, explained in docs/operate/tiers.md."""
         holders: dict[str, int] = {}
         for part in self.parts:
             name = part.holder.name if part.holder is not None else ""
--- a/embersill/tiers/links.py
+++ b/embersill/tiers/links.py
@@ -174,7 +174,7 @@
         for endpoint in list(self.endpoints.values()):
             session = endpoint.session
             if session.outbox or session.acked > session.acked_told:
-                self.send(endpoint, *self.core.said(session))
+                self.send(endpoint, *self.core.take_outbox(session))
 
     def send(self, endpoint: PlannerEndpoint, messages: list[AnyMessage], basis: int, acked: int) -> None:
         endpoint.send(messages, basis, acked)
--- a/embersill/tiers/planner.py
+++ b/embersill/tiers/planner.py
@@ -1,9 +1,9 @@
-"""What a planner decides itself: whose ceilings it may spend, and how much of them. No I/O.
+"""The logic of a planner: which shares of ceilings it may spend, and how much of them. No I/O.
 
-Requests are decided by the unchanged module, one instance for the whole planner, on the events of its
-forwarders. A customer's requests all come here while its part is lent here, so the whole quota is one
-throttle, of width one, and no counter is needed. `Allotted` tells the module how much of quota and ceiling
-that is: each forwarder that lends its share adds one part in `forwarders`.
+The unchanged decision module, one instance per planner, decides all requests on the events of the
+forwarders. All requests of a customer arrive at the planner to which its part is lent, so the whole quota
+is one throttle of width one, and no counter is needed. `Allotted` sets how much of quota and ceiling the
+module has: each forwarder that lends its share adds the fraction one in `forwarders`.
 """
 
 from __future__ import annotations
@@ -71,46 +71,46 @@
 from embersill.tiers.terms import MAX_CLOCK_DRIFT, Terms
 
 OUTCOMES = {outcome.value: outcome for outcome in Outcome}
-NOWHERE = frozenset(outcome.value for outcome in Outcome if outcome.undelivered)
-KEPT_BEATS = 64  # of which the times are kept
-SWEEP_EVERY = 1.0  # seconds between looks for requests that should be over
-WORK_OFF = "~"  # key of the timer that works the backlog off; the module's begin with letters
-WORK_OFF_EVERY = 0.01  # seconds
-WORKED_OFF = 0.1  # of the backlog each time
-PRUNED = 4  # parts in which that look forgets customers whose throttles have gone
-OVERDUE = 5.0  # seconds past its client's end from which a request is taken to be forgotten
+UNDELIVERED = frozenset(outcome.value for outcome in Outcome if outcome.undelivered)
+MAX_BEATS = 64  # whose times are kept
+SWEEP_INTERVAL_S = 1.0  # between searches for requests that should be over
+BACKLOG_TIMER = "~"  # key of the timer that processes the backlog; the module's keys begin with letters
+BACKLOG_INTERVAL_S = 0.01
+BACKLOG_FRACTION = 0.1  # of the backlog per run
+PARTS_PRUNED_PER_SWEEP = 4  # in which a sweep forgets customers whose throttles are gone
+OVERDUE_S = 5.0  # after its client's deadline a request counts as forgotten by its forwarder
 
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """A forwarder's link, from when it was let in until it breaks."""
+    """A forwarder's session, from its handshake until it ends."""
 
     name: str
     heard: float
-    beats: dict[int, float] = field(default_factory=dict)  # beat: when it went out
+    beats: dict[int, float] = field(default_factory=dict)  # beat number: when it was sent
     last_beat: int = 0
-    lost: bool = False  # no path leads here just now
-    well_since: float = float("-inf")  # from when on it was heard without a gap
+    lost: bool = False  # no path to the forwarder is open
+    steady_since: float = float("-inf")  # since when it has been heard without a gap
     echoed: int = 0
-    loan_until: float = float("-inf")  # until when what it lent may be spent
-    acked: int = 0  # the last ask that was taken, and of which the forwarder knows
+    loan_until: float = float("-inf")  # until when the shares that it lent may be spent
+    acked: int = 0  # the last ask that was received
     acked_told: int = 0
-    asks: dict[int, int] = field(default_factory=dict)  # ask: the module's number
-    spends: dict[str, list[tuple[float, float]]] = field(default_factory=dict)  # told ahead of a Lend
-    holds: dict[str, float] = field(default_factory=dict)  # so, too
+    asks: dict[int, int] = field(default_factory=dict)  # ask: the module's request number
+    spends: dict[str, list[tuple[float, float]]] = field(default_factory=dict)  # reported before a Lend
+    holds: dict[str, float] = field(default_factory=dict)  # also reported before a Lend
     outbox: list[AnyMessage] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Lender:
     session: Session
-    free_at: float  # from when on its share may be spent here
-    known_since: float  # from when on its spends were reported, by this clock
+    free_at: float  # from when its share may be spent here
+    known_since: float  # from when its spends are reported, on this clock
     spends: dict[str, list[tuple[float, float]]]  # as reported: (when, units)
     lent_at: float = 0.0
-    term: int = 0  # the forwarder's name of this loan
-    reserves: dict[str, float] = field(default_factory=dict)  # what it holds of ceilings, by customer
-    bequest_until: float = float("-inf")  # until when it may be spent though the forwarder has stopped
+    term: int = 0  # the forwarder's identifier of this loan
+    reserves: dict[str, float] = field(default_factory=dict)  # its reserves of ceilings, by customer
+    bequest_until: float = float("-inf")  # until when the share may be spent after a clean stop
 
     @property
     def until(self) -> float:
@@ -121,14 +121,14 @@
 class Part:
     number: int
     lenders: dict[str, Lender] = field(default_factory=dict)  # by forwarder
-    customers: dict[str, str] = field(default_factory=dict)  # that this life has met, and their plans
+    customers: dict[str, str] = field(default_factory=dict)  # seen by this process, with their plans
     demands: dict[str, Demand] = field(default_factory=dict)
     taken_at: float = 0.0
     changed_at: float = 0.0  # when a forwarder last lent it
-    whole: bool = False  # all forwarders lend it, for sure at one moment: all that was spent is known
-    ceiling: float = 0.0  # as told to the module
+    whole: bool = False  # all forwarders have provably lent it at one moment: all spends are known
+    ceiling: float = 0.0  # as last set in the module
     share: float = 0.0
-    known: int = 0  # forwarders that lend it, as the depths of its ceilings were told by
+    known: int = 0  # number of lenders from which the depths in the module were computed
 
 
 @dataclass(slots=True)
@@ -138,17 +138,17 @@
     part: Part
     request: Request
     sent: int = 0  # attempts granted, or inherited
-    nowhere: int = 0  # of these, such as came to no backend
-    charged: float | None = None  # when its units went into the ledger, if they stand in it or a report
+    undelivered_attempts: int = 0  # of these, the ones that reached no backend
+    charged: float | None = None  # when its units were recorded, if they are in the ledger or a report
 
 
-def shown_at(session: Session) -> float:
-    """When the last beat went out that the forwarder has echoed: it obeyed this planner once since then."""
+def proven_at(session: Session) -> float:
+    """When the last echoed beat was sent: the forwarder followed this planner at some time since then."""
     return session.beats.get(session.echoed, float("-inf"))
 
 
 class Planner:
-    """One planner for `forwarders`, by name; others may not link."""
+    """One planner for the named `forwarders`; others may not connect."""
 
     def __init__(
         self,
@@ -165,27 +165,29 @@
     ) -> None:
         self.settings, self.terms = settings, terms
         self.forwarders = frozenset(forwarders)
-        # towards the backends the planners are what several gateways were: each takes part of the load
+        # to the backends the planners are like several gateways: each has a part of the load
         self.gateway = Gateway(replace(settings, gateways=planners, counter=False), seed, now)
         self.plans = {p.name: p for p in settings.plans}
         self.reserved = {p.name: max_reserved(p, settings.most_units) for p in settings.plans}
         self.parts = [Part(n) for n in range(parts)]
-        self.unconfirmed: set[int] = set()  # parts that are lent and not whole
-        self.unproven: set[int] = set()  # parts with a new lender, of whose others not all have echoed since
+        self.unconfirmed: set[int] = set()  # parts that are lent but not whole
+        self.unproven: set[int] = set()  # parts with a new lender since when not all others have echoed
         self.sessions: dict[str, Session] = {}
         self.jobs: dict[int, Job] = {}
         self.last_job = 0
         self.ledger = Ledger(settings.plans, most_customers, now)
-        self.backlog: deque[tuple[Session, Ask, Part, float]] = deque()  # asks of parts just taken
+        self.backlog: deque[tuple[Session, Ask, Part, float]] = (
+            deque()
+        )  # asks of parts that were just taken over
         self.most_open = most_open
-        self.timers: list[tuple[float, str]] = []  # (delay, key) for whoever keeps the time
-        self.dead: list[Session] = []  # links to be closed: nothing is heard on them
+        self.timers: list[tuple[float, str]] = []  # (delay, key) for the caller to schedule
+        self.dead: list[Session] = []  # sessions to be closed, since nothing arrives on them
         self.born = self.now = self.swept_at = now
         self.gathered = False
-        self.reach = 0  # forwarders that are heard
+        self.reach = 0  # number of forwarders that are heard
         self.review_at, self.pruned = now, 0
         self.leaving = False
-        # for a council, where there is one: use that is passed on or taken back, and how attempts ended
+        # for a council, if there is one: units used or refunded, and the outcomes of attempts
         self.on_use: Callable[[str, float], None] | None = None
         self.on_outcome: Callable[[str, Outcome], None] | None = None
         self.counts = {"asks": 0, "opens": 0, "grants": 0, "refused": 0, "failed": 0, "taken": 0}
@@ -193,13 +195,13 @@
     # links
 
     def link_up(self, forwarder: str, now: float) -> Session:
-        """Lets a forwarder in; a session that it had before is over."""
+        """Starts a forwarder's session; ends an earlier one."""
         self.advance(now)
         if forwarder in self.sessions:
             self.link_down(self.sessions[forwarder], now)
         session = self.sessions[forwarder] = Session(forwarder, self.now)
         if self.gathered:
-            session.well_since = self.now
+            session.steady_since = self.now
         if self.sessions.keys() >= self.forwarders:
             self.gathered = True
         self.count_reach()
@@ -209,22 +211,23 @@
         return session
 
     def link_lost(self, session: Session) -> None:
-        """No path leads to the forwarder just now; what it lent is spent to the end of its lease."""
+        """No path leads to the forwarder; its shares may be spent until the end of the lease."""
         session.lost = True
         self.count_reach()
 
     def count_reach(self) -> None:
-        """How many forwarders are heard, and have been for `settle`: all of them judge by that.
+        """Counts the forwarders that have been heard for `settle`; all forwarders judge the planner by it.
 
-        So a part's planner is agreed: what comes and goes is damped here, for all at one moment.
+        So the forwarders agree on a part's planner: flapping links are damped here, for all at the same
+        moment.
         """
         silent, well = self.now - self.terms.silent_after, self.now - self.terms.settle
         self.reach = sum(
-            not s.lost and s.heard >= silent and s.well_since <= well for s in self.sessions.values()
+            not s.lost and s.heard >= silent and s.steady_since <= well for s in self.sessions.values()
         )
 
     def link_down(self, session: Session, now: float) -> None:
-        """What the forwarder lent is its own again; its requests are decided elsewhere."""
+        """The forwarder has its shares back, and its requests are decided elsewhere."""
         self.advance(now)
         if self.sessions.get(session.name) is not session:
             return
@@ -239,12 +242,12 @@
         session.outbox.clear()
 
     def received(self, session: Session, batch: Batch, now: float) -> None:
-        """A forwarder's batch; BadFrame for what it has no right to say, after which the link is closed."""
+        """Handles a forwarder's batch; an invalid message raises BadFrame, after which the link is closed."""
         self.advance(now)
         if self.sessions.get(session.name) is not session:
             return
         if session.lost or self.now - session.heard > self.terms.silent_after:
-            session.well_since = self.now
+            session.steady_since = self.now
         session.heard, session.lost = self.now, False
         for message in batch.messages:
             if isinstance(message, Ask):
@@ -272,14 +275,14 @@
             elif isinstance(message, Yielded):
                 self.yielded(session, message)
             else:
-                raise BadFrame(f"a forwarder does not say {type(message).__name__}")
+                raise BadFrame(f"{type(message).__name__} is not a message of a forwarder")
 
     # requests
 
     def part_for(self, session: Session, customer: str) -> Part:
         part = self.parts[part_of(customer, len(self.parts))]
         if session.name not in part.lenders:
-            raise BadFrame("a request of a part that is not lent")
+            raise BadFrame("request for a part that is not lent")
         return part
 
     def asked(self, session: Session, ask: Ask) -> None:
@@ -287,10 +290,10 @@
         part = self.part_for(session, ask.customer)
         self.counts["asks"] += 1
         if self.now < part.taken_at + self.terms.gather and len(self.backlog) < self.most_open:
-            # until all forwarders have told what they passed on, quotas and ceilings are not known; and what
-            # another planner left undone comes in a heap that the backends' limits here would not let pass
+            # quotas and ceilings are unknown until all forwarders have reported their spends; and requests
+            # that another planner left arrive in a burst that the backends' limits here would refuse
             if not self.backlog:
-                self.timers.append((WORK_OFF_EVERY, WORK_OFF))
+                self.timers.append((BACKLOG_INTERVAL_S, BACKLOG_TIMER))
             self.backlog.append((session, ask, part, self.now))
         else:
             self.decide(session, ask, part, self.now)
@@ -303,8 +306,8 @@
             return
         job = self.job(session, ask, part, left)
         self.allot_new(part, ask.customer, ask.plan)
-        self.tell(job.request)
-        self.demanded(session, part, ask)
+        self.run_module(job.request)
+        self.record_demand(session, part, ask)
 
     def job(self, session: Session, ask: Ask | Open, part: Part, left: float) -> Job:
         self.last_job += 1
@@ -321,8 +324,8 @@
         self.counts["opens"] += 1
         job = self.job(session, ask, part, ask.left)
         job.sent = len(ask.attempts)
-        job.nowhere = sum(outcome in NOWHERE for _, _, outcome in ask.attempts)
-        job.charged = self.now if job.nowhere < job.sent else None
+        job.undelivered_attempts = sum(outcome in UNDELIVERED for _, _, outcome in ask.attempts)
+        job.charged = self.now if job.undelivered_attempts < job.sent else None
         self.allot_new(part, ask.customer, ask.plan)
         try:
             attempts = tuple(
@@ -331,7 +334,7 @@
             )
         except KeyError as error:
             raise BadFrame(f"no outcome: {error}") from error
-        self.tell(Inherited(job.request, ask.age, attempts))
+        self.run_module(Inherited(job.request, ask.age, attempts))
         self.forget(job.request.id)
 
     def left(self, session: Session, ask: int) -> None:
@@ -344,29 +347,29 @@
     def ended(self, session: Session, ended: Ended) -> None:
         number = session.asks.get(ended.ask)
         if number is None:
-            return  # its end crossed what was said of it here
+            return  # its end crossed a message about it from here
         outcome = OUTCOMES.get(ended.outcome)
         if outcome is None:
             raise BadFrame(f"no outcome: {ended.outcome!r}")
         units = ended.units if 0.0 <= ended.units <= self.settings.most_units else 0.0
         job = self.jobs[number]
-        job.nowhere += outcome.undelivered
+        job.undelivered_attempts += outcome.undelivered
         if self.on_outcome is not None:
             self.on_outcome(ended.backend, outcome)
-        if job.charged is not None and job.nowhere >= job.sent:
+        if job.charged is not None and job.undelivered_attempts >= job.sent:
             self.ledger.cancel_spend(job.request.customer, job.request.units, job.charged)
             job.charged = None
             if self.on_use is not None:
                 self.on_use(job.request.customer, -job.request.units)
-        self.tell(
+        self.run_module(
             AttemptEnded(number, ended.attempt, ended.backend, outcome, ended.elapsed, ended.over, units, ())
         )
         self.forget(number)
 
     def question(self, question: Question, now: float) -> Verdict | None:
-        """Decides another program's question; None where a customer's part is not led here.
+        """Decides an external rate limit query; None if a customer's part is not led here.
 
-        What it takes of a ceiling is told to one forwarder, which remembers it like what it sent on itself.
+        The units that it takes are sent to one forwarder, which records them like its own spends.
         """
         self.advance(now)
         lenders: list[Lender] = []
@@ -396,22 +399,22 @@
         return verdict
 
     def perform(self, actions: Iterable[Action], now: float) -> None:
-        """Decisions on requests that came later than their events, as those that wait for a service do."""
+        """Acts on decisions that were made after their event, as for requests that waited for a service."""
         self.advance(now)
         for action in actions:
             self.act(action)
 
     def drop(self, number: int) -> None:
-        """The request is no longer decided here: nothing is said of it any more, and nothing expected."""
+        """Stops deciding a request: nothing more is sent about it, and nothing expected."""
         job = self.jobs.pop(number, None)
         if job is None:
             return
         job.session.asks.pop(job.ask, None)
-        self.tell(ClientLeft(number))
+        self.run_module(ClientLeft(number))
         known = self.gateway.jobs.get(number)
         for place, attempt in enumerate(known.attempts if known is not None else ()):
-            if attempt.out:  # what becomes of it is not heard here: it teaches nothing and fills no limit
-                self.tell(
+            if attempt.out:  # its outcome stays unknown: it must not count for the backend or its limit
+                self.run_module(
                     AttemptEnded(
                         number, place, attempt.server.backend.address, Outcome.CANCELLED, 0.0, True, 0.0, ()
                     )
@@ -423,7 +426,7 @@
             del self.jobs[number]
             job.session.asks.pop(job.ask, None)
 
-    def tell(self, event: Event) -> None:
+    def run_module(self, event: Event) -> None:
         for action in self.gateway.handle(event, self.now):
             self.act(action)
 
@@ -451,15 +454,15 @@
             out.append(Cancelled(job.ask, action.attempt))
         else:
             if isinstance(action, Refuse):
-                out.append(Refused(job.ask, action.retry_after, self.why(job)))
+                out.append(Refused(job.ask, action.retry_after, self.refusal_reason(job)))
                 self.counts["refused"] += 1
             else:
                 out.append(Failed(job.ask))
                 self.counts["failed"] += 1
             self.forget(action.request)
 
-    def why(self, job: Job) -> str:
-        """Which limit refused a request, and whether its customer's whole share was here."""
+    def refusal_reason(self, job: Job) -> str:
+        """Which limit refused a request, and whether its part was whole."""
         part = job.part
         all_lend = len(part.lenders) >= len(self.forwarders)
         state = "whole" if part.whole else "unproven" if all_lend else "in part"
@@ -468,32 +471,32 @@
         )
 
     def timer_due(self, key: str, due: float, now: float) -> None:
-        """One of `timers` is due. `now` is no earlier than that."""
+        """One of `timers` is due; `now` is not before `due`."""
         self.advance(now)
-        if key == WORK_OFF:
-            self.work_off()
+        if key == BACKLOG_TIMER:
+            self.process_backlog()
         elif key[:1] == "o" and now - due >= self.terms.silent_after:
-            # an attempt that looks late only since this process stood still says nothing of its backend: what
-            # its forwarder has said since is to be heard first, which has turned elsewhere most likely
+            # an attempt that looks late only because this process was stalled says nothing about its backend:
+            # first reads what its forwarder has sent meanwhile, which most likely moved to another planner
             self.timers.append((self.terms.beat_every, key))
         else:
-            self.tell(TimerDue(key))
+            self.run_module(TimerDue(key))
 
     def list_told(self, event: BackendList, now: float) -> None:
-        """Discovery's word; drains are passed on, so that no grant under way brings anything to them."""
+        """A list from discovery; announces drains, so that grants in flight start no attempt there."""
         self.advance(now)
-        self.tell(event)
+        self.run_module(event)
         gone = [b.address for b in event.backends if b.status is not Status.SERVING]
         if gone:
             for session in self.sessions.values():
                 session.outbox.append(Withdrawn(gone))
 
     def hold(self, backend: str, out: bool, now: float) -> None:
-        """On a council's advice a backend is left out, or not any more."""
+        """Takes a backend out of rotation or back in, on a council's advice."""
         self.advance(now)
-        self.tell(BackendHold(backend, out))
+        self.run_module(BackendHold(backend, out))
 
-    # what is lent here
+    # loans
 
     def spent(self, session: Session, message: Spent) -> None:
         for customer, _, spends in message.customers:
@@ -501,7 +504,7 @@
 
     def lend(self, session: Session, message: Lend) -> None:
         if not all(0 <= number < len(self.parts) for number in message.parts):
-            raise BadFrame("a part that there is not")
+            raise BadFrame("no such part")
         spends: dict[int, dict[str, list[tuple[float, float]]]] = {n: {} for n in message.parts}
         holds: dict[int, dict[str, float]] = {n: {} for n in message.parts}
         for customer in list(session.spends):
@@ -517,8 +520,8 @@
             if not part.lenders:
                 self.take(part)
             elif part.lenders.keys() != {session.name}:
-                # all may have been elsewhere and have made another planner's part whole, which then spends
-                # every share; who has not yet said that it left must show that it is here first
+                # the other lenders may have moved on and made the part whole at another planner, which then
+                # spends every share; each must prove first that it still lends here
                 part.changed_at = self.now
                 self.unproven.add(number)
                 self.review(part)
@@ -535,13 +538,13 @@
             self.unconfirmed.add(number)
         lenders = [self.parts[n].lenders for n in message.parts]
         if any(len(those) > 1 or those.keys() >= self.forwarders for those in lenders):
-            for other in self.sessions.values():  # the sooner all have echoed, the sooner all is known
+            for other in self.sessions.values():  # speeds up the echoes that prove the loans
                 self.beat(other)
         self.review_at = self.now
         self.advance(self.now)
 
     def prove(self) -> None:
-        """Shares of a part that had a new lender are used again once their forwarders have echoed since."""
+        """Uses the shares of a part with a new lender again once their forwarders have echoed since."""
         for number in sorted(self.unproven):
             part = self.parts[number]
             if all(self.is_proven(part, lender) for lender in part.lenders.values()):
@@ -549,51 +552,51 @@
             self.review(part)
 
     def confirm(self) -> None:
-        """Parts that all forwarders lend become whole once each has echoed a beat from after the last lend.
+        """Makes parts whole that all forwarders lend, once each has echoed a beat sent after the last Lend.
 
-        Without that one of them may have turned to another planner by then, its word of it being on its way.
+        Before that, one of them may have moved to another planner, with its Recall still in flight.
         """
         for number in list(self.unconfirmed):
             part = self.parts[number]
             if part.lenders.keys() >= self.forwarders and all(
-                shown_at(lender.session) >= part.changed_at and self.sessions.get(name) is lender.session
+                proven_at(lender.session) >= part.changed_at and self.sessions.get(name) is lender.session
                 for name, lender in part.lenders.items()
             ):
                 self.unconfirmed.discard(number)
                 self.make_whole(part)
 
     def take(self, part: Part) -> None:
-        """Begins a part's term here: nothing is known of its ceilings yet, so they are empty."""
+        """Takes over a part: nothing is known of its ceilings yet, so they start empty."""
         part.taken_at, part.whole, part.ceiling, part.share = self.now, False, 0.0, 0.0
         self.counts["taken"] += 1
         for customer, plan in part.customers.items():
             if customer in self.gateway.throttles:
-                self.tell(Allotted(customer, plan, 0.0, 0.0, 0.0))
+                self.run_module(Allotted(customer, plan, 0.0, 0.0, 0.0))
 
     def make_whole(self, part: Part) -> None:
-        """All forwarders obey this planner for the part: all that anyone passed on is in their reports."""
+        """All forwarders follow this planner for the part, so their reports contain all spends."""
         part.whole = True
         for lender in part.lenders.values():
-            lender.free_at = min(lender.free_at, self.now)  # nobody else can have anything executed
+            lender.free_at = min(lender.free_at, self.now)  # no other planner can have anything executed
         self.review(part)
         for customer in list(part.customers):
             plan = self.plans.get(part.customers.get(customer, ""))
             if plan is not None and customer in self.gateway.throttles:
-                cap, level = self.left_of(part, customer, plan)
+                cap, level = self.remaining(part, customer, plan)
                 self.allot(part, customer, plan, cap, level)
 
     def known_span(self, part: Part) -> float:
-        """Seconds back to which all forwarders' spends are known."""
+        """How many seconds back all forwarders' spends are known."""
         return self.now - max((lender.known_since for lender in part.lenders.values()), default=self.now)
 
-    def left_of(self, part: Part, customer: str, plan: Plan) -> tuple[float, float]:
-        """What is surely left of a customer's ceiling, and about what of its quota; the part is whole."""
+    def remaining(self, part: Part, customer: str, plan: Plan) -> tuple[float, float]:
+        """A lower bound of what is left of a ceiling, and an estimate for the quota; the part is whole."""
         spends = [
             (self.now - at, units)
             for lender in part.lenders.values()
             for at, units in lender.spends.get(customer, ())
         ]
-        # what was granted before the part was taken is in the reports, as far as it was executed
+        # grants from before the takeover are in the reports, as far as they were executed
         reported = {name: lender.lent_at for name, lender in part.lenders.items()}
         spends += [
             (age, units)
@@ -603,34 +606,34 @@
         horizon = horizon_of(plan)
         span = min(horizon, max(self.known_span(part), 0.0))
         cap = replay(plan.ceiling_depth, plan.ceiling_rate, span, 0.0, spends)
-        # a quota is soft: what may have been spent before anyone remembers is not held against it
+        # quotas are soft: spends from before the known span are ignored
         level = replay(plan.burst, plan.rate, span, 0.0 if span >= horizon else plan.burst, spends)
-        return cap - self.held_of(part, customer), level
+        return cap - self.reserves_held(part, customer), level
 
     def allot(
         self, part: Part, customer: str, plan: Plan, cap: float | None = None, level: float | None = None
     ) -> None:
-        """Tells the module what is here of a customer's quota and ceiling, and what is left where known."""
+        """Sets the customer's part of quota and ceiling in the module, and the levels where known."""
         most, depth = self.reserved.get(plan.name, 0.0), None
         if most > 0:
             depth = depth_left(
                 plan,
                 part.ceiling,
-                self.held_of(part, customer),
+                self.reserves_held(part, customer),
                 len(part.lenders),
                 len(self.forwarders),
                 most,
             )
-        self.tell(Allotted(customer, plan.name, part.share, part.ceiling, cap, level, depth))
+        self.run_module(Allotted(customer, plan.name, part.share, part.ceiling, cap, level, depth))
 
     # reserves
 
-    def held_of(self, part: Part, customer: str) -> float:
-        """What forwarders hold of a customer's ceiling, as far as they lend the part here."""
+    def reserves_held(self, part: Part, customer: str) -> float:
+        """The reserves of a customer's ceiling held by the forwarders that lend the part here."""
         return sum(lender.reserves.get(customer, 0.0) for lender in part.lenders.values())
 
-    def demanded(self, session: Session, part: Part, ask: Ask) -> None:
-        """Keeps what customers ask for, by forwarder, and their reserves with those who ask for them."""
+    def record_demand(self, session: Session, part: Part, ask: Ask) -> None:
+        """Records demand by forwarder, and moves the customer's reserve to the forwarders that it uses."""
         plan = self.plans.get(ask.plan)
         if plan is None or (plan.rate <= 0 and plan.ceiling_rate <= 0):
             return
@@ -643,8 +646,8 @@
             return
         throttle.refill(self.now)
         held = {name: lender.reserves.get(ask.customer, 0.0) for name, lender in part.lenders.items()}
-        to_spare = max(throttle.cap - PLANNER_MIN_LEVEL * throttle.cap_depth, 0.0)
-        for transfer in rebalance(demand, held, self.reserved[plan.name], to_spare, self.now):
+        available = max(throttle.cap - PLANNER_MIN_LEVEL * throttle.cap_depth, 0.0)
+        for transfer in rebalance(demand, held, self.reserved[plan.name], available, self.now):
             lender = part.lenders[transfer.forwarder]
             if self.sessions.get(transfer.forwarder) is not lender.session:
                 continue
@@ -656,11 +659,11 @@
             )
 
     def reserve_left(self, session: Session, customer: str, units: float) -> Part | None:
-        """A forwarder holds so much less of a customer's ceiling; None where it does not lend the part."""
+        """Deducts units from a forwarder's reserve; None if it does not lend the part."""
         part = self.parts[part_of(customer, len(self.parts))]
         lender = part.lenders.get(session.name)
         if lender is None or lender.session is not session:
-            return None  # it told what it holds when it lent, or will
+            return None  # its Lend has reported or will report what it holds
         left = lender.reserves.pop(customer, 0.0) - units
         if left > 0:
             lender.reserves[customer] = left
@@ -680,18 +683,18 @@
         throttle = self.gateway.throttles.get(message.customer)
         if part is not None and throttle is not None:
             throttle.refill(self.now)
-            # the part may have ceased to be whole since it was asked back: what comes then is no one's
+            # if the part has ceased to be whole since the recall, the units are dropped
             cap = throttle.cap + message.units if part.whole else None
             self.allot(part, message.customer, throttle.plan, cap)
 
     def allot_new(self, part: Part, customer: str, plan_name: str) -> None:
-        """A customer's first request here, or its first since its throttle was full and idle."""
+        """Sets up a customer without a throttle: its first request, or the first after it was idle."""
         part.customers[customer] = plan_name
         plan = self.plans.get(plan_name)
         if plan is None or customer in self.gateway.throttles:
             return
         if part.whole:
-            cap, level = self.left_of(part, customer, plan)
+            cap, level = self.remaining(part, customer, plan)
         else:
             rate = plan.ceiling_rate / len(self.forwarders)
             shares = [rate * (self.now - lender.free_at) for lender in self.usable(part)]
@@ -706,10 +709,10 @@
         ]
 
     def is_proven(self, part: Part, lender: Lender) -> bool:
-        """True where the forwarder surely obeyed this planner at some time after the part's last new loan."""
+        """True if the forwarder provably followed this planner after the part's last new loan."""
         if part.number not in self.unproven or lender.lent_at >= part.changed_at:
             return True
-        return shown_at(lender.session) >= part.changed_at  # one that has stopped can't show it any more
+        return proven_at(lender.session) >= part.changed_at  # a stopped forwarder can't show it any more
 
     def recall(self, session: Session, message: Recall) -> None:
         wanted = set(message.parts)
@@ -745,11 +748,11 @@
             self.unconfirmed.add(part.number)
 
     def review(self, part: Part) -> None:
-        """Tells the module how much of the part's quotas and ceilings is here now, where that has changed."""
+        """Updates the module after a change in how much of the part's quotas and ceilings is lent here."""
         usable = len(self.usable(part))
         ceiling = usable / len(self.forwarders)
         most = 2 * len(part.lenders) > len(self.forwarders)
-        # quotas are soft: who has most forwarders serves them whole, the others their own part
+        # quotas are soft: the planner with most forwarders serves all of them, others their part
         share = 1.0 if most else len(part.lenders) / len(self.forwarders)
         known = len(part.lenders)
         if (ceiling, share, known) == (part.ceiling, part.share, part.known):
@@ -762,7 +765,7 @@
             else:
                 del part.customers[customer]
 
-    # time
+    # timers
 
     def echoed(self, session: Session, number: int) -> None:
         sent = session.beats.get(number)
@@ -783,12 +786,12 @@
     def beat(self, session: Session) -> None:
         session.last_beat += 1
         session.beats[session.last_beat] = self.now
-        while len(session.beats) > KEPT_BEATS:
+        while len(session.beats) > MAX_BEATS:
             del session.beats[next(iter(session.beats))]
         session.outbox.append(Beat(session.last_beat, self.gathered, self.reach))
 
     def tick(self, now: float) -> None:
-        """To be called `beat_every`: asks all forwarders to lend for one more lease."""
+        """To be called every `beat_every`: asks all forwarders to renew their loans for one lease."""
         self.advance(now)
         if not self.gathered and self.now >= self.born + self.terms.settle:
             self.gathered = True
@@ -797,21 +800,23 @@
             self.beat(session)
             if self.now - session.heard > self.terms.dead_after:
                 self.dead.append(session)
-        if self.now >= self.swept_at + SWEEP_EVERY:
-            # a forwarder tells of every end; what it should have told of long ago must not fill the table
+        if self.now >= self.swept_at + SWEEP_INTERVAL_S:
+            # forwarders report every end; requests whose end was never reported must not fill the table
             self.swept_at = self.now
-            for number in [n for n, job in self.jobs.items() if job.request.deadline + OVERDUE < self.now]:
+            for number in [n for n, job in self.jobs.items() if job.request.deadline + OVERDUE_S < self.now]:
                 self.drop(number)
             throttles = self.gateway.throttles
-            for _ in range(min(PRUNED, len(self.parts))):  # customers that came once must not stay for good
+            for _ in range(
+                min(PARTS_PRUNED_PER_SWEEP, len(self.parts))
+            ):  # customers seen once must not stay forever
                 self.pruned = (self.pruned + 1) % len(self.parts)
                 part = self.parts[self.pruned]
                 part.customers = {c: plan for c, plan in part.customers.items() if c in throttles}
                 part.demands = {c: demand for c, demand in part.demands.items() if c in throttles}
 
-    def work_off(self) -> None:
-        """Decides part of the backlog: what waited longest in parts that are whole or have waited enough."""
-        most = max(1, math.ceil(len(self.backlog) * WORKED_OFF))
+    def process_backlog(self) -> None:
+        """Decides part of the backlog: the oldest asks of parts that are whole or have waited `gather`."""
+        most = max(1, math.ceil(len(self.backlog) * BACKLOG_FRACTION))
         ready: list[tuple[Session, Ask, Part, float]] = []
         rest: deque[tuple[Session, Ask, Part, float]] = deque()
         for waiting in self.backlog:
@@ -825,10 +830,10 @@
         for session, ask, part, came in ready:
             self.decide(session, ask, part, came)
         if self.backlog:
-            self.timers.append((WORK_OFF_EVERY, WORK_OFF))
+            self.timers.append((BACKLOG_INTERVAL_S, BACKLOG_TIMER))
 
     def advance(self, now: float) -> None:
-        """Before anything else is decided: what is no longer lent is not spent."""
+        """Advances the time, and stops using shares whose loan has ended; precedes every decision."""
         self.now = max(self.now, now)
         if self.now < self.review_at:
             return
@@ -840,12 +845,12 @@
                 if lender.bequest_until > self.now:
                     changes.append(lender.bequest_until)
                 elif self.sessions.get(lender.session.name) is not lender.session:
-                    self.unlend(part, lender.session)  # a bequest is over
+                    self.unlend(part, lender.session)  # the bequest has ended
             self.review(part)
         self.review_at = min(changes, default=float("inf"))
 
     def leave(self, now: float) -> None:
-        """A planned stop: the forwarders lend their parts elsewhere, and take their requests with them."""
+        """A planned stop: the forwarders lend their parts to other planners, and move their requests."""
         self.advance(now)
         self.leaving = True
         for session in self.sessions.values():
@@ -855,7 +860,7 @@
         return not any(part.lenders for part in self.parts)
 
     def status(self) -> dict[str, object]:
-        """What an operator watches; docs/operate/tiers.md explains each figure."""
+        """The status line's figures, explained in docs/operate/tiers.md."""
         led = [part for part in self.parts if part.lenders]
         return {
             "links": len(self.sessions),
@@ -866,7 +871,7 @@
             **self.counts,
         }
 
-    def said(self, session: Session) -> tuple[list[AnyMessage], int, int]:
-        """What there is to say on a link: messages, basis, acked. It counts as said."""
+    def take_outbox(self, session: Session) -> tuple[list[AnyMessage], int, int]:
+        """Takes the session's outgoing messages: messages, basis, acked."""
         messages, session.outbox, session.acked_told = session.outbox, [], session.acked
         return messages, session.echoed, session.acked
--- a/tests/tiers/helpers.py
+++ b/tests/tiers/helpers.py
@@ -123,7 +123,7 @@
             )
 
     def to_forwarder(self, forwarder: str, planner: str) -> None:
-        messages, basis, acked = self.planners[planner].said(self.sessions[forwarder, planner])
+        messages, basis, acked = self.planners[planner].take_outbox(self.sessions[forwarder, planner])
         self.did(
             forwarder,
             self.forwarders[forwarder].received(planner, Batch(0, basis, acked, messages), self.now),
--- a/tests/tiers/test_takeover.py
+++ b/tests/tiers/test_takeover.py
@@ -74,7 +74,7 @@
     bench.run(0.2)
     planner = bench.planners[other(old)]
     # with what forwarders hold in reserve: the old planner handed that out, and they kept it
-    held = planner.held_of(planner.parts[part_of("c", PARTS)], "c")
+    held = planner.reserves_held(planner.parts[part_of("c", PARTS)], "c")
     cap = planner.gateway.throttles["c"].cap + held
     assert held > 0
     pro = bench.settings.plans[1]
@@ -90,7 +90,7 @@
     bench.ask("f0", 1, plan="pro", units=3.0)
     bench.to_planner("f0", old)  # the ask lies at the planner, which stops right here
     session = bench.sessions["f0", old]
-    grants, basis, acked = bench.planners[old].said(session)
+    grants, basis, acked = bench.planners[old].take_outbox(session)
     assert any(isinstance(m, Grant) for m in grants)
     bench.run(TERMS.lease + 0.5, frozen=(old,))
     assert bench.holder("f0") == other(old) and len(bench.sends("f0", 1)) == 1
@@ -121,7 +121,7 @@
     holder = bench.holder("f0")
     bench.ask("f0", 1)
     bench.to_planner("f0", holder)
-    messages, basis, acked = bench.planners[holder].said(bench.sessions["f0", holder])
+    messages, basis, acked = bench.planners[holder].take_outbox(bench.sessions["f0", holder])
     bench.now += TERMS.fresh + 0.2
     bench.did("f0", bench.forwarders["f0"].received(holder, Batch(0, basis, acked, messages), bench.now))
     assert not bench.sends("f0", 1)
@@ -457,10 +457,10 @@
     before = forwarder.reserves["c"].units
     link = forwarder.links[planner]
     for term, units in ((part.term - 1, 5.0), (part.term + 1, 5.0)):
-        forwarder.reserve_told(link, Reserve("c", "pro", term, units, 1.0))
-    forwarder.reserve_told(forwarder.links[other(planner)], Reserve("c", "pro", part.term, 5.0, 1.0))
+        forwarder.on_reserve(link, Reserve("c", "pro", term, units, 1.0))
+    forwarder.on_reserve(forwarder.links[other(planner)], Reserve("c", "pro", part.term, 5.0, 1.0))
     assert forwarder.reserves["c"].units == before
-    forwarder.reserve_told(link, Reserve("c", "pro", part.term, 5.0, 1.0))
+    forwarder.on_reserve(link, Reserve("c", "pro", part.term, 5.0, 1.0))
     assert forwarder.reserves["c"].units == before + 5.0
 
 
@@ -470,10 +470,10 @@
     core, part = bench.planners[planner], bench.planners[planner].parts[part_of("c", PARTS)]
     held, term = forwarder.reserves["c"].units, forwarder.parts[part_of("c", PARTS)].term
     cap = core.gateway.throttles["c"].cap
-    forwarder.reserve_told(forwarder.links[planner], Reserve("c", "pro", term, -99.0, 0.2))
+    forwarder.on_reserve(forwarder.links[planner], Reserve("c", "pro", term, -99.0, 0.2))
     assert forwarder.reserves["c"].units == 0.0
     bench.to_planner("f0", planner)
-    assert core.held_of(part, "c") == 0.0
+    assert core.reserves_held(part, "c") == 0.0
     assert core.gateway.throttles["c"].cap == pytest.approx(cap + held, abs=2.5)  # 0.1 s of it fill
 
 
@@ -490,7 +490,7 @@
         bench.did("f0", forwarder.tick(bench.now))
     assert bench.sends("f0", 1) and forwarder.reserves["c"].units == pytest.approx(held - 3.0)
     bench.to_planner("f0", planner)
-    assert core.held_of(part, "c") == pytest.approx(held - 3.0)
+    assert core.reserves_held(part, "c") == pytest.approx(held - 3.0)
     assert 3.0 in [u for _, u in core.ledger.spends_of("c", bench.now)]
 
 
@@ -510,7 +510,7 @@
     bench.link("f0", planner)
     bench.run(0.3)
     core, part = bench.planners[planner], bench.planners[planner].parts[part_of("c", PARTS)]
-    assert core.held_of(part, "c") <= 2.0
+    assert core.reserves_held(part, "c") <= 2.0
 
 
 def test_a_planner_that_hears_fewer_is_left_by_all_and_taken_again_by_all_at_one_time() -> None:
