--- a/embersill/ratelimit/__init__.py
+++ b/embersill/ratelimit/__init__.py
@@ -1,1 +1,1 @@
-"""The gRPC rate limit service, both ways: answering and asking. See docs/design/ratelimit.md."""
+"""The gRPC rate limit service: server (answering) and client (asking). See docs/design/ratelimit.md."""
--- a/embersill/ratelimit/answering.py
+++ b/embersill/ratelimit/answering.py
@@ -1,7 +1,7 @@
-"""What a question of the rate limit protocol asks of whom, by the operator's rules. No I/O.
+"""Maps queries of the rate limit protocol to customers and plans, by the operator's rules. No I/O.
 
-Nothing is granted here: the decision module answers, from the throttles that requests use. This file turns
-descriptors into takes and the module's verdict into what the protocol tells.
+Nothing is granted here: the decision module answers, from the same throttles that requests use. This file
+converts descriptors to takes, and the module's verdict to the protocol's statuses.
 """
 
 from __future__ import annotations
@@ -15,19 +15,22 @@
 from embersill.ratelimit.settings import AnswerTable, RuleTable
 
 CUSTOMER = re.compile(r"[0-9A-Fa-f]{16}")
-MAX_TEXT_CHARS = 256  # characters of a domain, a key or a value
-UNITS = {1: 1.0, 2: 60.0, 3: 3600.0, 4: 86_400.0, 7: 604_800.0, 5: 2_592_000.0, 6: 31_536_000.0}
-SECOND, MINUTE = 1, 2  # by the protocol's enum, as the keys of UNITS: WEEK came later, as 7
-MOST_PER_UNIT = 1 << 32
+MAX_TEXT_CHARS = 256  # of a domain, a key or a value
+SECONDS_PER_UNIT = {1: 1.0, 2: 60.0, 3: 3600.0, 4: 86_400.0, 7: 604_800.0, 5: 2_592_000.0, 6: 31_536_000.0}
+SECOND, MINUTE = (
+    1,
+    2,
+)  # values of the protocol's enum, like the keys of SECONDS_PER_UNIT: WEEK was added later, as 7
+MAX_REQUESTS_PER_UNIT = 1 << 32
 
 
 class BadQuestion(Exception):
-    """A question that the protocol or a bound does not allow (INVALID_ARGUMENT)."""
+    """A query that violates the protocol or a bound (INVALID_ARGUMENT)."""
 
 
 @dataclass(frozen=True, slots=True)
 class Override:
-    """A descriptor's own limit."""
+    """The limit that a descriptor carries itself."""
 
     requests_per_unit: int
     unit: int
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Descriptor:
-    """One descriptor: its entries in their order, its own hits (None: the question's), its own limit."""
+    """One descriptor: its ordered entries, its own hits (None: the query's), its own limit."""
 
     entries: tuple[tuple[str, str], ...]
     hits: int | None = None
@@ -44,24 +47,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """One descriptor's part of an answer. With no rule for it `name` is empty and there is no limit."""
+    """The answer on one descriptor. If no rule matches it, `name` is empty and there is no limit."""
 
     ok: bool
     name: str = ""
     requests_per_unit: int = 0
     unit: int = 0
     remaining: int = 0
-    reset: float = 0.0  # seconds: until it could be granted, or until all is there again
+    reset: float = 0.0  # seconds until it could be granted, or until the bucket is full again
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
+    """The answer to a query, with one status per descriptor."""
+
     ok: bool
     statuses: tuple[Status, ...]
 
 
 class Answering:
-    """Answers questions by rules and by whoever decides."""
+    """Answers queries by the rules and with the verdicts of `decide`."""
 
     def __init__(self, table: AnswerTable, settings: Settings, decide: Callable[[Question], Verdict]) -> None:
         self.table, self.decide = table, decide
@@ -74,7 +79,7 @@
         self.counts = {"questions": 0, "granted": 0, "refused": 0, "bad": 0, "shadow_refused": 0}
 
     def answer(self, domain: str, descriptors: Sequence[Descriptor], hits: int) -> Answer:
-        """Answers a question; BadQuestion for one out of form. `hits` of nought stands for one (RLS v3)."""
+        """Answers a query; raises BadQuestion for an invalid one. Zero `hits` stands for one (RLS v3)."""
         self.counts["questions"] += 1
         try:
             self.check(domain, descriptors)
@@ -85,7 +90,7 @@
         takes = [take for take in found if isinstance(take, Take)]
         self.asked += 1
         denied = any(take is False for take in found)
-        if denied:  # nothing may be taken for the others: they are only looked at
+        if denied:  # takes nothing for the other descriptors, and only reports their state
             takes = [Take(t.customer, t.plan, 0.0, t.width, True) for t in takes]
         verdict = self.decide(Question(self.asked, tuple(takes))) if takes else Verdict(self.asked, True, ())
         ok = verdict.granted and not denied
@@ -103,6 +108,7 @@
         )
 
     def check(self, domain: str, descriptors: Sequence[Descriptor]) -> None:
+        """Raises BadQuestion for an empty or oversized query."""
         if not domain or len(domain) > MAX_TEXT_CHARS:
             raise BadQuestion("the domain is empty or too long")
         if not 0 < len(descriptors) <= self.table.most_descriptors:
@@ -116,9 +122,9 @@
                 raise BadQuestion("an entry's key is empty, or it is too long")
 
     def take(self, domain: str, descriptor: Descriptor, hits: int) -> Take | None | bool:
-        """The take that a descriptor stands for; None where no rule is for it, False where it is refused."""
+        """The take for a descriptor; if no rule matches, None, or False where that means a refusal."""
         entries = dict(descriptor.entries)
-        rule = next((r for r in self.rules.get(domain, ()) if fits(r, entries)), None)
+        rule = next((r for r in self.rules.get(domain, ()) if matches(r, entries)), None)
         if rule is None:
             return None if self.table.unmatched == "allow" else False
         customer, plan = entries[rule.customer], self.plans.get(rule.plan or entries[rule.plan_from])
@@ -130,7 +136,7 @@
         if descriptor.override is not None and rule.override != "ignore":
             if rule.override == "refuse":
                 raise BadQuestion("this rule takes no limit from a descriptor")
-            plan, customer = self.overridden(descriptor.override, customer)
+            plan, customer = self.override_plan(descriptor.override, customer)
         own = hits if descriptor.hits is None else descriptor.hits
         return Take(
             customer,
@@ -141,16 +147,17 @@
             rule.mode == "settle",
         )
 
-    def overridden(self, override: Override, customer: str) -> tuple[Plan, str]:
-        """A plan, and a throttle, of a descriptor's own: it says nothing of the customer's quota."""
-        seconds = UNITS.get(override.unit)
-        if seconds is None or not 0 < override.requests_per_unit < MOST_PER_UNIT:
+    def override_plan(self, override: Override, customer: str) -> tuple[Plan, str]:
+        """A plan and a throttle for a descriptor's own limit, separate from the customer's quota."""
+        seconds = SECONDS_PER_UNIT.get(override.unit)
+        if seconds is None or not 0 < override.requests_per_unit < MAX_REQUESTS_PER_UNIT:
             raise BadQuestion("a descriptor's limit has no unit or no number")
         rate, name = override.requests_per_unit / seconds, f"{override.requests_per_unit}/{override.unit}"
         plan = Plan(name, rate, float(override.requests_per_unit), 0, 0.0, 0.0, 1.0, 0.0, 1.0)
         return plan, f"{customer}|{name}"
 
     def status(self, take: Take, state: LimitState) -> Status:
+        """The status of a descriptor, from the state of its limit."""
         if take.shadow and not state.granted:
             self.counts["shadow_refused"] += 1
         per, unit = per_unit(take.plan)
@@ -159,14 +166,15 @@
         return Status(granted, take.plan.name, per, unit, remaining, state.full_in if granted else state.wait)
 
 
-def fits(rule: RuleTable, entries: dict[str, str]) -> bool:
+def matches(rule: RuleTable, entries: dict[str, str]) -> bool:
+    """Whether a descriptor with these entries has all that the rule requires."""
     if rule.customer not in entries or (rule.plan_from and rule.plan_from not in entries):
         return False
     return all(key in entries and value in ("*", entries[key]) for key, value in rule.match.items())
 
 
 def per_unit(plan: Plan) -> tuple[int, int]:
-    """A plan's rate in the protocol's whole numbers: by the second where it is whole, else by the minute."""
+    """A plan's rate as the protocol's integer: per second if that is whole, else per minute."""
     if plan.rate <= 0:
         return 0, 0
     if plan.rate == int(plan.rate):
--- a/embersill/ratelimit/client.py
+++ b/embersill/ratelimit/client.py
@@ -1,6 +1,6 @@
-"""The sockets of asking: one kept channel to each service, and whatever comes back, put into plain words.
+"""The gRPC client for rate limit services: one persistent channel per service, and decoding of the answers.
 
-The library's own retries are off: each question is asked once, and only `Asking` judges whether another is.
+The library's own retries are off: each query is sent once, and only `Asking` decides whether to send another.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from embersill.ratelimit.asking import Asking, Call, Ruling
 from embersill.ratelimit.settings import AskTable
 
-MOST_ANSWER = 65_536  # bytes
+MAX_ANSWER_BYTES = 65_536
 OPTIONS = [
     ("grpc.enable_retries", 0),
-    ("grpc.max_receive_message_length", MOST_ANSWER),
+    ("grpc.max_receive_message_length", MAX_ANSWER_BYTES),
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 2000),
@@ -30,7 +30,7 @@
 
 
 def read_ruling(answer: Any, asked: int) -> Ruling | None:
-    """A verdict; None for an answer that is none: UNKNOWN, or with other statuses than descriptors asked."""
+    """A verdict; None for UNKNOWN or an answer whose statuses do not match the `asked` descriptors."""
     codes = rls_pb2.RateLimitResponse
     if answer.overall_code not in (codes.OK, codes.OVER_LIMIT):
         return None
@@ -43,22 +43,23 @@
     ]
     ok = answer.overall_code == codes.OK
     if ok and resets:
-        return None  # it says both
+        return None  # contradictory
     return Ruling(ok, max(min(max(resets, default=0.0), 3600.0), 0.0))
 
 
 def write_question(domain: str, call: Call) -> Any:
+    """The protocol's request message for a call."""
     question = rls_pb2.RateLimitRequest(domain=domain, hits_addend=call.hits)
     descriptor = question.descriptors.add()
     for key, value in call.entries:
         descriptor.entries.add(key=key, value=value)
-    # nought in the question stands for one hit; in the descriptor it is nought
+    # zero in the request stands for one hit; in the descriptor it is zero hits
     descriptor.hits_addend.value = call.hits
     return question
 
 
 class Services:
-    """The channels."""
+    """The channels to all services."""
 
     def __init__(self, table: AskTable) -> None:
         self.table = table
@@ -66,22 +67,23 @@
         self.stubs = {a: rls_pb2_grpc.RateLimitServiceStub(c) for a, c in self.channels.items()}
 
     async def ask(self, call: Call, left: float) -> Ruling | None:
-        """The verdict of one call; None where none came within `left` seconds, or it was none."""
+        """The verdict of one call; None if no valid answer arrived within `left` seconds."""
         try:
             answer = await self.stubs[call.service].ShouldRateLimit(
                 write_question(self.table.domain, call), timeout=max(left, 0.001)
             )
-        except grpc.RpcError:  # an error status, a deadline, a connection that broke or says GOAWAY
+        except grpc.RpcError:  # an error status, a deadline, a broken connection or GOAWAY
             return None
         return read_ruling(answer, 1)
 
     async def close(self) -> None:
+        """Closes all channels."""
         for channel in self.channels.values():
             await channel.close()
 
 
 class AskingGateway:
-    """The decision module with services asked in front of it, driven like the module itself."""
+    """The decision module behind `Asking`, with the module's own interface."""
 
     def __init__(self, gateway: Gateway, table: AskTable, clock: Callable[[], float]) -> None:
         self.gateway, self.settings, self.clock = gateway, gateway.settings, clock
@@ -91,43 +93,48 @@
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
-        # what a planner looks at
+        # read by a planner
         self.throttles, self.jobs = gateway.throttles, gateway.jobs
 
     @property
     def servers(self) -> Any:
+        """The module's backends."""
         return self.gateway.servers
 
     def handle(self, event: Event, now: float) -> list[Action]:
+        """Handles an event of the driver."""
         actions = self.asking.handle(event, now)
-        self.go_on()
+        self.flush()
         return actions
 
-    def go_on(self) -> None:
-        """Sends what is to be asked, and sets the time of the next look."""
+    def flush(self) -> None:
+        """Sends the pending calls, and schedules the next tick."""
         calls, self.asking.outbox = self.asking.outbox, []
         for call in calls:
             task = self.loop.create_task(self.call(call))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-        look = self.asking.next_look()
+        look = self.asking.next_tick_at()
         if look is not None and self.timer is None:
             self.timer = self.loop.call_later(max(look - self.clock(), 0.0), self.tick)
 
     async def call(self, call: Call) -> None:
+        """Sends a call and performs the actions that follow from its answer."""
         ruling: Ruling | None = None
         try:
             ruling = await self.services.ask(call, call.until - self.clock())
         finally:
             self.perform(self.asking.answered(call.number, ruling, self.clock()))
-            self.go_on()
+            self.flush()
 
     def tick(self) -> None:
+        """The timer of `Asking.tick`."""
         self.timer = None
         self.perform(self.asking.tick(self.clock()))
-        self.go_on()
+        self.flush()
 
     async def close(self) -> None:
+        """Cancels the timer and all calls, and closes the channels."""
         if self.timer is not None:
             self.timer.cancel()
         for task in list(self.tasks):
--- a/embersill/ratelimit/server.py
+++ b/embersill/ratelimit/server.py
@@ -1,7 +1,7 @@
 """The listener of the rate limit service: envoy.service.ratelimit.v3 over grpc.aio, health and reflection.
 
-Bounds: a message over its bound and questions over `most_open` get RESOURCE_EXHAUSTED from the library,
-streams over `most_streams` wait at the client (RFC 9113, 5.1.2), and nothing here outlives its question.
+Bounds: the library answers RESOURCE_EXHAUSTED to an oversized message and to queries beyond `most_open`;
+streams beyond `most_streams` wait at the client (RFC 9113, 5.1.2); and no state outlives its query.
 """
 
 from __future__ import annotations
@@ -20,20 +20,23 @@
 from embersill.ratelimit.settings import AnswerTable
 
 SERVICE = "envoy.service.ratelimit.v3.RateLimitService"
-IDLE_MS, PING_MS = 300_000, 30_000  # a connection that asks nothing is closed, one that is gone is noticed
+IDLE_MS, PING_MS = 300_000, 30_000  # closes idle connections, and detects dead ones
 
 log = logging.getLogger("embersill")
 
 
 class Unavailable(Exception):
-    """The customer is decided elsewhere, or nowhere just now."""
+    """Another process decides for the customer, or none does at the moment."""
 
 
 class RateLimitServicer(rls_pb2_grpc.RateLimitServiceServicer):  # type: ignore[misc]
+    """The gRPC service: converts messages, and errors to status codes."""
+
     def __init__(self, answering: Answering) -> None:
         self.answering = answering
 
     async def ShouldRateLimit(self, request: Any, context: Any) -> Any:  # noqa: N802 - the protocol's name
+        """Answers one query."""
         try:
             answer = self.answering.answer(
                 request.domain, [read_descriptor(d) for d in request.descriptors], request.hits_addend
@@ -48,32 +51,36 @@
         return write_answer(answer)
 
 
-def read_descriptor(told: Any) -> Descriptor:
+def read_descriptor(message: Any) -> Descriptor:
+    """A descriptor of the protocol's message."""
     override = None
-    if told.HasField("limit"):
-        override = Override(told.limit.requests_per_unit, told.limit.unit)
-    hits = told.hits_addend.value if told.HasField("hits_addend") else None
-    return Descriptor(tuple((e.key, e.value) for e in told.entries), hits, override)
+    if message.HasField("limit"):
+        override = Override(message.limit.requests_per_unit, message.limit.unit)
+    hits = message.hits_addend.value if message.HasField("hits_addend") else None
+    return Descriptor(tuple((e.key, e.value) for e in message.entries), hits, override)
 
 
 def write_answer(answer: Answer) -> Any:
+    """The protocol's message for an answer."""
     codes = rls_pb2.RateLimitResponse
-    told = codes(overall_code=codes.OK if answer.ok else codes.OVER_LIMIT)
+    response = codes(overall_code=codes.OK if answer.ok else codes.OVER_LIMIT)
     for status in answer.statuses:
-        one = told.statuses.add(code=codes.OK if status.ok else codes.OVER_LIMIT)
+        entry = response.statuses.add(code=codes.OK if status.ok else codes.OVER_LIMIT)
         if status.unit:
-            one.current_limit.name = status.name
-            one.current_limit.requests_per_unit = status.requests_per_unit
-            one.current_limit.unit = status.unit if status.unit != 7 else 0
-            one.limit_remaining = status.remaining
-            # rounded up: who comes back then finds the units there
+            entry.current_limit.name = status.name
+            entry.current_limit.requests_per_unit = status.requests_per_unit
+            entry.current_limit.unit = status.unit if status.unit != 7 else 0
+            entry.limit_remaining = status.remaining
+            # rounded up, so that a client that retries then finds the units
             nanos = math.ceil(status.reset * 1e9)
-            one.duration_until_reset.seconds, one.duration_until_reset.nanos = divmod(nanos, 1_000_000_000)
-    return told
+            entry.duration_until_reset.seconds, entry.duration_until_reset.nanos = divmod(
+                nanos, 1_000_000_000
+            )
+    return response
 
 
 class RateLimitServer:
-    """Starts and stops the listener; questions are answered in the process's own loop."""
+    """Starts and stops the listener; queries are answered in the process's own event loop."""
 
     def __init__(
         self,
@@ -103,7 +110,7 @@
         self.port = 0
 
     async def start(self) -> None:
-        """OSError where the address can't be had."""
+        """Starts to listen; raises OSError if the address can't be bound."""
         try:
             self.port = self.server.add_insecure_port(self.table.listen)
         except RuntimeError as error:
@@ -113,6 +120,6 @@
             await self.health.set(name, health_pb2.HealthCheckResponse.SERVING)
 
     async def stop(self, grace: float) -> None:
-        """GOAWAY to all connections; open questions are answered within `grace` seconds."""
+        """Sends GOAWAY on all connections; open queries are answered within `grace` seconds."""
         await self.health.enter_graceful_shutdown()
         await self.server.stop(grace)
--- a/embersill/ratelimit/settings.py
+++ b/embersill/ratelimit/settings.py
@@ -1,4 +1,4 @@
-"""The operator file's tables on rate limit services, typed, and what is checked when they are loaded."""
+"""The operator file's typed tables on rate limit services, and the checks when they are loaded."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from embersill.interface import Settings
 
-MOST_RULES = 1000
+MAX_RULES = 1000
 
 
 class RuleTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """[[ratelimit.answer.rules]]: which descriptors it is for, and whose units they take. The first fits.
+    """[[ratelimit.answer.rules]]: the descriptors it matches and whose units they take. The first match wins.
 
-    `match` names entries that a descriptor must have, by key; the value "*" stands for any. `customer` and
-    `plan_from` name the entries that hold the customer and its plan.
+    `match` maps keys to the values that a descriptor must have; the value "*" matches any. `customer` and
+    `plan_from` are the keys of the entries that hold the customer and its plan.
     """
 
     domain: str
@@ -24,7 +24,7 @@
     plan: str = ""
     plan_from: str = ""
     units: float = 1.0  # for each hit
-    spread: int = 0  # gateways that the customer's requests come through; nought: all
+    spread: int = 0  # gateways that receive the customer's requests; zero: all
     mode: Literal["limit", "shadow", "settle"] = "limit"
     override: Literal["ignore", "apply", "refuse"] = "ignore"
 
@@ -34,10 +34,10 @@
 
     listen: str
     rules: list[RuleTable]
-    unmatched: Literal["allow", "deny"] = "allow"  # descriptors that no rule is for
-    most_descriptors: int = 64  # in one question
+    unmatched: Literal["allow", "deny"] = "allow"  # the answer to descriptors that no rule matches
+    most_descriptors: int = 64  # in one query
     most_message_bytes: int = 65_536
-    most_open: int = 1024  # questions at once
+    most_open: int = 1024  # concurrent queries
     most_streams: int = 256  # on one connection
     reflection: bool = True
 
@@ -48,33 +48,35 @@
     services: list[str]
     domain: str
     plans: list[str]
-    classes: list[str] = []  # of these plans only; none: all
+    classes: list[str] = []  # classes that are asked about; empty: all
     without_verdict: Literal["share", "deny", "allow"] = "share"
-    overrun: float = 0.0  # units a second, over all customers, that "allow" lets through at most
+    overrun: float = 0.0  # units per second over all customers: the limit of "allow"
     overrun_burst: float = 0.0
     timeout: float = 0.05  # seconds for one service
-    within: float = 0.12  # seconds for a verdict in all
+    within: float = 0.12  # seconds for a verdict in total
     within_part: float = 0.2  # of a request's budget, at most
-    late: float = 2.0  # seconds for which a late answer is still heard
-    settle: Literal["next", "ask"] = "next"  # differences to true units: with the next question, or at once
-    break_after: int = 5  # failures in a row from which a service is left alone
-    back_off: float = 0.25  # seconds for which it is, doubled each time
+    late: float = 2.0  # seconds for which a late answer still counts
+    settle: Literal["next", "ask"] = "next"  # differences to true units: with the next query, or at once
+    break_after: int = 5  # consecutive failures after which a service is not asked
+    back_off: float = 0.25  # initial pause in seconds, doubled each time
     most_back_off: float = 8.0
-    most_customers: int = 20_000  # of whom differences and news are remembered
-    most_open: int = 10_000  # questions at once
+    most_customers: int = 20_000  # whose accounts are remembered
+    most_open: int = 10_000  # concurrent queries
 
 
 class RateLimitTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+    """[ratelimit]: the listener for queries of others, and the services that this process queries."""
+
     answer: AnswerTable | None = None
     ask: AskTable | None = None
 
 
 def check_ratelimit(table: RateLimitTable) -> None:
-    """What can be told without the platform's settings; ValueError names key and reason."""
+    """Checks what does not need the platform's settings; raises ValueError that names key and reason."""
     if table.answer is not None:
         answer = table.answer
-        if not 0 < len(answer.rules) <= MOST_RULES:
-            raise ValueError(f"ratelimit.answer.rules must be 1 to {MOST_RULES}")
+        if not 0 < len(answer.rules) <= MAX_RULES:
+            raise ValueError(f"ratelimit.answer.rules must be 1 to {MAX_RULES}")
         for number, rule in enumerate(answer.rules):
             where = f"ratelimit.answer.rules[{number}]"
             if not rule.domain:
@@ -89,7 +91,7 @@
                 wider = all(earlier.match[k] in ("*", rule.match.get(k)) for k in earlier.match)
                 needed = earlier.match.keys() <= rule.match.keys()
                 if earlier.domain == rule.domain and wider and needed:
-                    raise ValueError(f"{where} is never reached: an earlier rule takes all that it would")
+                    raise ValueError(f"{where} is never reached: an earlier rule matches all that it would")
         for key, value, most in (
             ("most_descriptors", answer.most_descriptors, 10_000),
             ("most_open", answer.most_open, 100_000),
@@ -106,7 +108,7 @@
             raise ValueError("ratelimit.ask: domain and plans must not be empty")
         if not 0 < ask.timeout <= ask.within <= 5.0 or not 0 < ask.within_part <= 0.5:
             raise ValueError(
-                "ratelimit.ask: timeout must be above nought and at most within, within at most "
+                "ratelimit.ask: timeout must be above zero and at most within, within at most "
                 "5 s, within_part at most 0.5"
             )
         if ask.without_verdict == "allow" and not (ask.overrun > 0 and ask.overrun_burst > 0):
@@ -120,7 +122,7 @@
 
 
 def check_names(table: RateLimitTable, settings: Settings) -> None:
-    """Plans and classes must be the platform's; ValueError names the one that is not."""
+    """Raises ValueError for a plan or class that the platform's settings do not have."""
     plans, classes = {p.name for p in settings.plans}, {c.name for c in settings.classes}
     if table.answer is not None:
         for number, rule in enumerate(table.answer.rules):
--- a/embersill/tiers/roles.py
+++ b/embersill/tiers/roles.py
@@ -1,4 +1,4 @@
-"""The processes of the two levels, put together: a forwarder's and a planner's."""
+"""Assembles the processes of the two tiers: the forwarder and the planner."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from embersill.tiers.planner import Planner
 from embersill.tiers.wire import Secret, deployment_digest
 
-LINKED_WITHIN = 0.5  # seconds that a forwarder waits for a planner before it is ready without one
-HANDED_OVER = 2.0  # seconds for forwarders to lend their parts elsewhere when a planner stops
-LOOK_EVERY = 0.02  # seconds between looks at whether they have
+LINK_WAIT_S = 0.5  # a forwarder waits this long for a planner before it is ready without one
+HANDOVER_TIMEOUT_S = 2.0  # for forwarders to lend their parts elsewhere when a planner stops
+POLL_INTERVAL_S = 0.02  # between checks in either wait
 
 log = logging.getLogger("embersill")
 
 
 def report_every(seconds: float, role: str, name: str, status: Callable[[], dict[str, object]]) -> None:
-    """A line of JSON on the state now and then, where the operator wants it."""
+    """Prints a JSON status line at this interval; never if it is zero."""
 
     def report() -> None:
         print(json.dumps({"role": role, "name": name, **status()}), flush=True)
@@ -40,17 +40,18 @@
 
 
 def secret_of(tiers: Tiers) -> Secret:
+    """The shared secret, with the digest of what all members must have in common."""
     return Secret(tiers.secret, deployment_digest(tiers.forwarders, tiers.parts, tiers.terms))
 
 
 class ForwarderProgram(Program):
-    """A gateway's sockets, with a forwarder in place of the module."""
+    """A gateway process whose decisions come from a forwarder instead of the decision module."""
 
-    def __init__(self, told: Configuration, tiers: Tiers) -> None:
+    def __init__(self, configuration: Configuration, tiers: Tiers) -> None:
         clock = start_clock()
         core = Forwarder(
-            told.settings,
-            told.seed,
+            configuration.settings,
+            configuration.seed,
             clock(),
             forwarders=len(tiers.forwarders),
             planners=tiers.planners,
@@ -62,7 +63,7 @@
             core,
             clock,
             secret_of(tiers),
-            told.name,
+            configuration.name,
             tiers.planners,
             most_frame=tiers.most_frame,
             most_unsent=tiers.most_unsent,
@@ -76,15 +77,15 @@
                 ),
                 flush=True,
             )
-        super().__init__(told, clock, self.links)
+        super().__init__(configuration, clock, self.links)
 
     async def start(self) -> None:
         self.links.start(self.driver)
         await super().start()
         self.settled = False
-        end = self.loop.time() + LINKED_WITHIN
+        end = self.loop.time() + LINK_WAIT_S
         while self.loop.time() < end and not any(link.up for link in self.links.core.links.values()):
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
         self.settled = True
         report_every(self.status_every, "forwarder", self.links.name, self.links.status)
 
@@ -92,11 +93,11 @@
         given = [x for x in (still_coming, all_answered) if x is not None]
         await super().stop(*given)
         self.links.close()
-        await asyncio.sleep(0)  # the last words are with the kernel before the loop ends
+        await asyncio.sleep(0)  # hands the last messages to the kernel before the loop ends
 
 
-class Seated(Protocol):
-    """A planner's seat in the council, as far as this module knows of it."""
+class CouncilSeat(Protocol):
+    """The interface of a planner's membership in the council."""
 
     async def start(self) -> None: ...
 
@@ -106,15 +107,15 @@
 
 
 class PlannerProgram:
-    """A planner: links in place of clients, and no backend connection of its own."""
+    """A planner process: it serves forwarders' links instead of clients, and connects to no backend."""
 
-    def __init__(self, told: Configuration, tiers: Tiers) -> None:
-        if told.name not in tiers.planners:
-            raise BadConfiguration(f"tiers.planners: this planner, {told.name!r}, is not among them")
+    def __init__(self, configuration: Configuration, tiers: Tiers) -> None:
+        if configuration.name not in tiers.planners:
+            raise BadConfiguration(f"tiers.planners: this planner, {configuration.name!r}, is not among them")
         self.clock = start_clock()
         self.core = Planner(
-            told.settings,
-            told.seed,
+            configuration.settings,
+            configuration.seed,
             self.clock(),
             forwarders=tiers.forwarders,
             planners=len(tiers.planners),
@@ -127,27 +128,28 @@
             self.core,
             self.clock,
             secret_of(tiers),
-            told.name,
+            configuration.name,
             most_frame=tiers.most_frame,
             most_unsent=tiers.most_unsent,
             others=tiers.planners,
         )
-        self.address = tiers.planners[told.name]
+        self.address = tiers.planners[configuration.name]
         self.status_every = tiers.status_every
-        self.settings = told.settings
+        self.settings = configuration.settings
         self.places: dict[str, tuple[str, int]] = {}
-        self.filed = told.discovery_filed
-        self.chair: Seated | None = None
-        self.list_told(told.known)
-        self.discovery = Discovery(told.discovery, told.limits.dial_timeout, self.list_told)
+        self.filed = configuration.discovery_filed
+        self.chair: CouncilSeat | None = None
+        self.list_told(configuration.known)
+        self.discovery = Discovery(configuration.discovery, configuration.limits.dial_timeout, self.list_told)
 
     def list_told(self, listing: Listing) -> None:
+        """Passes a backend list on to the core; a backend whose address was reused is reported as gone."""
         backends = []
         for entry in listing.entries:
             backend = entry.backend
             if backend.status is Status.SERVING:
                 for old in [b for b, place in self.places.items() if place == entry.address]:
-                    if old != backend.address:  # its address has gone to another: it is no more
+                    if old != backend.address:  # its address belongs to another backend now: it is gone
                         del self.places[old]
                         backends.append(replace(backend, address=old, status=Status.GONE))
                 self.places[backend.address] = entry.address
@@ -161,7 +163,7 @@
         self.server.due()
 
     def reload(self) -> None:
-        """Moves discovery to where the file says now; without a usable file nothing changes."""
+        """Switches to the discovery address of the reread file; an unusable file changes nothing."""
         try:
             fresh = read_configuration(dict(os.environ))
         except BadConfiguration as error:
@@ -178,16 +180,17 @@
         report_every(self.status_every, "planner", self.server.name, self.status)
 
     def status(self) -> dict[str, object]:
+        """The figures of the status line."""
         seated = self.chair.status() if self.chair is not None else {}
         return {**self.core.status(), **self.server.status(), **seated}
 
     async def stop(self) -> None:
-        """Hands its parts over first: what it has decided is decided on elsewhere, not answered anew."""
+        """Hands its parts over first, so that its requests are continued elsewhere and not answered twice."""
         self.core.leave(self.clock())
         self.server.due()
-        end = self.clock() + HANDED_OVER
+        end = self.clock() + HANDOVER_TIMEOUT_S
         while not self.core.holds_nothing() and self.clock() < end:
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
         self.server.close()
         self.discovery.stop()
 
--- a/tests/ratelimit/test_asking.py
+++ b/tests/ratelimit/test_asking.py
@@ -138,7 +138,7 @@
     assert play.of(1) == ["Send"]  # by the gateway's own share
     play.rule(call, OK)
     play.serve(1)
-    assert play.of(1) == ["Send"] and play.due() == 0.0 and not play.asking.waiting
+    assert play.of(1) == ["Send"] and play.due() == 0.0 and not play.asking.pending
     play.ask(2)
     (call,) = play.calls()
     play.wait(0.2)
@@ -160,7 +160,7 @@
     play.wait(0.2)
     assert play.of(1) == ["Refuse"]
     play.rule(call, OK)
-    assert play.due() == -2.0 and not play.asking.waiting
+    assert play.due() == -2.0 and not play.asking.pending
     play.ask(2, units=3.0)
     assert play.calls()[0].hits == 1
 
@@ -185,7 +185,7 @@
         play.serve(1)
     charged, used = 2.0 * (verdicts[0].ok + verdicts[1].ok), 2.0 * verdicts[0].ok
     assert play.due() == used - charged
-    assert not play.asking.waiting and not play.asking.calls
+    assert not play.asking.pending and not play.asking.calls
 
 
 def test_what_is_no_verdict_goes_to_the_next_service_at_once() -> None:
@@ -291,7 +291,7 @@
     assert play.asking.handle(ClientLeft(1), play.now) == []
     play.rule(call, OK)
     play.wait(1.0)
-    assert play.of(1) == [] and play.due() == -2.0 and not play.asking.waiting
+    assert play.of(1) == [] and play.due() == -2.0 and not play.asking.pending
 
 
 def test_a_request_waits_a_bounded_part_of_its_budget() -> None:
