--- a/embersill/edge/dataplane/gateway.py
+++ b/embersill/edge/dataplane/gateway.py
@@ -21,7 +21,7 @@
 from embersill.edge.dataplane.backend_choice import REMOTE_ZONE_PENALTY_SHARE, EdgeBackends, LoadedFleet
 from embersill.edge.dataplane.lingering import TIMER_KEY_PREFIX as LINGERING_KEY_PREFIX
 from embersill.edge.rollout.watch import ByKind, Watch
-from embersill.edge.throttling.figures import Figures
+from embersill.edge.throttling.figures import SlowdownCounts
 from embersill.interface import Configured, Lent, PeerLoad, Settings, Sliced, TimerDue
 
 
@@ -41,7 +41,7 @@
             PeerLoad: self.others,
         }
 
-    def slow(self, tenants: Mapping[str, Slowed], figures: Figures | None) -> None:
+    def slow(self, tenants: Mapping[str, Slowed], figures: SlowdownCounts | None) -> None:
         """Slows down these tenants from now on; `figures` counts requests while there are orders."""
         self.attempts.slowed_tenants, self.attempts.figures = tenants, figures
         self.admission.slowed_tenants = tenants  # requests queued already keep their wait bound
@@ -61,8 +61,8 @@
         watch = self.attempts.rollout_watch
         if watch is None:
             return {}
-        watch.look_for_missing(self.attempts.jobs.keys())
-        return watch.stretches
+        watch.record_missing(self.attempts.jobs.keys())
+        return watch.stages
 
     def parts(self) -> tuple[Backends, Attempts, Admission]:
         """The backends, attempts and admission of this kind of gateway."""
--- a/embersill/edge/node.py
+++ b/embersill/edge/node.py
@@ -21,17 +21,17 @@
 from embersill.edge.consensus.distribution import Distribution
 from embersill.edge.configuration.document import EMPTY, State, read_document, revision
 from embersill.edge.consensus.election import MESSAGE_KIND as ELECTION
-from embersill.edge.throttling.figures import Figures
+from embersill.edge.throttling.figures import SlowdownCounts
 from embersill.edge.consensus.founding import Founding
 from embersill.edge.consensus.membership import Shortfall
 from embersill.edge.configuration.policy import AS_BUILT, Policy
 from embersill.edge.throttling.reports import Reports
 from embersill.edge.peers.peer_set import Hello, PeerSet
 from embersill.edge.configuration.lapses import lapses_of, squeezed
-from embersill.edge.rollout.roller import Roller
+from embersill.edge.rollout.roller import RolloutRunner
 from embersill.edge.configuration.rollouts import in_force, label
 from embersill.edge.discovery.loads import Loads
-from embersill.edge.throttling.squeezer import Squeezer
+from embersill.edge.throttling.squeezer import LapseRunner
 from embersill.edge.configuration.routes import Table
 from embersill.edge.status import status_of
 from embersill.edge.verdict import done
@@ -86,8 +86,8 @@
         self.calls.when_applied = self.distribution.when_applied
         self.calls.on_view = lambda text: self.on_view(text)
         state, up_to_date = lambda: self.state, self.distribution.all_up_to_date
-        self.squeezer = Squeezer(hello, self.peers, self.agreement, state, up_to_date, now)
-        self.roller = Roller(hello, self.peers, self.agreement, self.effects, state, up_to_date, now)
+        self.squeezer = LapseRunner(hello, self.peers, self.agreement, state, up_to_date, now)
+        self.roller = RolloutRunner(hello, self.peers, self.agreement, self.effects, state, up_to_date, now)
         self.handlers = self.handlers_by_kind()
         self.duties = self.squeezer.duty, self.roller.duty
         for duty in self.duties:
@@ -257,7 +257,7 @@
         self.distribution.announce()
 
     @property
-    def figures(self) -> Figures | None:
+    def figures(self) -> SlowdownCounts | None:
         """Where requests are counted; None while there are no orders about lapsed tenants."""
         return self.reports.figures if self.reports.figures.now else None
 
--- a/embersill/edge/program.py
+++ b/embersill/edge/program.py
@@ -110,7 +110,7 @@
         sums.overshoot, sums.slack = bound(local, "quota_overshoot", 0.0), bound(local, "quota_slack", 0.0)
         self.handler = ClientHandler(lambda: self.driver, self.chance)
         self.handler.is_behind, self.handler.after_next_look = self.is_behind, self.after_next_look
-        self.handler.on_stopped = self.node.reports.figures.turned_away
+        self.handler.on_stopped = self.node.reports.figures.count_rejected
         self.front = self.door(clients, self.handler, ROOM)
         self.metrics = Metrics(self.driver, self.gateway, self.front)
         self.ready = self.door(32, ReadinessHandler(self.is_ready, self.metrics), 0)
--- a/embersill/edge/rollout/judging.py
+++ b/embersill/edge/rollout/judging.py
@@ -1,9 +1,9 @@
-"""Whether a policy harms where it is in force, from what gateways have seen. No I/O.
+"""Decides whether a policy does harm where it is in force, from the counts of all gateways. No I/O.
 
-Work that is missing or was sent on twice is harm at one case. Slowness and refusals are judged by Wald's
-sequential probability ratio test (1945) with stated error rates, kind by kind: a part of requests above a
-bound that few passed before, against so much more of them. What the other sites saw in the same time shifts
-what is expected, so that a trouble that all of them have is not laid on the policy.
+A single lost or doubly executed request is harm. Slowness, rejections and failures are judged for each kind
+of request by Wald's sequential probability ratio test (1945) with stated error rates: the share of requests
+above a bound that few exceeded before, against a much larger share. What the other sites saw in the same
+time shifts the expected share, so that a problem of all sites is not blamed on the policy.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from embersill.edge.rollout.watch import BOUNDS, Seen
+from embersill.edge.rollout.watch import BOUNDS_S, Seen
 
 FALSE_ALARM, MISSED = 0.001, 0.01  # error rates of each test
-BUNCHED = 3.0  # requests that say no more than one: what is late comes in bunches
-TAILS = (0.1, 0.01)  # parts above a bound at which slowness is looked for
-LEAST_BEFORE = 100  # requests of a kind from before, below which nothing can be said of it
-SLACK = 0.01  # by which a part may grow and be as before
+CLUSTER_SIZE = 3.0  # late requests come in clusters: this many count as one observation
+TAILS = (0.1, 0.01)  # shares of the slowest requests that are compared
+MIN_BASELINE = 100  # requests of a kind before the step, below which it can't be judged
+SLACK = 0.01  # growth of a share that still counts as unchanged
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """`grave`: one case was enough, there is nothing to try again."""
+    """The result of judging; `grave`: a single case was enough, so that the step is not tried again."""
 
     how: Literal["good", "harm", "more"]
     why: str = ""
@@ -32,30 +32,30 @@
 
 
 def above(seen: Seen, place: int) -> int:
-    """Of those served, how many took longer than that bound."""
+    """The number of served requests that took longer than that bound."""
     return sum(seen.took[place + 1 :])
 
 
 def bound_for(before: Seen, tail: float) -> int:
-    """The least bound that no more than so large a part passed."""
+    """The index of the least bound that at most this share of the requests exceeded."""
     most = tail * max(before.served, 1)
-    return next((n for n in range(len(BOUNDS)) if above(before, n) <= most), len(BOUNDS) - 1)
+    return next((n for n in range(len(BOUNDS_S)) if above(before, n) <= most), len(BOUNDS_S) - 1)
 
 
 def part(count: int, of: int) -> float:
-    """A share; nought of nothing."""
+    """A share; 0.0 if there is nothing to divide by."""
     return count / of if of else 0.0
 
 
 def ratio(count: int, of: int, expected: float, harmful: float) -> float:
-    """The logarithm of the likelihood of harm against that of none."""
+    """The log likelihood ratio of harm against no harm."""
     return (
         count * math.log(harmful / expected) + (of - count) * math.log((1 - harmful) / (1 - expected))
-    ) / BUNCHED
+    ) / CLUSTER_SIZE
 
 
 def compared(count: int, of: int, before: float, drift: float) -> Literal["good", "harm", "more"]:
-    """One sequential test of a part, against what it was, shifted by what others saw."""
+    """One sequential test of a share against its earlier value, shifted by the drift at the other sites."""
     expected = min(max(before + max(drift, 0.0), SLACK) * 1.1 + SLACK / 2, 0.8)
     harmful = min(2 * expected + 0.02, 0.95)
     found = ratio(count, of, expected, harmful)
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sides:
-    """One kind of request: at sites with the policy and at the others, before it was in force and since."""
+    """Counts of one kind of request: at sites with the policy and at others, before the step and since."""
 
     before: Seen
     now: Seen
@@ -74,7 +74,7 @@
     others_now: Seen
 
     def parts(self) -> list[tuple[str, int, int, float, float]]:
-        """What is tested: its name, count and of how many, the part before, the drift that the others saw."""
+        """The tests to make: name, count, total, share before, and drift at the other sites."""
         made = []
         for tail in TAILS:
             place = bound_for(self.before, tail)
@@ -82,7 +82,7 @@
             drift = part(above(self.others_now, place), self.others_now.served) - part(
                 above(self.others_before, place), self.others_before.served
             )
-            name = f"slower than {BOUNDS[place]:.3f} s"
+            name = f"slower than {BOUNDS_S[place]:.3f} s"
             made.append((name, above(self.now, place), self.now.served, was, drift))
         for name in ("refused", "failed"):
             count, parts = (
@@ -102,7 +102,7 @@
     others_before: Mapping[str, Seen],
     others_now: Mapping[str, Seen],
 ) -> Finding:
-    """What is to be held of the sites at which the policy is in force."""
+    """Judges the sites at which the policy is in force, by kind of request."""
     for kind, seen in sorted(now.items()):
         if seen.doubled or seen.missing:
             what, names = "sent on twice" if seen.doubled else "missing", seen.doubled or seen.missing
@@ -110,7 +110,7 @@
     unsure = ""
     for kind, was in sorted(before.items()):
         sides = Sides(was, *(side.get(kind, Seen()) for side in (now, others_before, others_now)))
-        if was.asked < LEAST_BEFORE:
+        if was.asked < MIN_BASELINE:
             unsure = unsure or f"{kind}: too few requests"
             continue
         for name, count, of, expected, drift in sides.parts():
--- a/embersill/edge/rollout/roller.py
+++ b/embersill/edge/rollout/roller.py
@@ -1,9 +1,10 @@
-"""The duty of carrying a policy down the sites: one member of the core has it, by the agreed record. No I/O.
+"""The duty of rolling out a policy site by site, held by one core member at a time. No I/O.
 
-The holder tells a step and lets gateways count for a while how things are without it, binds it, and watches:
-all gateways tell what they have seen, `judging` says what is to be held of that. Slowness is tried once more
-after a rest, since a trouble at the step's sites alone looks the same; lost or doubled work, or what can't be
-known in three times the watch, halts. A holder that has just started begins the stretch anew.
+The agreed record names the holder. It announces a step, lets gateways count for a while without it, puts it
+in force, and watches: it collects the counts of all gateways, and `judging` decides on them. A step that
+made requests slower is tried once more after a rest, since a problem at the step's sites alone looks the
+same. Lost or doubled work halts the rollout, and so does a step without a clear result after three times
+the watch time. A holder that has just started begins the stage again.
 """
 
 from __future__ import annotations
@@ -31,22 +32,22 @@
     stretch,
     told,
 )
-from embersill.edge.rollout.watch import ByKind, added
+from embersill.edge.rollout.watch import ByKind, total_by_kind
 
-DUTY = "rollouts"  # its name on the ring
-ASK_EVERY = 1.0  # seconds between questions what gateways have seen
-WATCHES = 3.0  # times the watch after which what is not known to be good is taken back
-RESTS = 1.0  # times the watch that a step that harmed rests before it is tried again
-MOST_TRIES = 1  # further tries of steps, in a run
+DUTY = "rollouts"  # the duty's name on the ring
+QUERY_INTERVAL_S = 1.0  # between queries for the gateways' counts
+MAX_WATCHES = 3.0  # multiple of the watch time after which a step without a clear result is taken back
+REST_WATCHES = 1.0  # multiple of the watch time that a harmful step rests before it is tried again
+MAX_RETRIES = 1  # of steps in a run
 
 
-def one_word(text: str) -> str:
-    """As a value of a log line."""
+def log_value(text: str) -> str:
+    """A text without spaces, as a value in a log line."""
     return text.replace(" ", "_")
 
 
-class Roller:
-    """The duty of carrying a policy down the sites, judging each step."""
+class RolloutRunner:
+    """Rolls out a policy site by site and judges each step, while this member holds the duty."""
 
     def __init__(
         self,
@@ -58,20 +59,20 @@
         known: Callable[[], bool],
         now: float,
     ) -> None:
-        """`state`: what is in force here. `known`: True once all linked gateways have it."""
+        """`state`: the configuration in force here; `known`: True once all linked gateways have it."""
         self.me, self.peers, self.state, self.known = me, peers, state, known
         self.duty = Duty(DUTY, me, peers, agreement, lambda: rollouts_of(state())["holder"], held)
-        self.counts: Callable[[], dict[str, ByKind]] = dict  # what this gateway has seen, by stretch
+        self.counts: Callable[[], dict[str, ByKind]] = dict  # this gateway's counts by stage
         self.gather = Gather("watch", me, peers, effects, lambda _: msgspec.to_builtins(self.counts()))
-        self.key: tuple[Any, ...] = ()  # the stretch that the run is in
-        self.spent = 0.0  # seconds in it
-        self.looked = self.asked_at = now
+        self.key: tuple[Any, ...] = ()  # identifies the stage that the run is in
+        self.spent = 0.0  # seconds in that stage
+        self.last_tick = self.asked_at = now
         self.finding = Finding("more")
 
     def tick(self, now: float) -> None:
-        """What is due by now."""
+        """Updates the time spent in the stage, and acts if this member holds the duty."""
         rollouts = rollouts_of(self.state())
-        run, passed_by, self.looked = rollouts["run"], max(now - self.looked, 0.0), now
+        run, passed_by, self.last_tick = rollouts["run"], max(now - self.last_tick, 0.0), now
         self.gather.tick(now)
         if run is None or run["phase"] == "paused":
             self.key = ()
@@ -85,10 +86,10 @@
             self.act(rollouts["number"], run, now)
 
     def act(self, number: int, run: Run, now: float) -> None:
-        """Takes the next step of a run, if it is due."""
+        """Proposes the next change of a run, if it is due."""
         step, what = run["step"], f"rollout number={number} step={run['step']} told={run['told']}"
         if run["phase"] == "resting":
-            if self.spent >= RESTS * run["watch_s"]:
+            if self.spent >= REST_WATCHES * run["watch_s"]:
                 self.duty.propose(lambda state: rested(state, number, step), f"{what} did=rested")
         elif run["told"] > step:
             if self.spent >= run["watch_s"] and self.known():
@@ -99,35 +100,35 @@
             self.judge(number, run, now)
 
     def judge(self, number: int, run: Run, now: float) -> None:
-        """Goes on, waits or goes back, by what the gateways have seen."""
+        """Goes on, waits or takes the step back, by the gateways' counts."""
         step, found, watch = run["step"], self.finding, run["watch_s"]
         what = f"rollout number={number} step={step}"
         if found.how == "harm":
-            again = not found.grave and run["tries"] < MOST_TRIES
+            again = not found.grave and run["tries"] < MAX_RETRIES
             self.take_back(number, step, found.why, again)
         elif found.how == "good" and self.spent >= watch:
             if step + 1 < len(run["steps"]):
                 self.duty.propose(lambda state: told(state, number, step + 1), f"{what} did=good")
             else:
                 self.duty.propose(lambda state: passed(state, number), f"{what} did=done")
-        elif self.spent >= WATCHES * watch:
+        elif self.spent >= MAX_WATCHES * watch:
             self.take_back(number, step, f"not to be known: {found.why or 'nobody told'}", False)
-        elif now - self.asked_at >= ASK_EVERY:
+        elif now - self.asked_at >= QUERY_INTERVAL_S:
             self.asked_at, key = now, self.key
 
-            def came(counts: dict[str, Any], silent: list[str]) -> None:
+            def collected(counts: dict[str, Any], silent: list[str]) -> None:
                 if self.key == key:
                     self.finding = self.found(number, run, counts, silent)
 
-            self.gather.ask("", came, now)
+            self.gather.ask("", collected, now)
 
     def take_back(self, number: int, step: int, why: str, again: bool) -> None:
-        """Lays that a step did harm; `again`: it will be tried once more."""
-        what = f"rollout number={number} step={step} did={'rest' if again else 'halt'} why={one_word(why)}"
+        """Proposes to take a harmful step back; `again`: it will be tried once more."""
+        what = f"rollout number={number} step={step} did={'rest' if again else 'halt'} why={log_value(why)}"
         self.duty.propose(lambda state: harmed(state, number, step, why, again), what)
 
     def found(self, number: int, run: Run, counts: dict[str, Any], silent: list[str]) -> Finding:
-        """What all gateways have seen, the sites with the policy against those without it."""
+        """Judges the counts of all gateways: the sites with the policy against those without it."""
         step, tries = run["step"], run["tries"]
         sides: tuple[list[ByKind], ...] = ([], [], [], [])
         unheard, where = "", list[str]()
@@ -149,11 +150,11 @@
                 if (label := stretch(number, try_, at - 1, at)) in seen
             ]
             sides[0].extend(before[:1])
-        finding = judged(*map(added, sides))
+        finding = judged(*map(total_by_kind, sides))
         if finding.grave:
             return Finding("harm", f"{finding.why} at {', '.join(dict.fromkeys(where))}", True)
         return Finding("more", unheard) if unheard and finding.how == "good" else finding
 
     def zones(self) -> dict[str, str]:
-        """Gateways that are there, and their zones."""
-        return {self.me.name: self.me.zone, **{name: one.zone for name, one in self.peers.linked.items()}}
+        """This gateway and all linked ones, with their zones."""
+        return {self.me.name: self.me.zone, **{name: peer.zone for name, peer in self.peers.linked.items()}}
--- a/embersill/edge/rollout/watch.py
+++ b/embersill/edge/rollout/watch.py
@@ -1,8 +1,9 @@
-"""What a gateway sees while a policy is on its way: by kind of request, how it ended, and after how long.
+"""A gateway's counts during a policy rollout: outcomes and answer times by kind of request. No I/O.
 
-Counted only while there is a run, by its stretches (`rollouts.label`), so that what was before a step stands
-beside what came after it. Counts of gateways add up. Cases of lost and doubled work are kept one by one: a
-request that must not run twice and was sent on again, one that is neither open nor ended. No I/O.
+Counted only while there is a run, separately for its stages (`rollouts.label`), so that the counts before
+and after a step can be compared. The counts of several gateways can be added. Lost and doubled requests are
+recorded one by one: a request that must not run twice but was sent again, and one that is neither open nor
+ended.
 """
 
 from __future__ import annotations
@@ -12,27 +13,27 @@
 
 import msgspec
 
-# seconds an answer took, evenly by a factor; a last class is over all of them
-BOUNDS = tuple(0.01 * 1.25**n for n in range(32))
-MOST_STRETCHES = 32  # the oldest goes first
-MOST_KINDS = 2000
-MOST_NAMED = 16  # requests that are named of each kind
-MOST_OPEN = 20000  # requests that are followed to their end
+# histogram bounds of answer times, spaced by a constant factor; a last bucket is above all of them
+BOUNDS_S = tuple(0.01 * 1.25**n for n in range(32))
+MAX_STAGES = 32  # the oldest is dropped first
+MAX_KINDS = 2000
+MAX_LISTED = 16  # lost or doubled requests that are listed for each kind
+MAX_TRACKED = 20000  # requests that are tracked until they end
 
 
 class Seen(msgspec.Struct):
-    """`took`: how many of those served took up to each bound, and more than all."""
+    """Counts of one kind of request; `took`: the served ones by the bound up to which they took."""
 
     served: int = 0
     refused: int = 0
     failed: int = 0
-    took: list[int] = msgspec.field(default_factory=lambda: [0] * (len(BOUNDS) + 1))
-    doubled: list[int] = msgspec.field(default_factory=list)  # requests by number
+    took: list[int] = msgspec.field(default_factory=lambda: [0] * (len(BOUNDS_S) + 1))
+    doubled: list[int] = msgspec.field(default_factory=list)  # request numbers
     missing: list[int] = msgspec.field(default_factory=list)
 
     @property
     def asked(self) -> int:
-        """All requests that have ended."""
+        """The number of requests that have ended."""
         return self.served + self.refused + self.failed
 
     def add(self, other: Seen) -> None:
@@ -40,86 +41,86 @@
         self.served += other.served
         self.refused += other.refused
         self.failed += other.failed
-        self.took = [one + more for one, more in zip(self.took, other.took, strict=True)]
-        self.doubled = [*self.doubled, *other.doubled][:MOST_NAMED]
-        self.missing = [*self.missing, *other.missing][:MOST_NAMED]
+        self.took = [mine + theirs for mine, theirs in zip(self.took, other.took, strict=True)]
+        self.doubled = [*self.doubled, *other.doubled][:MAX_LISTED]
+        self.missing = [*self.missing, *other.missing][:MAX_LISTED]
 
 
 ByKind = dict[str, Seen]
 
 
 class Watch:
-    """One gateway's counts, by stretch and kind."""
+    """One gateway's counts, by stage and kind of request."""
 
     def __init__(self) -> None:
-        self.stretches: dict[str, ByKind] = {}
-        self.now: ByKind = {}  # of the stretch that counts go to
-        self.open: dict[int, str] = {}  # requests that were let on and have not ended, by number: their kind
+        self.stages: dict[str, ByKind] = {}
+        self.now: ByKind = {}  # the counts of the current stage
+        self.open: dict[int, str] = {}  # kinds of the admitted requests that have not ended, by number
 
     def follow(self, label: str) -> None:
-        """Counts go to this stretch from now on."""
-        if label not in self.stretches:
-            while len(self.stretches) >= MOST_STRETCHES:
-                del self.stretches[next(iter(self.stretches))]
-            self.stretches[label] = {}
-        self.now = self.stretches[label]
+        """Counts for this stage from now on."""
+        if label not in self.stages:
+            while len(self.stages) >= MAX_STAGES:
+                del self.stages[next(iter(self.stages))]
+            self.stages[label] = {}
+        self.now = self.stages[label]
 
     def of(self, kind: str) -> Seen | None:
-        """The counts of a kind of request; None if there are too many kinds."""
+        """The counts of a kind of request, created if missing; None if there are too many kinds."""
         found = self.now.get(kind)
-        if found is None and len(self.now) < MOST_KINDS:
+        if found is None and len(self.now) < MAX_KINDS:
             found = self.now[kind] = Seen()
         return found
 
-    def let_on(self, number: int, kind: str) -> None:
-        """A request went on."""
-        if len(self.open) < MOST_OPEN:
+    def note_admitted(self, number: int, kind: str) -> None:
+        """Notes a request that was admitted."""
+        if len(self.open) < MAX_TRACKED:
             self.open[number] = kind
 
     def left(self, number: int) -> None:
-        """Its client has gone: it has no end that could be told."""
+        """Forgets a request whose client has left: it has no outcome."""
         self.open.pop(number, None)
 
     def ended(self, number: int, kind: str) -> Seen | None:
-        """A request has ended; the counts of its kind."""
+        """Notes the end of a request; returns the counts of its kind."""
         self.open.pop(number, None)
         return self.of(kind)
 
     def served(self, number: int, kind: str, seconds: float) -> None:
-        """A request was answered with success after so many seconds."""
+        """Counts a request that was answered successfully after so many seconds."""
         seen = self.ended(number, kind)
         if seen is not None:
             seen.served += 1
-            seen.took[bisect_left(BOUNDS, seconds)] += 1
+            seen.took[bisect_left(BOUNDS_S, seconds)] += 1
 
     def refused(self, number: int, kind: str) -> None:
-        """A request was refused."""
+        """Counts a request that was refused."""
         seen = self.ended(number, kind)
         if seen is not None:
             seen.refused += 1
 
     def failed(self, number: int, kind: str) -> None:
-        """A request has failed."""
+        """Counts a request that failed."""
         seen = self.ended(number, kind)
         if seen is not None:
             seen.failed += 1
 
     def doubled(self, number: int, kind: str) -> None:
-        """One that must not run twice was sent on though it may have run."""
+        """Records a request that must not run twice but was sent again though it may have run."""
         seen = self.of(kind)
-        if seen is not None and len(seen.doubled) < MOST_NAMED:
+        if seen is not None and len(seen.doubled) < MAX_LISTED:
             seen.doubled.append(number)
 
-    def look_for_missing(self, known: Collection[int]) -> None:
-        """`known`: requests that this gateway still owes an answer."""
+    def record_missing(self, known: Collection[int]) -> None:
+        """Records lost requests: tracked ones that are not in `known`, which still wait for an answer."""
         for number in [number for number in self.open if number not in known]:
             seen = self.of(self.open.pop(number))
-            if seen is not None and len(seen.missing) < MOST_NAMED:
+            if seen is not None and len(seen.missing) < MAX_LISTED:
                 seen.missing.append(number)
 
 
-def added(all_of: Iterable[Mapping[str, Seen]]) -> ByKind:
-    """The counts of many gateways, by kind."""
+def total_by_kind(all_of: Iterable[Mapping[str, Seen]]) -> ByKind:
+    """The sum of several gateways' counts, by kind."""
     whole: ByKind = {}
     for kinds in all_of:
         for kind, seen in kinds.items():
--- a/embersill/edge/throttling/__init__.py
+++ b/embersill/edge/throttling/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants that are slowed down, and counts of requests by tenant. No I/O."""
+"""Slow-down of lapsed tenants step by step, and request counts about it. No I/O."""
--- a/embersill/edge/throttling/figures.py
+++ b/embersill/edge/throttling/figures.py
@@ -1,7 +1,7 @@
-"""What slowed tenants and all others met at one gateway, by step: let on, turned away, how long they waited.
+"""Request counts of slowed tenants and all others at one gateway, by step: admissions, rejections, waits.
 
-Counted only while there are orders. Waits fall into classes with fixed bounds, so that the counts of gateways
-add up. No I/O.
+Counted only while there are orders. Waits go into a histogram with fixed bounds, so that the counts of
+several gateways can be added. No I/O.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 
 from embersill.edge.configuration.document import Order
 
-# seconds; a last class is over all of them
-BOUNDS = (0.0, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0)
-MOST_LABELS = 64  # of an order, of which the oldest goes first
+# histogram bounds; a last bucket is above all of them
+BOUNDS_S = (0.0, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0)
+MAX_LABELS = 64  # per order; the oldest is dropped first
 
 
 class Counts(msgspec.Struct):
-    """`waits`: how many of those let on waited up to each bound, and more than all."""
+    """Counts of requests; `waits`: the admitted ones by the bound up to which they waited."""
 
     let: int = 0
     refused: int = 0
-    waits: list[int] = msgspec.field(default_factory=lambda: [0] * (len(BOUNDS) + 1))
+    waits: list[int] = msgspec.field(default_factory=lambda: [0] * (len(BOUNDS_S) + 1))
 
     def add(self, other: Counts) -> None:
         """Adds another gateway's counts."""
         self.let += other.let
         self.refused += other.refused
-        self.waits = [one + more for one, more in zip(self.waits, other.waits, strict=True)]
+        self.waits = [mine + theirs for mine, theirs in zip(self.waits, other.waits, strict=True)]
 
     def wait(self, part: float) -> float | None:
-        """Seconds that so large a part of those let on waited at most; None if that is over all bounds."""
+        """The wait quantile `part` of the admitted requests in seconds; None if it is above all bounds."""
         left = part * self.let
-        for bound, count in zip(BOUNDS, self.waits, strict=False):
+        for bound, count in zip(BOUNDS_S, self.waits, strict=False):
             left -= count
             if left <= 0:
                 return bound
         return None
 
-    def told(self) -> dict[str, object]:
+    def summary(self) -> dict[str, object]:
         """The counts as reports show them."""
         return {
             "asked": self.let + self.refused,
@@ -52,54 +52,54 @@
         }
 
 
-Labelled = dict[str, tuple[Counts, Counts]]  # by step's label: the tenant's own, all others'
+Labelled = dict[str, tuple[Counts, Counts]]  # by step's label: the tenant's counts, all others' counts
 
 
 def label(order: Order) -> str:
-    """Under which stretch of an order requests are counted."""
+    """The label of an order's step, under which requests are counted."""
     if order["phase"] == "restored":
         return "restored"
     return f"step {order['step']}" if order["step"] >= 0 else "waiting"
 
 
-class Figures:
-    """One gateway's counts, of every order that it knows."""
+class SlowdownCounts:
+    """One gateway's counts for each order that it knows."""
 
     def __init__(self) -> None:
         self.orders: dict[str, Labelled] = {}
-        self.now: dict[str, tuple[Counts, Counts]] = {}  # by order's tenant: where counts go now
+        self.now: dict[str, tuple[Counts, Counts]] = {}  # by tenant: the counts of the current step
 
     def follow(self, orders: Mapping[str, Order]) -> None:
-        """These orders stand from now on."""
+        """Counts for these orders from now on, each under its current step."""
         for name in self.orders.keys() - orders.keys():
             del self.orders[name]
         self.now = {}
         for name, order in orders.items():
             labelled = self.orders.setdefault(name, {})
-            if label(order) not in labelled and len(labelled) >= MOST_LABELS:
+            if label(order) not in labelled and len(labelled) >= MAX_LABELS:
                 del labelled[next(iter(labelled))]
             self.now[name] = labelled.setdefault(label(order), (Counts(), Counts()))
 
-    def let(self, tenant: str, wait: float) -> None:
-        """A request of a tenant went on after so many seconds."""
-        place = bisect_left(BOUNDS, round(wait, 9))
+    def count_admitted(self, tenant: str, wait: float) -> None:
+        """Counts a tenant's request that was admitted after so many seconds."""
+        place = bisect_left(BOUNDS_S, round(wait, 9))
         for name, (own, others) in self.now.items():
             counts = own if name == tenant else others
             counts.let += 1
             counts.waits[place] += 1
 
-    def turned_away(self, tenant: str) -> None:
-        """A request of a tenant was refused."""
+    def count_rejected(self, tenant: str) -> None:
+        """Counts a tenant's request that was rejected."""
         for name, (own, others) in self.now.items():
             (own if name == tenant else others).refused += 1
 
     def of(self, tenant: str) -> Labelled:
-        """What was counted under a tenant's order, by stretch."""
+        """The counts for a tenant's order by step."""
         return self.orders.get(tenant, {})
 
 
-def added(all_of: Iterable[Labelled]) -> Labelled:
-    """The counts of many gateways, by label."""
+def total_counts(all_of: Iterable[Labelled]) -> Labelled:
+    """The sum of several gateways' counts, by label."""
     whole: Labelled = {}
     for labelled in all_of:
         for name, (own, others) in labelled.items():
@@ -109,6 +109,9 @@
     return whole
 
 
-def told(labelled: Labelled) -> dict[str, object]:
-    """As `Report` in the interface's file has them."""
-    return {name: {"tenant": own.told(), "others": others.told()} for name, (own, others) in labelled.items()}
+def report_of(labelled: Labelled) -> dict[str, object]:
+    """Counts in the form of `Report` in the OpenAPI file."""
+    return {
+        name: {"tenant": own.summary(), "others": others.summary()}
+        for name, (own, others) in labelled.items()
+    }
--- a/tests/edge/test_lapses.py
+++ b/tests/edge/test_lapses.py
@@ -13,7 +13,7 @@
 from embersill.edge.command import parser, read_ladder
 from embersill.edge.configuration.document import State, changed
 from embersill.edge.dataplane.handlers import ClientHandler
-from embersill.edge.throttling.figures import MOST_LABELS, Figures
+from embersill.edge.throttling.figures import MAX_LABELS, SlowdownCounts
 from embersill.edge.configuration.lapses import (
     MOST_ORDERS,
     STOPPED,
@@ -359,14 +359,14 @@
 
 
 def test_counts_know_how_long_most_have_waited() -> None:
-    figures = Figures()
+    figures = SlowdownCounts()
     assert not figures.now
     figures.follow({"t": {"ladder": [], "by": "me", "phase": "squeezing", "step": 3, "told": 3}})
     for wait in (0.0, 0.0, 0.003, 0.3, 5.0):
-        figures.let("t", wait)
-    figures.turned_away("u")
+        figures.count_admitted("t", wait)
+    figures.count_rejected("u")
     own, others = figures.of("t")["step 3"]
-    assert own.told() == {
+    assert own.summary() == {
         "asked": 5,
         "served": 5,
         "refused": 0,
@@ -377,7 +377,7 @@
     assert (others.let, others.refused) == (0, 1)
     for step in range(100):
         figures.follow({"t": {"ladder": [], "by": "me", "phase": "squeezing", "step": step, "told": step}})
-    assert len(figures.of("t")) <= MOST_LABELS
+    assert len(figures.of("t")) <= MAX_LABELS
 
 
 def test_a_small_step_is_kept_exactly_and_has_none_of_the_bounds_margin() -> None:
--- a/tests/edge/test_rollout.py
+++ b/tests/edge/test_rollout.py
@@ -26,7 +26,7 @@
     told,
 )
 from embersill.edge.configuration.stages import Site, steps_of
-from embersill.edge.rollout.watch import BOUNDS, MOST_STRETCHES, Seen, Watch, added
+from embersill.edge.rollout.watch import BOUNDS_S, MAX_STAGES, Seen, Watch, total_by_kind
 from embersill.lab.edge.fleet import change, document
 from embersill.lab.edge.rolling import HARMS, SITES, Harmful, RollTown, roll_town, run_of, wish
 from embersill.lab.edge.town import Gateway
@@ -170,23 +170,23 @@
     watch = Watch()
     watch.follow("1")
     for number, seconds in enumerate((0.0, 0.05, 0.2, 900.0)):
-        watch.let_on(number, "k")
+        watch.note_admitted(number, "k")
         watch.served(number, "k", seconds)
-    watch.let_on(7, "k")
-    watch.let_on(8, "k")
-    watch.look_for_missing({7, 8})
+    watch.note_admitted(7, "k")
+    watch.note_admitted(8, "k")
+    watch.record_missing({7, 8})
     assert not watch.now["k"].missing
     watch.follow("2")
-    watch.look_for_missing({8})
+    watch.record_missing({8})
     watch.doubled(9, "k")
     watch.left(8)
-    watch.look_for_missing(())
+    watch.record_missing(())
     assert watch.now["k"].missing == [7] and watch.now["k"].doubled == [9]
-    whole = added([watch.stretches["1"], watch.stretches["2"]])["k"]
+    whole = total_by_kind([watch.stages["1"], watch.stages["2"]])["k"]
     assert whole.served == 4 and sum(whole.took) == 4 and whole.took[-1] == 1 and whole.missing == [7]
-    for number in range(2 * MOST_STRETCHES):
+    for number in range(2 * MAX_STAGES):
         watch.follow(f"x{number}")
-    assert len(watch.stretches) <= MOST_STRETCHES
+    assert len(watch.stages) <= MAX_STAGES
 
 
 def test_the_sequential_test_keeps_its_error_rates() -> None:
@@ -224,7 +224,7 @@
         found = judged(before, {"k": seen_of(4000, 40, **case)}, none, none)
         assert found.how == "harm" and found.grave and "5" in found.why
     slow = judged(before, {"k": seen_of(1000, 100)}, none, none)
-    assert slow.how == "harm" and not slow.grave and f"{BOUNDS[8]:.3f}" in slow.why
+    assert slow.how == "harm" and not slow.grave and f"{BOUNDS_S[8]:.3f}" in slow.why
     assert judged(before, {"k": seen_of(1000, 100)}, before, {"k": seen_of(1000, 100)}).how != "harm"
     refused = judged(before, {"k": seen_of(1000, 10, refused=300)}, none, none)
     assert refused.how == "harm" and "refused" in refused.why
