--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -211,7 +211,7 @@
             "promise",
             "embersill.attempts",
             "what may have run is refused, as if it had not",
-            "if job.risky is not None and not harmless:",
+            "if job.may_have_run is not None and not harmless:",
             "if False:",
         ),
     ),
