--- a/embersill/adapter.py
+++ b/embersill/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: reads batches, drives one Gateway an instance, writes replies. Decides nothing."""
+"""Adapter for the simulator's line protocol: passes events to each instance's Gateway, writes its actions."""
 
 from __future__ import annotations
 
@@ -51,16 +51,18 @@
 
 
 class Malformed(Exception):
-    """A line that the wire does not allow."""
+    """A line that the protocol does not allow."""
 
 
-def pick(table: dict[str, Any], value: str) -> Any:
+def lookup(table: dict[str, Any], value: str) -> Any:
+    """The table's entry for a value; Malformed if there is none."""
     if value not in table:
         raise Malformed(f"unknown value {value!r}")
     return table[value]
 
 
 def read_backend(parts: list[str]) -> Backend:
+    """A backend from the fields of its line."""
     if len(parts) < 8 or parts[0] != "backend":
         raise Malformed("expected a backend line")
     started = 0.0 if parts[7] == "-" else float(parts[7]) / 1000.0
@@ -69,23 +71,25 @@
         parts[2],
         parts[3],
         int(parts[4]),
-        pick(STATUSES, parts[5]),
+        lookup(STATUSES, parts[5]),
         float(parts[6]),
         started if started else None,
     )
 
 
 def read_load(parts: list[str], at: int) -> tuple[float, ...]:
+    """A reported load from the field at an index; empty if there is none."""
     text = value(parts, at, "-")
     return () if text in ("-", "") else tuple(float(v) for v in text.split(","))
 
 
 def value(parts: list[str], at: int, absent: str) -> str:
+    """The field at an index, or `absent` if it is missing or empty (-)."""
     return parts[at] if at < len(parts) and parts[at] != "-" else absent
 
 
 def read_event(parts: list[str], lists: dict[int, tuple[Backend, ...]]) -> Event | None:
-    """One event line as an event of the library; None for what the module has no use for."""
+    """The event of one line; None if the gateway does not use events of that kind."""
     what = parts[0]
     if what == "job_in":
         return Request(
@@ -104,7 +108,7 @@
             request=int(parts[1]),
             attempt=int(parts[2]),
             backend=parts[3],
-            outcome=pick(OUTCOMES, parts[4]),
+            outcome=lookup(OUTCOMES, parts[4]),
             elapsed=float(parts[5]) / 1000.0,
             over=value(parts, 6, "0") == "1",
             true_units=float(value(parts, 8, "0")),
@@ -114,9 +118,9 @@
         return TimerDue(parts[1])
     if what == "counted":
         total = float(value(parts, 3, "0"))
-        return Counted(parts[1], pick(OUTCOMES, parts[4]), float(parts[2]) / 1000.0, total)
+        return Counted(parts[1], lookup(OUTCOMES, parts[4]), float(parts[2]) / 1000.0, total)
     if what == "discovery":
-        kind = pick(KINDS, parts[2])
+        kind = lookup(KINDS, parts[2])
         if kind is ListKind.FAILED:
             return BackendList(kind, ())
         if int(parts[1]) not in lists:
@@ -127,13 +131,14 @@
     if what == "ack_first":
         return StreamBegun(int(parts[1]), int(parts[2]))
     if what == "probe_result":
-        return Probed(parts[1], pick(OUTCOMES, parts[2]), float(parts[3]) / 1000.0, read_load(parts, 4))
+        return Probed(parts[1], lookup(OUTCOMES, parts[2]), float(parts[3]) / 1000.0, read_load(parts, 4))
     if what == "note_from":
         return None
     raise Malformed(f"unknown message {what!r}")
 
 
 def write_action(action: Action) -> str:
+    """The line for an action."""
     if isinstance(action, Send):
         return f"issue\t{action.request}\t{max(action.timeout * 1000.0, 0.001):.3f}\t{action.backend}"
     if isinstance(action, SetTimer):
@@ -151,22 +156,23 @@
 
 
 class Host:
-    """All instances of one process. They share nothing but the numbered lists that the wire itself shares."""
+    """All gateway instances of one process; they share only the numbered pages of backends."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
         self.lists: dict[int, tuple[Backend, ...]] = {}
 
     def batch(self, now: float, lines: list[str]) -> list[str]:
+        """Handles the lines between `frame` and `go`, and returns the reply's lines."""
         out: list[str] = []
-        who = speaking = -1
+        instance = speaking = -1
         at = 0
         while at < len(lines):
             parts = lines[at].split("\t")
             at += 1
             try:
                 if parts[0] == "about":
-                    who = int(parts[1])
+                    instance = int(parts[1])
                     continue
                 if parts[0] == "page":
                     count = int(parts[2])
@@ -176,39 +182,39 @@
                     self.lists[int(parts[1])] = tuple(read_backend(r.split("\t")) for r in rows)
                     at += count
                     continue
-                if who < 0:
+                if instance < 0:
                     raise Malformed("an event before any instance is named")
                 if parts[0] == "retire":
-                    self.gateways.pop(who, None)
+                    self.gateways.pop(instance, None)
                     continue
                 if parts[0] == "up":
                     seed = int(parts[1])
                     env = json.loads("\t".join(parts[2:]))
-                    self.gateways[who] = Gateway(read_settings(env), seed, now)
+                    self.gateways[instance] = Gateway(read_settings(env), seed, now)
                     continue
-                if who not in self.gateways:
-                    raise Malformed(f"an event for instance {who}, which is not up")
+                if instance not in self.gateways:
+                    raise Malformed(f"an event for instance {instance}, which is not up")
                 event = read_event(parts, self.lists)
             except (ValueError, IndexError, Malformed) as error:
                 raise Malformed(f"{error} in line {lines[at - 1][:200]!r}") from error
             if event is None:
                 continue
             try:
-                actions = self.gateways[who].handle(event, now)
-            except Exception as error:  # the module's own failure ends the day with its text
+                actions = self.gateways[instance].handle(event, now)
+            except Exception as error:  # a failure of the gateway is reported as a crash, with its text
                 actions = []
-                out += [f"speaking\t{who}", f"crash\t{type(error).__name__}: {error}".replace("\n", " ")]
-                speaking = who
+                out += [f"speaking\t{instance}", f"crash\t{type(error).__name__}: {error}".replace("\n", " ")]
+                speaking = instance
             if actions:
-                if speaking != who:
-                    out.append(f"speaking\t{who}")
-                    speaking = who
+                if speaking != instance:
+                    out.append(f"speaking\t{instance}")
+                    speaking = instance
                 out += [write_action(action) for action in actions]
         return out
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
-    """Answers batches until the input ends."""
+    """Answers batches until the input ends; Malformed if it ends within one."""
     host = Host()
     now: float | None = None
     lines: list[str] = []
@@ -236,6 +242,7 @@
 
 
 def main() -> int:
+    """Serves standard input; the exit status is 2 after malformed input."""
     try:
         serve(sys.stdin, sys.stdout)
     except Malformed as error:
--- a/embersill/admission.py
+++ b/embersill/admission.py
@@ -9,7 +9,7 @@
 from embersill.throttle import PERIOD, Throttle
 from embersill.totals import Totals
 from embersill.turn import Turn
-from embersill.work import EPS, Job, AdmissionSink
+from embersill.work import EPS, AdmissionSink, Job
 
 HOLD_SHARE = 0.4  # of the aim, for which a request may wait for credit: the rest is for the backend
 SPARE_CAPACITY = 0.5  # of the in-flight limit, below which requests beyond a quota are sent if it pays
--- a/embersill/net/discovery.py
+++ b/embersill/net/discovery.py
@@ -13,7 +13,7 @@
 import httptools
 
 from embersill.interface import Backend, ListKind, Status
-from embersill.pacing import Pace
+from embersill.pacing import DiscoveryPacing
 from embersill.settings import STATUSES
 
 WATCH_MS = 4000  # how long a watch waits for a change; a silent agent is noticed soon after it
@@ -153,7 +153,7 @@
         address: tuple[str, int],
         dial_timeout: float,
         on_listing: Callable[[ListWatcher, Listing], None],
-        pace: Pace,
+        pace: DiscoveryPacing,
         generation: int | None = None,
     ) -> None:
         """Starts watching.
@@ -191,10 +191,10 @@
     async def call(self) -> Listing:
         """Fetches the whole list, or waits for changes since the last known generation."""
         if self.generation is None:
-            target, timeout_s = "/v1/endpoints", self.pace.at_once
+            target, timeout_s = "/v1/endpoints", self.pace.list_timeout
         else:
             target = f"/v1/endpoints?since={self.generation}&timeout_ms={WATCH_MS}"
-            timeout_s = WATCH_MS / 1000.0 + self.pace.patience
+            timeout_s = WATCH_MS / 1000.0 + self.pace.answer_timeout
         connection = self.connection or await self.connect()
         async with asyncio.timeout(timeout_s):
             body = await connection.ask(target, self.host)
@@ -229,7 +229,7 @@
         address: tuple[str, int],
         dial_timeout: float,
         on_listing: Callable[[Listing], None],
-        pace: Pace | None = None,
+        pace: DiscoveryPacing | None = None,
         known: int | None = None,
     ) -> None:
         """`known` is the generation of the remembered list.
@@ -237,7 +237,7 @@
         Watching continues from it where the discovery service is shared and a whole list would load it.
         """
         self.address, self.dial_timeout, self.on_listing = address, dial_timeout, on_listing
-        self.pace = pace or Pace()
+        self.pace = pace or DiscoveryPacing()
         self.known = None if self.pace.pushed else known
         self.answered = asyncio.Event()  # set once discovery has answered for the first time
         self.watchers: list[ListWatcher] = []  # the current one, followed by its replacement
--- a/embersill/roles.py
+++ b/embersill/roles.py
@@ -18,7 +18,7 @@
 from embersill.net.counter import Counter
 from embersill.net.discovery import Discovery
 from embersill.net.driver import Decider, Driver
-from embersill.pacing import Pace
+from embersill.pacing import DiscoveryPacing
 
 if TYPE_CHECKING:
     from embersill.service.running import Operations
@@ -102,7 +102,7 @@
                 self.driver.on_counted,
             )
         self.driver.list_told(told.known)
-        pace = Pace(told.settings.list_pushed, told.settings.gateways, told.seed)
+        pace = DiscoveryPacing(told.settings.list_pushed, told.settings.gateways, told.seed)
         self.discovery = Discovery(
             told.discovery, told.limits.dial_timeout, self.driver.list_told, pace, told.known.generation
         )
--- a/embersill/settings.py
+++ b/embersill/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings object that both programs are given: the adapter by wire, the gateway in its file."""
+"""Reads the settings object, which the adapter gets over its wire and the gateway from its file."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 
 def take(source: dict[str, Any], key: str) -> Any:
+    """The value of a key; ValueError if it is missing."""
     if not isinstance(source, dict) or key not in source:
         raise ValueError(f"settings: missing key {key}")
     return source[key]
 
 
 def read_settings(env: dict[str, Any]) -> Settings:
-    """The settings of an instance from its first message; ValueError names a key that is missing or wrong."""
+    """Reads all settings of a gateway; ValueError names a key that is missing or has a wrong value."""
     limits, rules, domain = take(env, "limits"), take(env, "rules"), take(env, "domain")
 
     def number(source: dict[str, Any], key: str) -> float:
@@ -94,15 +95,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the settings say of connections: the sockets need it, the decisions don't."""
+    """The settings of connections, in seconds: the network code needs them, the decision logic doesn't."""
 
     dial_timeout: float
     keepalive: float
 
 
 def read_limits(env: dict[str, Any]) -> Limits:
+    """Reads the settings of connections; ValueError names a key that is missing or has a wrong value."""
     limits = take(env, "limits")
     dial, keep = float(take(limits, "dial_timeout")), float(take(limits, "keepalive"))
     if dial <= 0 or keep <= 0:
-        raise ValueError("settings: dial_timeout and keepalive must be above nought")
+        raise ValueError("settings: dial_timeout and keepalive must be above 0")
     return Limits(dial / 1000.0, keep / 1000.0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,7 @@
 from embersill.control import Gateway
 from embersill.interface import ListKind, Status
 from embersill.net.discovery import BadList, Discovery, Listing, read_address, read_listing
-from embersill.pacing import Pace
+from embersill.pacing import DiscoveryPacing
 from tests.bed import request, run, running
 from tests.peers import SOON, DiscoveryPeer, message
 
@@ -72,8 +72,8 @@
         await peer.start()
         peer.deaf = 3
         told: asyncio.Queue[Listing] = asyncio.Queue()
-        pace = Pace()
-        pace.at_once, pace.base, pace.most, pace.patience = 0.01, 0.001, 0.001, 3600.0
+        pace = DiscoveryPacing()
+        pace.list_timeout, pace.base, pace.max_wait, pace.answer_timeout = 0.01, 0.001, 0.001, 3600.0
         discovery = Discovery(read_address(peer.address), 5.0, told.put_nowait, pace)
         discovery.start()
         async with asyncio.timeout(SOON):
@@ -195,7 +195,7 @@
         await peer.start()
         await peer.change(peer.entry("a", "127.0.0.1:9"))
         told: asyncio.Queue[Listing] = asyncio.Queue()
-        pace = Pace(False, 1, 1)
+        pace = DiscoveryPacing(False, 1, 1)
         pace.base = pace.wait = 0.01
         discovery = Discovery(read_address(peer.address), 5.0, told.put_nowait, pace, 1)
         discovery.start()
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from embersill.pacing import SERVICE_CALLS, Pace
+from embersill.pacing import SERVICE_CALLS_PER_S, DiscoveryPacing
 
 TIME_OUT = 2.0  # seconds after which the service fails a call that has not had its turn
 OVERBOOKED = 3.0  # time-outs' worth of work in line from which it turns calls away
 
 
-def play(paces: list[Pace], seconds: float, rate: float) -> tuple[list[float], list[float]]:
+def play(paces: list[DiscoveryPacing], seconds: float, rate: float) -> tuple[list[float], list[float]]:
     """When each gateway first had a list, and when calls came; what has failed is worked at all the same."""
     order = list(range(len(paces)))
     due = [(pace.first() + 0.001 * number, number) for number, pace in enumerate(paces)]
@@ -27,7 +27,7 @@
             heapq.heappush(due, (now + 0.002 + paces[number].failed(), number))
             continue
         free += 1.0 / rate
-        waits = min(TIME_OUT, paces[number].patience)
+        waits = min(TIME_OUT, paces[number].answer_timeout)
         if free - now > waits:
             heapq.heappush(due, (now + waits + paces[number].failed(), number))
         else:
@@ -41,23 +41,23 @@
 
 @pytest.mark.parametrize("gateways", [4, 40, 200])
 def test_a_fleet_that_starts_in_step_has_its_lists_in_four_turns_of_all(gateways: int) -> None:
-    spread = gateways / SERVICE_CALLS
+    spread = gateways / SERVICE_CALLS_PER_S
     for seed in range(100):
         seeds = random.Random(seed)
-        paces = [Pace(False, gateways, seeds.getrandbits(32)) for _ in range(gateways)]
-        had, calls = play(paces, 8 * spread + 8, SERVICE_CALLS)
+        paces = [DiscoveryPacing(False, gateways, seeds.getrandbits(32)) for _ in range(gateways)]
+        had, calls = play(paces, 8 * spread + 8, SERVICE_CALLS_PER_S)
         assert max(had) < 4 * spread + 4, seed
-        assert busiest(calls) <= 4 * SERVICE_CALLS, seed
+        assert busiest(calls) <= 4 * SERVICE_CALLS_PER_S, seed
 
 
 def test_calls_made_again_at_once_keep_such_a_service_from_answering_anyone() -> None:
     # the pace of a local agent, which was used for a shared service as well
-    had, calls = play([Pace(True) for _ in range(40)], 30.0, SERVICE_CALLS)
+    had, calls = play([DiscoveryPacing(True) for _ in range(40)], 30.0, SERVICE_CALLS_PER_S)
     assert sum(h < 30.0 for h in had) < 20 and busiest(calls) >= 40
 
 
 def test_a_pushed_list_is_asked_for_at_once_and_again_soon() -> None:
-    pace = Pace(True, 40, 1)
+    pace = DiscoveryPacing(True, 40, 1)
     assert pace.first() == 0.0
     assert [pace.failed() for _ in range(6)] == [0.05, 0.1, 0.2, 0.2, 0.2, 0.2]
     pace.answered()
@@ -66,14 +66,14 @@
 
 def test_an_agent_that_is_back_is_heard_within_half_a_second() -> None:
     # from any moment on: the last call that it got while it was down, the wait after it, and the dial's way
-    pace = Pace(True, 40, 1)
+    pace = DiscoveryPacing(True, 40, 1)
     waits = [pace.failed() for _ in range(40)]
-    assert max(waits) + pace.at_once < 0.5
-    assert Pace(False, 40, 1).at_once >= 2.0  # a service that all share is heard out
+    assert max(waits) + pace.list_timeout < 0.5
+    assert DiscoveryPacing(False, 40, 1).list_timeout >= 2.0  # a service that all share is heard out
 
 
 def test_waits_for_a_service_grow_and_have_a_bound() -> None:
-    pace = Pace(False, 40, 1)
+    pace = DiscoveryPacing(False, 40, 1)
     waits = [pace.failed() for _ in range(50)]
     assert all(0.5 * 8.0 <= w <= 1.5 * 16.0 for w in waits) and max(waits) > 16.0
     pace.answered()
