--- a/embersill/__main__.py
+++ b/embersill/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: reads what the process is told, starts its role, or says plainly why it can't."""
+"""The command line: reads arguments and configuration, and runs the process in its role."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 def read_arguments(arguments: list[str]) -> str:
-    """The operator file's path; empty where there is none, and the process is a gateway of the platform."""
-    told = os.environ.get("EMBERSILL_OPERATOR", "")
+    """The operator file's path; empty if there is none: the process is then a gateway of the platform."""
+    default_path = os.environ.get("EMBERSILL_OPERATOR", "")
     if not arguments:
-        return told
-    import argparse  # a tenth of what a gateway's start costs, where a whole fleet starts at once
+        return default_path
+    import argparse  # a tenth of a gateway's start-up time, which counts where a whole fleet starts at once
 
     parser = argparse.ArgumentParser(
         prog="embersill",
@@ -28,29 +28,33 @@
     parser.add_argument(
         "--operator",
         metavar="FILE",
-        default=told,
+        default=default_path,
         help="operator file (TOML) that gives this process its role",
     )
     return str(parser.parse_args(arguments).operator)
 
 
-async def serve(told: Configuration, operator: str) -> None:
+async def serve(config: Configuration, operator: str) -> None:
+    """Runs the process: by the operator file, or as a gateway of the platform."""
     if not operator:
-        return await Program(told).run()
-    # imported here: without an operator file nothing of what it describes, nor a library for it, is loaded
+        return await Program(config).run()
+    # imported here: without an operator file neither its roles nor their libraries are loaded
     from embersill.operated import run_operated
 
-    return await run_operated(told, operator)
+    return await run_operated(config, operator)
 
 
 def main() -> int:
+    """Runs the command line; the exit status is 2 for a bad configuration and 1 for a system error."""
     logging.basicConfig(format="%(name)s: %(message)s", level=logging.WARNING)
     if sys.argv[1:2] == ["counting"]:
-        from embersill.counting.command import main as counting  # with libraries that a gateway does without
+        from embersill.counting.command import (
+            main as counting,
+        )  # imports libraries that a gateway doesn't need
 
         return counting(sys.argv[2:])
     operator = read_arguments(sys.argv[1:])
-    # left to itself it ends the process; one that comes early waits: the file may have been read by then
+    # by default SIGHUP would end the process; blocked, an early one waits, as the file may be read already
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     try:
         uvloop.run(serve(read_configuration(dict(os.environ)), operator))
--- a/embersill/edge/__main__.py
+++ b/embersill/edge/__main__.py
@@ -10,7 +10,7 @@
 
 from embersill.edge.logs import begin_logs
 from embersill.edge.program import System, prepared
-from embersill.roles import run_until_told
+from embersill.roles import run_until_signal
 
 
 async def run(environment: dict[str, str]) -> int:
@@ -20,7 +20,7 @@
         logging.getLogger("embersill.edge").error("can't start: %s", ready.error)
         return 2
     try:
-        await run_until_told(System(*ready.ok))
+        await run_until_signal(System(*ready.ok))
     except OSError as error:
         logging.getLogger("embersill.edge").error("can't run: %s", error)
         return 2
--- a/embersill/roles.py
+++ b/embersill/roles.py
@@ -1,4 +1,4 @@
-"""The parts of a process, put together by role, from start to stop."""
+"""Assembles, starts and stops the parts of a gateway process."""
 
 from __future__ import annotations
 
@@ -23,111 +23,124 @@
 if TYPE_CHECKING:
     from embersill.service.running import Operations
 
-RESERVE = 64  # descriptors kept for the listener, discovery, the counter, and what the run-time itself needs
-RESERVE_PART = 0.25  # of the descriptors, at most, that this may be
-CLIENTS_PART = 0.6  # of the other descriptors: held requests need none at the backends' side
-BODIES_PART = 0.3  # of the memory, for long bodies: a process that follows may need as much for a while
-FIRST_LIST_WITHIN = 1.0  # seconds to wait for discovery's own word before the remembered list must do
-STILL_COMING = 0.5  # seconds after SIGTERM in which clients still connect, by the protocol, and a little
-ALL_ANSWERED = 3.4  # seconds after SIGTERM by which all is answered: it may be killed 0.3 s later
-LAST_READ = 0.15  # seconds in which the last connections taken in bring what was already sent on them
-LAST_BYTES = 0.25  # seconds for clients to take what was written to them
+RESERVED_DESCRIPTORS = 64  # for the listener, discovery, the counter, and the run-time itself
+MAX_RESERVED_SHARE = 0.25  # of all descriptors
+CLIENTS_PART = 0.6  # of the other descriptors: more than half, as held requests need none for a backend
+BODY_MEMORY_SHARE = 0.3  # of the memory, for long bodies: a successor process may need as much for a while
+FIRST_LIST_TIMEOUT_S = 1.0  # for discovery's first answer, after which the remembered list is used
+ACCEPT_AFTER_SIGTERM_S = 0.5  # a little longer than clients may still connect by the protocol
+ANSWERED_AFTER_SIGTERM_S = 3.4  # by which every request is answered: SIGKILL may follow 0.3 s later
+LAST_READ_S = 0.15  # for requests already sent on the connections accepted last
+LAST_WRITE_S = 0.25  # for clients to read what was written to them
 
 log = logging.getLogger("embersill")
 
 
 def start_clock() -> Callable[[], float]:
-    """Unix time that never jumps: periods and backends' starts are told by it at every gateway alike."""
+    """A clock of Unix time that never jumps; all gateways time periods and backends' starts by it."""
     began = time.time() - time.monotonic()
     monotonic = time.monotonic
     return lambda: began + monotonic()
 
 
-class Runs(Protocol):
-    """Whatever is started, told to read its configuration again, and stopped."""
+class Runnable(Protocol):
+    """A program that can be started, made to reload its configuration, and stopped."""
 
-    async def start(self) -> None: ...
+    async def start(self) -> None:
+        """Begins to serve."""
+        ...
 
-    async def stop(self) -> None: ...
+    async def stop(self) -> None:
+        """Finishes the work in progress and ends."""
+        ...
 
-    def reload(self) -> None: ...
+    def reload(self) -> None:
+        """Reads the configuration again."""
+        ...
 
 
-async def run_until_told(program: Runs) -> None:
-    """Starts a program, and stops it in order on SIGTERM; SIGHUP has it read its configuration again."""
+async def run_until_signal(program: Runnable) -> None:
+    """Starts a program, stops it gracefully on SIGTERM or SIGINT, and reloads its configuration on SIGHUP."""
     stop, loop = asyncio.Event(), asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, program.reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     await program.start()
-    gc.freeze()  # what start-up made stays: no need to look through it again
+    gc.freeze()  # the objects made at start-up live on: later collections skip them
     await stop.wait()
     await program.stop()
 
 
 async def wait_first_list(discovery: Discovery) -> None:
-    """Until discovery has given a list of its own, or the remembered one must do."""
+    """Waits for discovery's first list, but no longer than FIRST_LIST_TIMEOUT_S."""
     try:
-        async with asyncio.timeout(FIRST_LIST_WITHIN):
+        async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
             await discovery.answered.wait()
     except TimeoutError:
         pass
 
 
 class Program:
-    """The parts of one gateway, from start to stop."""
+    """A gateway process."""
 
     def __init__(
         self,
-        told: Configuration,
+        config: Configuration,
         clock: Callable[[], float] | None = None,
         decider: Decider | None = None,
         counts: bool = False,
     ) -> None:
-        """With no `decider` the module decides here. With one, `counts` says if it uses the counter."""
+        """Without a `decider` a new Gateway decides. With one, `counts` says whether it uses the counter."""
         clock = clock or start_clock()
         self.loop = asyncio.get_running_loop()
-        free = told.sockets - min(RESERVE, int(told.sockets * RESERVE_PART))
+        free = config.sockets - min(RESERVED_DESCRIPTORS, int(config.sockets * MAX_RESERVED_SHARE))
         clients = int(free * CLIENTS_PART)
-        self.pool = Pool(clock, told.limits.dial_timeout, told.limits.keepalive, free - clients)
-        decides = decider or Gateway(told.settings, told.seed, clock())
+        self.pool = Pool(clock, config.limits.dial_timeout, config.limits.keepalive, free - clients)
+        decides = decider or Gateway(config.settings, config.seed, clock())
         self.driver = Driver(decides, clock, self.pool)
-        if told.counter is not None and (counts or decider is None):
+        if config.counter is not None and (counts or decider is None):
             self.driver.counter = Counter(
                 clock,
-                told.counter,
-                told.settings.counter_patience,
-                told.limits.dial_timeout,
+                config.counter,
+                config.settings.counter_patience,
+                config.limits.dial_timeout,
                 self.driver.on_counted,
             )
-        self.driver.list_told(told.known)
-        pace = DiscoveryPacing(told.settings.list_pushed, told.settings.gateways, told.seed)
+        self.driver.list_told(config.known)
+        pace = DiscoveryPacing(config.settings.list_pushed, config.settings.gateways, config.seed)
         self.discovery = Discovery(
-            told.discovery, told.limits.dial_timeout, self.driver.list_told, pace, told.known.generation
+            config.discovery,
+            config.limits.dial_timeout,
+            self.driver.list_told,
+            pace,
+            config.known.generation,
         )
-        self.front = Front(self.driver, told.settings, clock, clients, self.serves)
-        self.listen, self.settings = told.listen, told.settings
-        self.filed = told.discovery_filed, told.counter
-        self.settled = False  # the list is discovery's own, or as good as can be had
-        self.operator = told.operator
+        self.front = Front(self.driver, config.settings, clock, clients, self.serves)
+        self.listen, self.settings = config.listen, config.settings
+        self.file_addresses = config.discovery_filed, config.counter
+        self.settled = False  # discovery has answered, or the wait for it is over
+        self.operator = config.operator
         self.operations: Operations | None = None
-        if told.operator is not None:
-            from embersill.service.running import Operations  # only where the platform names its address
+        if config.operator is not None:
+            from embersill.service.running import Operations  # only where the configuration names an address
 
             avoided = decides.avoided if isinstance(decides, Gateway) else lambda: 0
-            self.operations = Operations(self, told.name, avoided)
+            self.operations = Operations(self, config.name, avoided)
             self.front.shares, self.front.read_within = True, SLOW_WITHIN
             self.pool.enable_streaming()
-            self.front.room_in_all = self.front.room = int(told.memory * BODIES_PART)
+            self.front.room_in_all = self.front.room = int(config.memory * BODY_MEMORY_SHARE)
 
     def serves(self) -> bool:
+        """Whether it is ready: the list is settled and at least one backend serves."""
         return self.settled and bool(self.driver.serving)
 
     async def run(self) -> None:
-        await run_until_told(self)
+        """Runs until a signal ends it."""
+        await run_until_signal(self)
 
     async def start(self) -> None:
+        """Listens, and waits for a usable list of backends."""
         if self.operations is not None:
             self.operations.begin()
             await self.operations.start()
@@ -140,13 +153,13 @@
             self.operations.serving()
 
     def reload(self) -> None:
-        """Moves discovery and counter to where the file says now; without a usable file nothing changes."""
+        """Uses the addresses of discovery and counter that the file has now; ignores an invalid file."""
         try:
             fresh = read_configuration(dict(os.environ))
         except BadConfiguration as error:
             return log.warning("the configuration stays as it was: %s", error)
-        # an address in the environment holds until the file's own is changed: that is the later word
-        before, self.filed = self.filed, (fresh.discovery_filed, fresh.counter)
+        # an address from the environment holds until the one in the file changes, which is then the newer
+        before, self.file_addresses = self.file_addresses, (fresh.discovery_filed, fresh.counter)
         if fresh.discovery_filed is not None and fresh.discovery_filed != before[0]:
             self.discovery.move(fresh.discovery_filed)
         counter = self.driver.counter
@@ -154,19 +167,21 @@
             counter.move(fresh.counter)
         return None
 
-    async def stop(self, still_coming: float = STILL_COMING, all_answered: float = ALL_ANSWERED) -> None:
-        """Takes what still comes, answers all of it, and leaves nothing behind."""
+    async def stop(
+        self, still_coming: float = ACCEPT_AFTER_SIGTERM_S, all_answered: float = ANSWERED_AFTER_SIGTERM_S
+    ) -> None:
+        """Accepts requests that still come, answers all of them, and closes everything."""
         self.front.stopping = True
         if self.operations is not None and self.operations.succeeded():
-            still_coming = 0.0  # new clients come to the process that follows
+            still_coming = 0.0  # new clients connect to the successor process
         await asyncio.sleep(still_coming)
         self.front.stop_listening()
-        await asyncio.sleep(LAST_READ)
+        await asyncio.sleep(LAST_READ_S)
         self.front.close_idle()
-        if not await self.driver.wait_answered(all_answered - still_coming - LAST_READ):
+        if not await self.driver.wait_answered(all_answered - still_coming - LAST_READ_S):
             self.driver.fail_unanswered()
         self.front.close_idle()
-        await self.front.wait_drained(LAST_BYTES)
+        await self.front.wait_drained(LAST_WRITE_S)
         self.front.close()
         if self.operations is not None:
             self.operations.close()
--- a/embersill/tiers/roles.py
+++ b/embersill/tiers/roles.py
@@ -14,7 +14,7 @@
 from embersill.configuration.platform import BadConfiguration, Configuration, read_configuration
 from embersill.interface import BackendList, Status
 from embersill.net.discovery import Discovery, Listing
-from embersill.roles import Program, run_until_told, start_clock, wait_first_list
+from embersill.roles import Program, run_until_signal, start_clock, wait_first_list
 from embersill.tiers.forwarder import Forwarder
 from embersill.tiers.links import ForwarderLinks, PlannerServer
 from embersill.tiers.planner import Planner
@@ -195,4 +195,4 @@
         self.discovery.stop()
 
     async def run(self) -> None:
-        await run_until_told(self)
+        await run_until_signal(self)
