--- a/embersill/edge/dataplane/admission.py
+++ b/embersill/edge/dataplane/admission.py
@@ -10,7 +10,7 @@
 
 from embersill.admission import Admission
 from embersill.edge.configuration.lapses import Slowed
-from embersill.interface import Borrow, Lent, Plan, Sliced
+from embersill.interface import Borrow, BorrowResult, Plan, Sliced
 from embersill.throttle import PERIOD, Throttle
 from embersill.totals import READING_LIFE
 from embersill.work import EPS, Job
@@ -68,7 +68,7 @@
         throttle.asking = True
         self.turn.actions.append(Borrow(throttle.customer, max(math.ceil(-throttle.level), 1.0)))
 
-    def lent(self, event: Lent) -> None:
+    def lent(self, event: BorrowResult) -> None:
         """Gives borrowed tokens to queued requests; the requests beyond them keep waiting or are rejected."""
         throttle = self.throttles.get(event.customer)
         if throttle is None or not throttle.asking:
--- a/embersill/edge/dataplane/gateway.py
+++ b/embersill/edge/dataplane/gateway.py
@@ -22,7 +22,7 @@
 from embersill.edge.dataplane.lingering import TIMER_KEY_PREFIX as LINGERING_KEY_PREFIX
 from embersill.edge.rollout.watch import ByKind, Watch
 from embersill.edge.throttling.figures import SlowdownCounts
-from embersill.interface import Configured, Lent, PeerLoad, Settings, Sliced, TimerDue
+from embersill.interface import BorrowResult, Configured, PeerLoad, Settings, Sliced, TimerDue
 
 
 class EdgeGateway(Gateway):
@@ -36,7 +36,7 @@
         super().__init__(settings, seed, now)
         self.handlers |= {
             Configured: self.configured,
-            Lent: self.admission.lent,
+            BorrowResult: self.admission.lent,
             Sliced: self.admission.sliced,
             PeerLoad: self.others,
         }
--- a/embersill/edge/dataplane/handlers.py
+++ b/embersill/edge/dataplane/handlers.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
+from embersill.edge.configuration.routes import PUBLIC, Table, Way
 from embersill.edge.dataplane.dialect import HOP_BY_HOP_HEADERS
 from embersill.edge.dataplane.metrics import CONTENT_TYPE, Metrics
-from embersill.edge.configuration.routes import PUBLIC, Table, Way
 from embersill.edge.verdict import Verdict
 from embersill.net.calls import BadRequest
 from embersill.net.clients import ClientConnection, Exchange
--- a/embersill/edge/dataplane/tally.py
+++ b/embersill/edge/dataplane/tally.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from embersill.edge.node import Node
-from embersill.interface import Borrow, Count, Lent, Sliced
+from embersill.interface import Borrow, BorrowResult, Count, Sliced
 
 GATHER_S = 0.02  # counts are batched into one message for this long
 UNREACHABLE_UNITS = -1.0  # reported as lent if the lender could not be asked
@@ -24,7 +24,7 @@
         self,
         node: Node,
         clock: Callable[[], float],
-        post: Callable[[Lent | Sliced], None],
+        post: Callable[[BorrowResult | Sliced], None],
         call_later: Callable[[float, Callable[[], None]], object],
     ) -> None:
         """`call_later`: calls a function after a delay in seconds; a call after shutdown does no harm."""
@@ -108,7 +108,7 @@
         """Passes on what a reserve has lent, which may be nothing."""
         for tenant, lent in units.items():
             if self.borrow_deadlines.pop(tenant, None) is not None:
-                self.post(Lent(tenant, lent))
+                self.post(BorrowResult(tenant, lent))
 
     def tick(self) -> None:
         """Gives up on loan requests that were not answered in time."""
--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -336,7 +336,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lent:
+class BorrowResult:
     """The units that the quota reserve granted for a Borrow; negative: the reserve could not be asked."""
 
     customer: str
@@ -373,7 +373,7 @@
     | BackendHold
     | Shared
     | Configured
-    | Lent
+    | BorrowResult
     | Sliced
     | PeerLoad
 )
@@ -444,7 +444,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Borrow:
-    """Ask the customer's quota reserve for units that its slice here lacks; Lent is the answer."""
+    """Ask the customer's quota reserve for units that its slice here lacks; BorrowResult is the answer."""
 
     customer: str
     units: float
--- a/embersill/net/driver.py
+++ b/embersill/net/driver.py
@@ -20,13 +20,13 @@
     BackendHold,
     BackendList,
     Borrow,
+    BorrowResult,
     Cancel,
     ClientLeft,
     Count,
     Counted,
     Event,
     Fail,
-    Lent,
     Outcome,
     Refuse,
     Request,
@@ -425,7 +425,7 @@
     def borrow(self, action: Borrow) -> None:
         """Asks the shared reserve for units; without a reserve nothing is lent."""
         if self.reserve is None:
-            return self.post(Lent(action.customer, 0.0))
+            return self.post(BorrowResult(action.customer, 0.0))
         return self.reserve(action)
 
     # final responses
--- a/tests/edge/test_leave_invariants.py
+++ b/tests/edge/test_leave_invariants.py
@@ -16,11 +16,11 @@
     Action,
     AttemptEnded,
     Borrow,
+    BorrowResult,
     Cancel,
     ClientLeft,
     Event,
     Fail,
-    Lent,
     Outcome,
     Refuse,
     Request,
@@ -83,7 +83,7 @@
         for borrow in asked:
             units = float(self.chance.randrange(3))
             self.borrowed += units
-            self.post(Lent(borrow.customer, units))
+            self.post(BorrowResult(borrow.customer, units))
 
     def next_place(self, action: Send) -> int:
         """The number of a request's newest attempt."""
--- a/tests/edge/test_parts.py
+++ b/tests/edge/test_parts.py
@@ -9,13 +9,13 @@
 import pytest
 
 from embersill.edge.configuration.check import checked
-from embersill.edge.dataplane.gateway import EdgeGateway
 from embersill.edge.configuration.document import EMPTY, State, changed, read_version, write_version
+from embersill.edge.configuration.routes import Table, settings_for
+from embersill.edge.dataplane.gateway import EdgeGateway
 from embersill.edge.dataplane.handlers import MAX_EARLY, RETRY_SOON, ClientHandler
 from embersill.edge.discovery.instances import Instance, Instances
 from embersill.edge.local import Local, read_local
 from embersill.edge.peers.ring import rendezvous_order
-from embersill.edge.configuration.routes import Table, settings_for
 from embersill.edge.quota.sums import DEMAND_TTL_S, SLICE_TTL_S, Sums
 from embersill.interface import (
     Action,
@@ -23,10 +23,10 @@
     Backend,
     BackendList,
     Borrow,
+    BorrowResult,
     Configured,
     Count,
     Fail,
-    Lent,
     ListKind,
     Outcome,
     Refuse,
@@ -36,8 +36,8 @@
     Status,
     TimerDue,
 )
-from embersill.net.calls import BadRequest
 from embersill.lab.edge.fleet import change, document
+from embersill.net.calls import BadRequest
 
 
 def taken(state: State, method: str, body: Any) -> State:
@@ -282,10 +282,10 @@
     made = edge(fresh=False, rate=2.0)
     first = made.handle(ask(1), 100.0)
     assert of(first, Borrow) == [Borrow("t", 1.0)] and not of(first, Send)
-    assert of(made.handle(Lent("t", 1.0), 100.0), Send)
+    assert of(made.handle(BorrowResult("t", 1.0), 100.0), Send)
     second = made.handle(ask(2), 100.0)
     assert of(second, Borrow)
-    refused = of(made.handle(Lent("t", 0.0), 100.0), Refuse)
+    refused = of(made.handle(BorrowResult("t", 0.0), 100.0), Refuse)
     assert refused and refused[0].over_quota and refused[0].retry_after > 0
     third = made.handle(ask(3), 100.01)  # the reserve is not asked again at once
     assert not of(third, Borrow) and of(third, Refuse)
--- a/tests/edge/test_slowed.py
+++ b/tests/edge/test_slowed.py
@@ -5,7 +5,7 @@
 import pytest
 
 from embersill.edge.configuration.lapses import Slowed
-from embersill.interface import Borrow, Lent, Outcome, PeerLoad, Refuse, Send, TimerDue
+from embersill.interface import Borrow, BorrowResult, Outcome, PeerLoad, Refuse, Send, TimerDue
 from embersill.lab.edge.lapsing import SHARES, TROUBLES, WAYS, measured, play
 from tests.edge.test_parts import ask, edge, ended, of
 
@@ -44,7 +44,7 @@
     made = edge(rate=40.0)  # four gateways: ten a second, a bank of ten
     for number in range(11):
         made.handle(ask(number), 100.0)
-    made.handle(Lent("t", 0.0), 100.0)
+    made.handle(BorrowResult("t", 0.0), 100.0)
     throttle = made.throttles["t"]
     assert [job.request.id for job in throttle.queue] == [10]  # 0.1 s of the 0.11 that the bound has
     made.slow({"t": Slowed(40.0, 40.0, 1.0)}, None)
