--- a/embersill/edge/dataplane/admission.py
+++ b/embersill/edge/dataplane/admission.py
@@ -10,7 +10,7 @@
 
 from embersill.admission import Admission
 from embersill.edge.configuration.lapses import Slowed
-from embersill.interface import Borrow, BorrowResult, Plan, Sliced
+from embersill.interface import Borrow, BorrowResult, Plan, QuotaSlice
 from embersill.throttle import PERIOD, Throttle
 from embersill.totals import READING_LIFE
 from embersill.work import EPS, Job
@@ -84,7 +84,7 @@
             return self.borrow(throttle)
         return self.release(throttle)
 
-    def sliced(self, event: Sliced) -> None:
+    def sliced(self, event: QuotaSlice) -> None:
         """Applies the slice set by the summing member; slices never add up to more than the quota."""
         throttle = self.throttles.get(event.customer)
         if throttle is None or throttle.plan.rate <= 0:
--- a/embersill/edge/dataplane/gateway.py
+++ b/embersill/edge/dataplane/gateway.py
@@ -22,7 +22,7 @@
 from embersill.edge.dataplane.lingering import TIMER_KEY_PREFIX as LINGERING_KEY_PREFIX
 from embersill.edge.rollout.watch import ByKind, Watch
 from embersill.edge.throttling.figures import SlowdownCounts
-from embersill.interface import BorrowResult, Configured, PeerLoad, Settings, Sliced, TimerDue
+from embersill.interface import BorrowResult, Configured, PeerLoad, QuotaSlice, Settings, TimerDue
 
 
 class EdgeGateway(Gateway):
@@ -37,7 +37,7 @@
         self.handlers |= {
             Configured: self.configured,
             BorrowResult: self.admission.lent,
-            Sliced: self.admission.sliced,
+            QuotaSlice: self.admission.sliced,
             PeerLoad: self.others,
         }
 
--- a/embersill/edge/dataplane/tally.py
+++ b/embersill/edge/dataplane/tally.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from embersill.edge.node import Node
-from embersill.interface import Borrow, BorrowResult, Count, Sliced
+from embersill.interface import Borrow, BorrowResult, Count, QuotaSlice
 
 GATHER_S = 0.02  # counts are batched into one message for this long
 UNREACHABLE_UNITS = -1.0  # reported as lent if the lender could not be asked
@@ -24,7 +24,7 @@
         self,
         node: Node,
         clock: Callable[[], float],
-        post: Callable[[BorrowResult | Sliced], None],
+        post: Callable[[BorrowResult | QuotaSlice], None],
         call_later: Callable[[float, Callable[[], None]], object],
     ) -> None:
         """`call_later`: calls a function after a delay in seconds; a call after shutdown does no harm."""
@@ -77,7 +77,7 @@
         """Passes received slices on; `at`: when they were requested, by this gateway's clock."""
         age = max(self.clock() - at, 0.0) if at is not None else None
         for tenant, rate in slices.items():
-            self.post(Sliced(tenant, rate, age))
+            self.post(QuotaSlice(tenant, rate, age))
 
     def borrow(self, action: Borrow) -> None:
         """Asks the holder of the tenant's reserve for tokens; an unreachable one lends none."""
--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -327,7 +327,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sliced:
+class QuotaSlice:
     """This gateway's rate of a customer's quota, in units a second, from the service that sums the demand."""
 
     customer: str
@@ -374,7 +374,7 @@
     | Shared
     | Configured
     | BorrowResult
-    | Sliced
+    | QuotaSlice
     | PeerLoad
 )
 
--- a/tests/edge/test_parts.py
+++ b/tests/edge/test_parts.py
@@ -29,10 +29,10 @@
     Fail,
     ListKind,
     Outcome,
+    QuotaSlice,
     Refuse,
     Request,
     Send,
-    Sliced,
     Status,
     TimerDue,
 )
@@ -301,7 +301,7 @@
 def test_the_slice_that_is_told_decides_until_it_is_too_old_and_then_the_even_one() -> None:
     made = edge(rate=40.0)
     made.handle(ask(1), 100.0)
-    made.handle(Sliced("t", 30.0), 100.5)
+    made.handle(QuotaSlice("t", 30.0), 100.5)
     assert made.throttles["t"].rate == pytest.approx(30.0)
     counted = of(made.handle(TimerDue("ct"), 101.2), Count)
     assert counted and counted[0].amount == 1.0  # demand is told, however far from the quota
