--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builds settings and events for tests, and a driver that checks the rules on every action."""
+"""Builders of settings and events for tests, and a driver that checks the rules on every action."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
 
 
 class Watch:
-    """Plays a client, backends and timers around one gateway and asserts the rules on each action."""
+    """Simulates clients, backends and timers of one gateway, and asserts the rules on each action."""
 
     def __init__(self, made: Gateway, settings: Settings = SETTINGS) -> None:
         self.gateway, self.settings = made, settings
@@ -153,7 +153,7 @@
         elif isinstance(action, Count):
             self.counts.append(action.name)
         elif isinstance(action, Send):
-            asked = self.open[action.request]  # a send for a request that is over breaks a rule
+            asked = self.open[action.request]  # KeyError: a send for a request that has ended
             klass, tries = self.classes[asked.klass], self.sent.setdefault(action.request, [])
             target = self.listed[action.backend]
             assert target.status is Status.SERVING
@@ -170,7 +170,7 @@
                 self.first_units.setdefault(asked.customer, []).append((self.now, asked.units))
             tries.append((action.backend, self.now))
         elif isinstance(action, Refuse | Fail):
-            asked = self.open.pop(action.request)  # a second answer breaks a rule
+            asked = self.open.pop(action.request)  # KeyError: a second answer
             assert self.now <= asked.deadline + 0.008
             klass = self.classes[asked.klass]
             if isinstance(action, Refuse) and self.risky(action.request):
@@ -180,7 +180,7 @@
             self.answered[action.request] = action
 
     def run_to(self, until: float) -> None:
-        """Fires the timers that fall due, and times out attempts at their requests' deadlines."""
+        """Advances the time: fires due timers, and times out attempts at their requests' deadlines."""
         while True:
             due = min(self.timers, default=(until + 1, ""))
             ends = [(r.deadline, n) for n, r in self.open.items() if self.out(n)]
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""A fleet against a discovery service of fixed capacity that overbooks itself. No sockets, no real time."""
+"""A fleet and an overloaded discovery service of fixed capacity. No sockets, no real time."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from embersill.pacing import SERVICE_CALLS_PER_S, DiscoveryPacing
 
-TIME_OUT = 2.0  # seconds after which the service fails a call that has not had its turn
-OVERBOOKED = 3.0  # time-outs' worth of work in line from which it turns calls away
+TIMEOUT_S = 2.0  # after which the service fails a call that is still queued
+MAX_QUEUE = 3.0  # time-outs' worth of queued work, from which the service rejects calls
 
 
 def play(paces: list[DiscoveryPacing], seconds: float, rate: float) -> tuple[list[float], list[float]]:
-    """When each gateway first had a list, and when calls came; what has failed is worked at all the same."""
+    """The times of each gateway's first list, and of all calls; the service works on failed calls too."""
     order = list(range(len(paces)))
     due = [(pace.first() + 0.001 * number, number) for number, pace in enumerate(paces)]
     heapq.heapify(due)
@@ -23,11 +23,11 @@
         now, number = heapq.heappop(due)
         calls.append(now)
         free = max(free, now)
-        if free - now > OVERBOOKED * TIME_OUT:
+        if free - now > MAX_QUEUE * TIMEOUT_S:
             heapq.heappush(due, (now + 0.002 + paces[number].failed(), number))
             continue
         free += 1.0 / rate
-        waits = min(TIME_OUT, paces[number].answer_timeout)
+        waits = min(TIMEOUT_S, paces[number].answer_timeout)
         if free - now > waits:
             heapq.heappush(due, (now + waits + paces[number].failed(), number))
         else:
@@ -51,7 +51,7 @@
 
 
 def test_calls_made_again_at_once_keep_such_a_service_from_answering_anyone() -> None:
-    # the pace of a local agent, which was used for a shared service as well
+    # the waits meant for a local agent, which were once used for a shared service too
     had, calls = play([DiscoveryPacing(True) for _ in range(40)], 30.0, SERVICE_CALLS_PER_S)
     assert sum(h < 30.0 for h in had) < 20 and busiest(calls) >= 40
 
@@ -65,11 +65,11 @@
 
 
 def test_an_agent_that_is_back_is_heard_within_half_a_second() -> None:
-    # from any moment on: the last call that it got while it was down, the wait after it, and the dial's way
+    # the worst case: the time-out of a call made just before it is back, then the wait for the next one
     pace = DiscoveryPacing(True, 40, 1)
     waits = [pace.failed() for _ in range(40)]
     assert max(waits) + pace.list_timeout < 0.5
-    assert DiscoveryPacing(False, 40, 1).list_timeout >= 2.0  # a service that all share is heard out
+    assert DiscoveryPacing(False, 40, 1).list_timeout >= 2.0  # a shared service is given time to answer
 
 
 def test_waits_for_a_service_grow_and_have_a_bound() -> None:
--- a/tests/test_rows.py
+++ b/tests/test_rows.py
@@ -1,4 +1,4 @@
-"""The row of backends that each of many gateways keeps to: even over the fleet, and no cage."""
+"""The subset of backends that each of many gateways uses: even coverage, and the rest as a fallback."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     made = []
     for number in range(gateways):
         one = Gateway(replace(SETTINGS, me=number, gateways=gateways), number, 100.0)
-        # lists come in any order
+        # each gateway gets the list in another order
         one.handle(backends(*random.Random(number).sample(listed, len(listed))), 100.0)
         one.fleet("").update_warmth()
         made.append(one)
     return made
 
 
-def row(one: Gateway) -> set[str]:
+def subset(one: Gateway) -> set[str]:
     return {s.backend.address for s in one.fleet("").near}
 
 
@@ -39,21 +39,23 @@
 @pytest.mark.parametrize("count", [17, 67, 130, 199, 200])
 def test_rows_cover_all_backends_alike_and_neighbours_share_little(count: int) -> None:
     made = fleet(200, [backend(f"b{n}") for n in range(count)])
-    covers = Counter(name for one in made for name in row(one))
+    covers = Counter(name for one in made for name in subset(one))
     assert len(covers) == count
-    assert max(covers.values()) - min(covers.values()) <= 4  # evenly drawn ones differ by 20 and more
-    if count >= 67:  # customers come through gateways in a row: these must not load the same backends
-        assert all(len(row(a) & row(b)) <= len(row(a)) // 2 for a, b in zip(made, made[1:], strict=False))
+    assert max(covers.values()) - min(covers.values()) <= 4  # random subsets differ by 20 and more
+    if count >= 67:  # customers use consecutive gateways: these must not load the same backends
+        assert all(
+            len(subset(a) & subset(b)) <= len(subset(a)) // 2 for a, b in zip(made, made[1:], strict=False)
+        )
 
 
 def test_few_gateways_or_few_backends_use_all() -> None:
     for gateways, count in ((3, 200), (2, 8), (200, 16)):
         listed = [backend(f"b{n}") for n in range(count)]
-        assert all(len(row(one)) == count for one in fleet(gateways, listed)[:3])
+        assert all(len(subset(one)) == count for one in fleet(gateways, listed)[:3])
 
 
 def test_connections_are_used_again_over_two_hundred_gateways() -> None:
-    """Seen on the fleet's calm day: 19,153 new connections for some 26,000 attempts."""
+    """Connections must be reused: without subsets a calm day had 19,153 new ones for some 26,000 attempts."""
     pairs, attempts = set(), 0
     for one in fleet(200, [backend(f"b{n}") for n in range(130)]):
         for number in range(130):
@@ -66,13 +68,13 @@
 def test_a_row_that_drains_or_fails_is_left_at_once() -> None:
     listed = [backend(f"b{n}") for n in range(130)]
     one = fleet(200, listed)[7]
-    before = row(one)
+    before = subset(one)
     gone = [backend(name, status=Status.DRAINING) for name in before]
     one.handle(backends(*gone, kind=ListKind.CHANGES), 101.0)
     assert {sent_to(one, number, 101.0 + number / 50) for number in range(50)}.isdisjoint(before | {""})
     for server in one.fleet("").near:
-        server.limit = 0.0  # each has all that it may have out
-    assert sent_to(one, 99, 103.0) not in row(one) | {""}
+        server.limit = 0.0  # each is at its limit
+    assert sent_to(one, 99, 103.0) not in subset(one) | {""}
 
 
 def test_a_keyed_repeat_stays_in_its_group_also_where_the_row_has_none_of_it() -> None:
@@ -88,7 +90,7 @@
 
 @pytest.mark.parametrize("part", [0.1, 0.6])
 def test_cold_backends_get_alike_from_gateways_of_uneven_load(part: float) -> None:
-    """The sum of 200 gateways, some with eight times the mean: no cold backend gets twice another's."""
+    """Summed over 200 gateways, some with eight times the mean load, no cold backend gets twice the mean."""
     fresh = int(130 * part)
     listed = [backend(f"b{n}", started=98.0 if n < fresh else None) for n in range(130)]
     chance, got = random.Random(5), Counter[str]()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules under random events, and a case for each failure found."""
+"""The rules of a gateway under random events, and one case for each failure found."""
 
 from __future__ import annotations
 
@@ -76,9 +76,9 @@
         elif kind == "silence":
             watch.answer_counts(0.0, Outcome.TIMED_OUT)
     watch.run_to(watch.now + 20)
-    assert not watch.open  # every request has had its one answer
+    assert not watch.open  # every request has had exactly one answer
     for customer, units in watch.first_units.items():
-        if customer.startswith("capped"):  # the share of the ceiling over every stretch, never its slack
+        if customer.startswith("capped"):  # its share of the ceiling, over every interval
             for i, (start, _) in enumerate(units):
                 for end, _ in units[i:]:
                     total = sum(u for t, u in units[i:] if t <= end)
@@ -115,7 +115,7 @@
 
 
 def test_a_cold_backend_gets_its_part_from_all_gateways_together() -> None:
-    """Found in incidents: hundreds of gateways each sent one request as soon as it was listed."""
+    """Hundreds of gateways must not each send a request as soon as a cold backend is listed (incidents)."""
     for gateways in (2, 300):
         to_cold = 0
         for me in range(gateways):
@@ -126,11 +126,11 @@
                 sent = where(list(made.handle(request(number, customer=f"x{number}", deadline=110.0), 100.1)))
                 to_cold += sent == "cold"
                 made.handle(ended(number, 0, sent, Outcome.SERVED), 100.2)
-        assert 10 <= to_cold <= 70  # a warm one gets 200 and more, the least that it can carry is 50
+        assert 10 <= to_cold <= 70  # a warm one gets at least 200; the least that a cold one can take is 50
 
 
 def cold_parts(cold: int, warm: int, age: float = 0.0) -> tuple[float, float]:
-    """Sends to a cold backend and to a warm one, each by the mean, from 40 gateways with few requests."""
+    """Requests sent to a cold and to a warm backend, relative to the mean, by 40 gateways with few each."""
     sent = {"c": 0, "w": 0}
     for me in range(40):
         made = Gateway(replace(SETTINGS, gateways=40), me, 100.0)
@@ -151,16 +151,16 @@
 
 
 def test_where_most_backends_are_cold_all_carry_by_what_they_can_do() -> None:
-    """Six in ten replaced: the warm ones got three times a cold one's load, and were late."""
-    share = 0.25 + 0.75 * 4.0 / 10.0  # the least that one can do 4 s after its start
+    """With six in ten backends replaced, warm ones must not get three times a cold one's load and be late."""
+    share = 0.25 + 0.75 * 4.0 / 10.0  # the least capacity of a backend 4 s after its start
     to_cold, to_warm = cold_parts(36, 24, age=4.0)
     assert 0.8 * share < to_cold / to_warm < 1.1 * share
-    assert to_cold < 3.0 * share / 1.5  # a fleet warm and loaded in full would still keep half of the rule
+    assert to_cold < 3.0 * share / 1.5  # half of the bound, even for a warm fleet at full load
 
 
 @pytest.mark.parametrize("cold", [12, 30, 54, 60])
 def test_a_cold_backend_stays_under_the_rule_however_many_are_cold(cold: int) -> None:
-    # measured against what a warm one gets with all warm, at which no fleet runs in full
+    # relative to what a backend gets when all are warm, a load below a fleet's capacity
     to_cold, _ = cold_parts(cold, 60 - cold)
     assert to_cold < 0.25 * 2.0
 
@@ -180,7 +180,7 @@
 
 
 def test_slow_answers_do_not_lock_the_gateway() -> None:
-    """Found in incidents: after a slow spell all was refused for good, or for as long as the spell again."""
+    """After slow answers requests were refused for ever, or as long again as it was slow (incidents)."""
     made, sent = gateway(gateways=1), []
     for number in range(160):
         now = 100.0 + number / 2
@@ -189,12 +189,12 @@
         if sent[-1]:
             slow = 0.9 if number < 60 else 0.1
             made.handle(ended(number, 0, where(actions), Outcome.SERVED, slow), now + 0.4)
-    assert sum(sent[40:60]) <= 10  # slow: most are refused, some go and tell when it is over
+    assert sum(sent[40:60]) <= 10  # slow: most are refused, some are sent and show when it is over
     assert all(sent[140:])
 
 
 def test_stuck_attempts_rest_their_backend_only() -> None:
-    """Found in an incident: crawling backends filled a limit that all shared."""
+    """Very slow backends must not use up a limit that all backends share (incident)."""
     made = gateway(gateways=1, listed=backends(backend("a"), backend("b")))
     stuck, timers = 0, list[tuple[float, str]]()
     for number in range(40):
@@ -210,11 +210,11 @@
             due, key = timers.pop(0)
             more = made.handle(TimerDue(key), due)
             timers += [(due + a.delay, a.key) for a in more if isinstance(a, SetTimer)]
-    assert stuck <= 9  # the limit closes on it
+    assert stuck <= 9  # its own limit is reached
 
 
 def test_a_refused_connection_sets_a_backend_aside_at_once() -> None:
-    """Found in an incident: dead backends that the list still named took a third of the attempts."""
+    """Dead backends that were still listed must not get a third of the attempts (incident)."""
     made = gateway(gateways=1, listed=backends(backend("a"), backend("b"), backend("c")))
     number, now, dead = 0, 100.0, 0
     while dead == 0:
@@ -227,7 +227,7 @@
 
 
 def test_overload_is_seen_alike_from_one_gateway_and_from_many() -> None:
-    """Found in incidents: each of many gateways sends a backend too little to see that all overdrive it."""
+    """Each of many gateways sends a backend too little to see by itself that all overload it (incidents)."""
     for gateways in (2, 300):
         made = gateway(gateways=gateways, listed=backends(*(backend(f"b{n}") for n in range(60))))
         sent = 0
@@ -241,7 +241,7 @@
 
 
 def test_full_for_one_plan_or_class_is_remembered_and_is_no_ill_health() -> None:
-    """Found in incident i9ba5ae: backends with room turned one plan away and were tried again and again."""
+    """Incident i9ba5ae: backends with free capacity rejected one plan, and were tried again and again."""
     made = gateway(gateways=1, listed=backends(*(backend(f"b{n}") for n in range(6))))
     full = {"b0", "b1", "b2"}
     away = 0
@@ -262,7 +262,7 @@
 
 
 def test_an_attempt_ends_once_its_answer_is_worthless() -> None:
-    """Found on overloaded days: work nobody could use any more kept backends busy for seconds."""
+    """Under overload, work on answers that had become worthless kept backends busy for seconds."""
     made = gateway()
     sent = next(a for a in made.handle(request(1, deadline=104.0), 100.0) if isinstance(a, Send))
     assert sent.timeout == 1.0  # the aim; late answers of this class are worth nothing
@@ -278,7 +278,7 @@
 
 
 def test_a_keyed_repeat_may_not_be_written_after_its_key_is_forgotten() -> None:
-    """A dial may take longer than the memory lasts: the send says until when it may begin."""
+    """Connecting may outlast the memory of the key, so the send says until when it may be written."""
     made = gateway(listed=backends(backend("a", 0), backend("b", 0)))
     first = next(a for a in made.handle(request(1, "keyed"), 100.0) if isinstance(a, Send))
     assert first.write_by == float("inf")
@@ -289,7 +289,7 @@
 
 
 def errors_met(gateways: int, seconds: float) -> float:
-    """Errors a second from a fifth of 30 backends, which fail all, over all gateways; 300 tries a second."""
+    """Errors a second at all gateways, with 6 of 30 backends failing, at 300 requests a second."""
     met = 0
     for me in range(gateways):
         made = Gateway(replace(SETTINGS, gateways=gateways), me, 100.0)
@@ -308,7 +308,7 @@
 
 
 def test_what_fails_is_not_tried_anew_by_each_of_many_gateways() -> None:
-    """40 gateways that forget in 8 s met a tenth of all attempts' errors anew, the whole day long."""
+    """40 gateways that forgot failures in 8 s had errors on a tenth of all attempts, all day long."""
     assert errors_met(40, 40.0) < 2.0 * errors_met(10, 40.0)
 
 
@@ -328,7 +328,7 @@
 
 
 def test_a_backend_that_turns_two_kinds_away_is_full_for_all() -> None:
-    # one that drains, of which the list does not tell yet, was tried with each class of each plan
+    # a draining backend, not yet listed so, was tried with each class of each plan
     made = gateway(listed=backends(backend("a"), backend("b")))
     server = made.servers["a"]
     server.full = {("read", "small"): 110.0}
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -30,7 +30,7 @@
 
 
 class Fleet:
-    """Gateways in front of one counter and backends that answer at once; keeps what was sent on and when."""
+    """Gateways with one counter and backends that answer at once; records what was sent and when."""
 
     def __init__(self, width: int, plan: Plan, now: float = 100.0) -> None:
         self.settings = replace(SETTINGS, gateways=width, plans=(plan,))
@@ -83,7 +83,7 @@
     fleet = Fleet(width, CAPPED)
     fleet.go_to(110.0)
     for number, (pick, span) in enumerate(steps):
-        if pick % 11 == 0:  # killed and started again: what it knew is gone
+        if pick % 11 == 0:  # killed and restarted: its state is lost
             me = pick // 11 % width
             fleet.timers = [t for t in fleet.timers if t[1] != me]
             fleet.gateways[me] = fleet.start(me)
@@ -100,22 +100,22 @@
     ("width", "rate", "least", "most"),
     [
         (100, 2.0, 0.95, 1.0),
-        (100, 16.0, 0.2, 0.35),  # of a quota of 4: half of it, and four times
+        (100, 16.0, 0.2, 0.35),  # half of the quota of 4, and four times the quota
         (300, 2.0, 0.6, 1.0),
-        (300, 16.0, 0.2, 0.5),  # where a third is counted at first, the rest is guessed
+        (300, 16.0, 0.2, 0.5),  # a third is counted at first, the rest estimated
     ],
 )
 def test_a_quota_split_too_thin_is_neither_shut_out_nor_overrun(
     width: int, rate: float, least: float, most: float
 ) -> None:
-    """Found at full size: a bank of 0.03 units passed one request at each gateway, then shut all out."""
+    """A bank of 0.03 units let one request pass at each gateway and then none (seen at full size)."""
     fleet = Fleet(width, PLAN)
     fleet.now = 120.0
     for number in range(400):
         fleet.ask(number * 37 % 40, number, 1.0)
         fleet.go_to(fleet.now + 1.0 / rate)
     assert least <= len(fleet.sent) / 400 <= most
-    assert fleet.calls <= 3 * 400  # a few a request, however many gateways
+    assert fleet.calls <= 3 * 400  # a few for each request, however many gateways
 
 
 def test_a_silent_counter_leaves_the_even_slice() -> None:
@@ -130,7 +130,7 @@
 
 
 def test_corrections_of_one_sum_do_not_run_away() -> None:
-    """Found on a quiet day: gateways put the same sum right at once, and each the other's correction."""
+    """Gateways that corrected the same sum at once also corrected each other's corrections."""
     fleet = Fleet(60, PLAN)
     fleet.now = 115.0
     for number in range(120):
