--- a/embersill/edge/discovery/__init__.py
+++ b/embersill/edge/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Backends: which there are, by their heartbeats, and how much each has to do. No I/O."""
+"""Service discovery: which backends there are, by their heartbeats, and how loaded each is. No I/O."""
--- a/embersill/edge/discovery/departures.py
+++ b/embersill/edge/discovery/departures.py
@@ -1,9 +1,9 @@
-"""Backends that leave: when their calls are acknowledged. No I/O.
+"""Backends that leave, and when their calls are acknowledged. No I/O.
 
-A backend that has been acknowledged stops serving soon after. So the acknowledgement takes two things: all
-gateways linked here know of it, or have had their time; and a majority of the core has answered a question
-that was asked after the news went out. A member that is cut off has neither, and sends the backend elsewhere:
-gateways that are in touch may still send there.
+A backend stops serving soon after the acknowledgement. So that needs two things: all gateways linked here
+know of the departure, or did not acknowledge it in time; and a majority of the core has answered a query
+that was sent after the news. A member that is cut off has neither and refuses the call, so that the backend
+asks another gateway: the gateways with a connection to the core may still send requests to it.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from embersill.edge.verdict import Verdict, done, refused
 
-ACKED_WITHIN = 0.5  # seconds that a leaving backend waits for the gateways' word, at most
-GIVEN_UP_AFTER = 0.8  # seconds that it waits for a majority's: its caller goes elsewhere after one
-REMEMBERED_FOR = 60.0  # seconds for which it is known that all gateways were told
+ACK_TIMEOUT_S = 0.5  # longest wait for the gateways' acknowledgements
+MAJORITY_TIMEOUT_S = 0.8  # longest wait for a majority: the backend asks another gateway after 1 s
+ACK_RETENTION_S = 60.0  # how long an acknowledged departure is remembered
 NO_MAJORITY = "no majority of the core answers here: ask another gateway"
 
 Answered = Callable[[Verdict], None]
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leaving:
-    """What a backend has said: its id, and the state that it is in from now on."""
+    """A backend's announcement: its id, and the state that it is in from now on."""
 
     name: str
     state: str
@@ -32,27 +32,29 @@
 
 @dataclass(slots=True)
 class Departure:
-    """Calls with one and the same word of a backend that wait for their acknowledgement."""
+    """A backend's calls with one announcement, while they wait for the acknowledgement."""
 
     leaving: Leaving
-    number: int  # of the news
-    waits_for: set[str]  # gateways
-    until: float  # they have had their time by then
-    given_up_at: float
+    number: int  # of the news message
+    waits_for: set[str]  # gateways that have not acknowledged it
+    until: float  # deadline for them
+    given_up_at: float  # deadline for the majority
     answers: list[Answered]
     confirmed: bool = False
 
 
 class Departures:
-    """The departures that this member was told of by the backends themselves."""
+    """The departures that backends announced to this member."""
 
     def __init__(self) -> None:
-        self.confirm: Confirm = lambda ended: ended(True)  # asks whether a majority vouches from now on
+        self.confirm: Confirm = lambda ended: ended(
+            True
+        )  # asks whether a majority still vouches for this member
         self.open: dict[Leaving, Departure] = {}
-        self.acknowledged: dict[Leaving, float] = {}  # since when
+        self.acknowledged: dict[Leaving, float] = {}  # and when
 
     def joins(self, leaving: Leaving, answered: Answered) -> bool:
-        """A call that was sent again while the first one waits is answered with it; True if so."""
+        """Adds a repeated call to the departure that it repeats; False if none is open."""
         departure = self.open.get(leaving)
         if departure is not None:
             departure.answers.append(answered)
@@ -61,9 +63,9 @@
     def begin(
         self, leaving: Leaving, number: int, gateways: Iterable[str], answered: Answered, now: float
     ) -> None:
-        """The news went out to these gateways under that number."""
+        """Opens a departure after its news was sent to these gateways under that number."""
         departure = Departure(
-            leaving, number, set(gateways), now + ACKED_WITHIN, now + GIVEN_UP_AFTER, [answered]
+            leaving, number, set(gateways), now + ACK_TIMEOUT_S, now + MAJORITY_TIMEOUT_S, [answered]
         )
         self.open[leaving] = departure
 
@@ -74,20 +76,20 @@
         self.confirm(confirmed)
 
     def acked(self, gateway: str, number: int, now: float) -> None:
-        """A gateway knows of the news with that number."""
+        """Handles a gateway's acknowledgement of the news with that number."""
         for departure in list(self.open.values()):
             if departure.number == number:
                 departure.waits_for.discard(gateway)
                 self.settle(departure, now)
 
     def unlinked(self, gateway: str, now: float) -> None:
-        """A gateway that is not linked any more is out of touch, and not waited for."""
+        """Stops waiting for a gateway that is not linked any more."""
         for departure in list(self.open.values()):
             departure.waits_for.discard(gateway)
             self.settle(departure, now)
 
     def settle(self, departure: Departure, now: float) -> None:
-        """Answers the calls as soon as it is certain what to answer."""
+        """Answers the calls as soon as the result is certain."""
         if departure.leaving not in self.open:
             return
         if departure.confirmed and (not departure.waits_for or now >= departure.until):
@@ -97,15 +99,15 @@
             self.end(departure, refused(503, NO_MAJORITY))
 
     def end(self, departure: Departure, verdict: Verdict) -> None:
-        """Answers all calls that wait for this departure."""
+        """Closes a departure and answers all calls that wait for it."""
         del self.open[departure.leaving]
         for answered in departure.answers:
             answered(verdict)
 
     def tick(self, now: float) -> None:
-        """What is due by now."""
+        """Handles deadlines, and forgets old acknowledgements."""
         for departure in list(self.open.values()):
             self.settle(departure, now)
         for leaving, since in list(self.acknowledged.items()):
-            if now - since > REMEMBERED_FOR:
+            if now - since > ACK_RETENTION_S:
                 del self.acknowledged[leaving]
--- a/embersill/edge/discovery/instances.py
+++ b/embersill/edge/discovery/instances.py
@@ -1,7 +1,7 @@
-"""Which backends there are: what they said of themselves, in a form that any two gateways merge alike.
+"""The table of backends, as they describe themselves; any two gateways merge it in the same way.
 
-A backend's life has one id, and its state only goes forward: ready, draining, gone. So what two gateways know
-of it has one right merge, whichever comes first: the later state, then the later call, then that it was lost.
+A backend process has one id, and its state only moves forward: ready, draining, gone. So the knowledge of two
+gateways merges to the same result in any order: the later state wins, then the later call, then a loss.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 RANKS = {READY: 0, DRAINING: 1, GONE: 2}
-MOST = 5000  # backends that are remembered; a further one is turned away
-KEPT_FOR = 60.0  # seconds that one which is gone is remembered, so that late news of it changes nothing
+MAX_BACKENDS = 5000  # further ones are rejected
+GONE_RETENTION_S = 60.0  # how long a backend that is gone is remembered, so that late news cannot revive it
 
 
 class Beat(TypedDict):
@@ -31,7 +31,7 @@
 
 
 class Instance(msgspec.Struct, frozen=True, array_like=True):
-    """One backend's life, as far as it was told. `keeper`: the gateway that hears its calls."""
+    """What is known of one backend process. `keeper`: the gateway that receives its heartbeats."""
 
     id: str
     service: str
@@ -40,23 +40,23 @@
     slots: int
     state: str
     sequence: int
-    cold: float  # seconds of its warm-up that were left when it was first heard of
+    cold: float  # seconds of warm-up that were left at its first call
     keeper: str = ""
-    lost: bool = False  # nothing was heard of it for long
+    lost: bool = False  # its heartbeats have stopped
 
     @property
     def order(self) -> tuple[int, int, bool]:
-        """The later of two states of one life is the greater."""
+        """Sorts the states of one backend process: the later one is greater."""
         return RANKS[self.state], self.sequence, self.lost
 
     @property
     def open(self) -> bool:
-        """True if new requests may go there."""
+        """True if new requests may be sent to it."""
         return self.state == READY and not self.lost
 
 
 def instance(name: str, beat: Beat, keeper: str) -> Instance:
-    """A backend as a heartbeat tells of it."""
+    """The instance that a heartbeat describes."""
     state = beat["state"] if beat["state"] in RANKS else READY
     cold = max(beat.get("warmup_remaining_s", 0.0), 0.0)
     return Instance(
@@ -73,76 +73,76 @@
 
 
 class Instances:
-    """The table, and when those that call here were last heard."""
+    """The table of backends, and the last call of each backend that calls this gateway."""
 
     def __init__(self, me: str) -> None:
         self.me = me
         self.known: dict[str, Instance] = {}
         self.gone_at: dict[str, float] = {}
-        self.heard: dict[str, float] = {}  # of those that call here
+        self.heard_at: dict[str, float] = {}  # by id, of the backends that call here
 
-    def merge(self, told: Iterable[Instance], now: float) -> list[Instance]:
-        """Takes over what is newer; gives back what changes where requests may go or who keeps a backend."""
+    def merge(self, updates: Iterable[Instance], now: float) -> list[Instance]:
+        """Merges newer entries; returns those that change where requests may go or who keeps a backend."""
         news = []
-        for one in told:
-            before = self.known.get(one.id)
-            if before is not None and one.order <= before.order:
+        for update in updates:
+            before = self.known.get(update.id)
+            if before is not None and update.order <= before.order:
                 continue
-            if before is None and len(self.known) >= MOST:
+            if before is None and len(self.known) >= MAX_BACKENDS:
                 continue
-            if one.state == GONE and one.id not in self.gone_at:
-                self.gone_at[one.id] = now
-            self.known[one.id] = one
-            if before is None or (one.state, one.lost, one.keeper, one.address) != (
+            if update.state == GONE and update.id not in self.gone_at:
+                self.gone_at[update.id] = now
+            self.known[update.id] = update
+            if before is None or (update.state, update.lost, update.keeper, update.address) != (
                 before.state,
                 before.lost,
                 before.keeper,
                 before.address,
             ):
-                news.append(one)
+                news.append(update)
         return news
 
-    def hear(self, one: Instance, now: float) -> list[Instance]:
-        """A backend's own call, here."""
-        self.heard[one.id] = now
-        return self.merge([one], now)
+    def record_call(self, caller: Instance, now: float) -> list[Instance]:
+        """Merges a backend's own call to this gateway, and notes its time."""
+        self.heard_at[caller.id] = now
+        return self.merge([caller], now)
 
     def leave(self, name: str, now: float) -> list[Instance]:
-        """It said that it ends. One that was never heard of is remembered too: its news may be on the way."""
+        """Marks a backend as gone. An unknown one is stored too: news of it may still arrive."""
         before = self.known.get(name) or Instance(name, "", "", "", 0, READY, 0, 0.0)
-        self.heard.pop(name, None)
+        self.heard_at.pop(name, None)
         return self.merge([msgspec.structs.replace(before, state=GONE, sequence=before.sequence + 1)], now)
 
-    def excuse(self, now: float) -> None:
-        """Silence up to now counts for nothing."""
-        self.heard = dict.fromkeys(self.heard, now)
+    def reset_silence(self, now: float) -> None:
+        """Disregards silence up to now."""
+        self.heard_at = dict.fromkeys(self.heard_at, now)
 
     def silent(self, now: float, after: float) -> list[Instance]:
-        """Those that called here and do so no more: taken to be lost until they are heard again."""
+        """Marks backends whose calls to this gateway stopped as lost, until they call again."""
         news: list[Instance] = []
-        for name, at in list(self.heard.items()):
-            one = self.known.get(name)
-            if one is None or one.keeper != self.me or one.state == GONE:
-                del self.heard[name]
+        for name, at in list(self.heard_at.items()):
+            caller = self.known.get(name)
+            if caller is None or caller.keeper != self.me or caller.state == GONE:
+                del self.heard_at[name]
             elif now - at > after:
-                del self.heard[name]
-                news += self.merge([msgspec.structs.replace(one, lost=True)], now)
+                del self.heard_at[name]
+                news += self.merge([msgspec.structs.replace(caller, lost=True)], now)
         return news
 
     def orphans(self, keepers: Iterable[str]) -> list[Instance]:
-        """Those whose keeper is none of these."""
-        there = set(keepers)
-        return [one for one in self.known.values() if one.state != GONE and one.keeper not in there]
+        """The backends that are not gone and whose keeper is none of these."""
+        present = set(keepers)
+        return [b for b in self.known.values() if b.state != GONE and b.keeper not in present]
 
     def adopt(self, orphans: Iterable[Instance], now: float) -> None:
-        """Watches over backends whose keeper is gone: they have to be heard of from now on."""
-        for one in orphans:
-            self.known[one.id] = msgspec.structs.replace(one, keeper=self.me)
-            self.heard[one.id] = now
+        """Becomes the keeper of these backends: their heartbeats are expected here from now on."""
+        for orphan in orphans:
+            self.known[orphan.id] = msgspec.structs.replace(orphan, keeper=self.me)
+            self.heard_at[orphan.id] = now
 
     def forget(self, now: float) -> None:
-        """Drops lives that ended long ago."""
+        """Drops backends that have been gone for long."""
         for name, at in list(self.gone_at.items()):
-            if now - at > KEPT_FOR:
+            if now - at > GONE_RETENTION_S:
                 del self.gone_at[name]
                 self.known.pop(name, None)
--- a/embersill/edge/discovery/registry.py
+++ b/embersill/edge/discovery/registry.py
@@ -1,8 +1,8 @@
-"""The registry of backends: who keeps those of which zone, news of them, when a leaving one is answered.
+"""The registry of backends: their calls, news of them between gateways, and which member keeps them. No I/O.
 
-News is numbered by its sender and pushed down the held links; each gateway acknowledges by number. Calls are
+News is numbered by its sender and pushed over the links; each gateway acknowledges by number. Calls are
 acknowledged only while a majority vouches for this member (`lease`), and a leaving backend's only once the
-gateways know of it (`departures`); else the backend is sent to another gateway. No I/O.
+gateways know of it (`departures`); otherwise the backend is told to ask another gateway.
 """
 
 from __future__ import annotations
@@ -19,42 +19,44 @@
 from embersill.edge.peers.peer_set import Hello, PeerSet
 from embersill.edge.verdict import done, refused
 
-MISSED = 3.4  # beats that did not come, after which a backend is taken to be lost
-SAVE_EVERY = 0.3  # seconds between saves of the list, where it has changed
-CONFIRMED_WITHIN = 2.2  # beats in which a backend that only the disk remembers has to be heard of
-ADOPT_AFTER = 12.0  # seconds without its keeper after which a backend's next keeper watches over it
+MISSED_HEARTBEATS = 3.4  # heartbeat intervals without a call after which a backend counts as lost
+SAVE_INTERVAL_S = 0.3  # between saves of a changed list
+CONFIRM_HEARTBEATS = (
+    2.2  # heartbeat intervals in which a backend restored from disk has to call or be reported
+)
+ADOPT_AFTER_S = 12.0  # how long a keeper is lost before the next one takes over its backends
 
 
 class Registry:
-    """The registry of backends at one gateway: heartbeats where it is a member, news everywhere."""
+    """The registry of backends at one gateway. Members of the core also receive heartbeats."""
 
     def __init__(self, me: Hello, peers: PeerSet, effects: Effects, beat_every: float) -> None:
         self.me, self.peers, self.effects, self.beat_every = me, peers, effects, beat_every
         self.instances = Instances(me.name)
-        self.number = 0  # of the news told by this gateway
+        self.number = 0  # of the last news message of this gateway
         self.departures = Departures()
-        self.speaks: Callable[[], bool] = lambda: True  # whether a majority vouches for this member
-        self.on_view: Callable[[str], None] = lambda text: None  # hears of what was first known here
+        self.speaks: Callable[[], bool] = lambda: True  # whether a majority vouches for it
+        self.on_view: Callable[[str], None] = lambda text: None  # log lines on news first known here
         self.on_news: Callable[[list[Instance]], None] = lambda news: None
         self.now = 0.0
         self.save_at, self.changed, self.saving, self.counted = 0.0, False, False, 0
-        self.restored: dict[str, float] = {}  # by id: known from the disk only, and until when
+        self.restored: dict[str, float] = {}  # by id: only known from disk, valid until
 
     def restore(self, saved: bytes, now: float) -> list[Instance]:
-        """What the disk remembers serves at once, and only for as long as it takes a backend to call."""
+        """Restores the saved backends, to be used at once but only until they should have called."""
         told: list[Instance] = []
         try:
             if saved:
                 told = msgspec.msgpack.decode(saved, type=list[Instance])
         except msgspec.MsgspecError:
-            return []  # it will be told anew
+            return []  # unreadable: the backends' calls fill it again
         news = self.instances.merge([one for one in told if one.open], now)
-        self.restored = {one.id: now + CONFIRMED_WITHIN * self.beat_every for one in news}
+        self.restored = {one.id: now + CONFIRM_HEARTBEATS * self.beat_every for one in news}
         return news
 
     def save(self, now: float) -> None:
-        """Writes the list, so that after a loss of power backends need not be waited for."""
-        self.save_at, self.changed, self.saving = now + SAVE_EVERY, False, True
+        """Saves the list, so that a restart after a power loss need not wait for the backends' calls."""
+        self.save_at, self.changed, self.saving = now + SAVE_INTERVAL_S, False, True
         self.counted = self.peers.count
         known = [one for one in self.instances.known.values() if one.open]
 
@@ -66,26 +68,26 @@
 
     @property
     def in_core(self) -> bool:
-        """True where this gateway is a member of the core."""
+        """True if this gateway is a member of the core."""
         return self.me.name in self.peers.core
 
     def linked(self, peer: str) -> None:
-        """All that is known goes to a peer that was not linked: each may lack what the other has."""
+        """Sends all known backends to a newly linked peer, since each side may lack some."""
         known = list(self.instances.known.values())
         if known and (self.in_core or self.peers.linked[peer].core):
             self.effects.mail.append((peer, self.message(known)))
 
     def unlinked(self, peer: str) -> None:
-        """A gateway is not linked any more."""
+        """Handles the loss of a link."""
         self.departures.unlinked(peer, self.now)
 
     def message(self, news: list[Instance]) -> Message:
-        """News as a message, under the next number."""
+        """A message with this news, under the next number."""
         self.number += 1
         return {"kind": "news", "n": self.number, "life": self.me.boot, "backends": msgspec.to_builtins(news)}
 
     def heard(self, peer: str, message: Message, now: float) -> None:
-        """News of another gateway's, or its acknowledgement of what was sent from here."""
+        """Handles another gateway's news, or its acknowledgement of news from here."""
         self.now = now
         if message["kind"] == "known":
             return self.departures.acked(peer, int(message["n"]), now)
@@ -98,7 +100,7 @@
         return None
 
     def tell(self, news: list[Instance], but: str = "", first: bool = True) -> int:
-        """Puts news in force here and pushes it on; its number. `first`: nobody else has told it."""
+        """Applies news here and sends it on; returns its number. `first`: it did not come from a gateway."""
         if not news:
             return 0
         for one in news if first else ():
@@ -109,14 +111,14 @@
         return self.push(news, but)
 
     def push(self, news: list[Instance], but: str = "") -> int:
-        """Sends news to all linked gateways, where this is a member of the core; its number."""
+        """Sends news to all linked gateways if this is a core member; returns its number."""
         if self.in_core:
             message = self.message(news)
             self.effects.mail.extend((name, message) for name in self.peers.linked if name != but)
         return self.number
 
     def call(self, what: str, body: Any, answered: Answered, now: float) -> None:
-        """A backend's own call."""
+        """Handles a backend's call."""
         self.now = now
         name = str(body.get("id", "")) if isinstance(body, dict) else ""
         if what == "leave":
@@ -125,18 +127,19 @@
         if read.is_error() or not name:
             return answered(refused(400, read.error if read.is_error() else "no id"))
         one = instance(name, read.ok, self.me.name)
-        news = self.instances.hear(one, now)
+        news = self.instances.record_call(one, now)
         self.restored.pop(name, None)
         keeper = self.peers.keeper(one.zone)
         control = self.me.control if keeper in ("", self.me.name) else self.peers.linked[keeper].control
         if one.state in (DRAINING, GONE):
             return self.leave(name, news, answered)
         self.tell(news)
-        # heard it is, whatever it is told: a member that is cut off may be the only one that it reaches
+        # the call counts even if it is refused: a member that is cut off may be the only one the backend
+        # reaches
         return answered(done({"heartbeat_address": control}) if self.speaks() else refused(503, NO_MAJORITY))
 
     def leave(self, name: str, news: list[Instance], answered: Answered) -> None:
-        """A backend's word that it leaves: gateways are told, again unless that was acknowledged."""
+        """Handles a backend's leave; the news is sent again unless it was acknowledged already."""
         known = self.instances.known.get(name)
         if known is None:
             return answered(refused(503, "no room for a further backend"))
@@ -149,7 +152,7 @@
         return self.departures.begin(leaving, number, self.peers.linked, answered, self.now)
 
     def tick(self, now: float) -> None:
-        """What is due by now: departures, backends that fell silent, the disk."""
+        """Handles departures, silent backends, and saves that are due."""
         self.now = now
         self.departures.tick(now)
         if self.in_core:
@@ -165,23 +168,23 @@
             self.tell(self.instances.merge([msgspec.structs.replace(one, lost=True) for one in late], now))
 
     def judge(self, now: float) -> None:
-        """Takes backends for lost that were not heard for too long, as far as this member may.
+        """Marks backends as lost that have been silent for too long, if this member may judge that.
 
-        A keeper that others can't hear may hear its backends all the same, and be heard by gateways; and what
-        it does not hear may be heard by the others. Who has no majority of the core judges none of them, and
-        silence counts for it only once it has one again.
+        A keeper that is cut off from other members may still receive its backends' calls and reach
+        gateways, and the others may receive calls that it does not. So a member without a majority of the
+        core judges no backend, and silence counts for it only from when it has a majority again.
         """
         if self.peers.lacks_majority:
-            self.instances.excuse(now)
+            self.instances.reset_silence(now)
             return
-        self.tell(self.instances.silent(now, MISSED * self.beat_every))
+        self.tell(self.instances.silent(now, MISSED_HEARTBEATS * self.beat_every))
         self.adopt(now)
 
     def adopt(self, now: float) -> None:
-        """Watches over what a lost keeper kept, so that a backend that ended with it is noticed."""
+        """Takes over the backends of a lost keeper, so that a backend that ended with it is noticed."""
         unlinked_since = self.peers.unlinked_since
         orphans = self.instances.orphans([*self.peers.linked, self.me.name])
-        lost = [one for one in orphans if now - unlinked_since.get(one.keeper, now) >= ADOPT_AFTER]
+        lost = [one for one in orphans if now - unlinked_since.get(one.keeper, now) >= ADOPT_AFTER_S]
         mine = [one for one in lost if not one.lost and self.peers.keeper(one.zone) == self.me.name]
         if mine:
             self.instances.adopt(mine, now)
--- a/embersill/edge/node.py
+++ b/embersill/edge/node.py
@@ -187,7 +187,7 @@
             "leaving": lambda peer, told: self.peers.mark_leaving(peer),
             "news": lambda peer, told: self.registry.heard(peer, told, self.now),
             "known": lambda peer, told: self.registry.heard(peer, told, self.now),
-            "out": lambda peer, told: self.loads.told(peer, counts(told["out"])),
+            "out": lambda peer, told: self.loads.record_report(peer, counts(told["out"])),
             "loads": lambda peer, told: self.loads.heard(counts(told["out"])),
             "report": self.reports.gather.heard,
             "reported": self.reports.gather.heard,
--- a/tests/edge/test_loads.py
+++ b/tests/edge/test_loads.py
@@ -50,7 +50,7 @@
             if to not in self.rolls[sender].linked:
                 continue
             if message["kind"] == "out":
-                self.loads[to].told(sender, message["out"])
+                self.loads[to].record_report(sender, message["out"])
             else:
                 self.loads[to].heard(message["out"])
 
