--- a/tests/bed.py
+++ b/tests/bed.py
@@ -1,4 +1,4 @@
-"""One whole gateway in the test's own loop, with scripted peers around it."""
+"""A whole gateway in the test's own event loop, with scripted peers."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     drop: str = "",
     **more: str,
 ) -> bytes:
-    """A client's request; `drop` leaves a header out, and `more` replaces or adds some."""
+    """The bytes of a client's request; `drop` omits a header, `more` replaces or adds headers."""
     get = klass == "lookup"
     headers = {
         "Host": "backend.local",
@@ -70,7 +70,7 @@
 
 
 class Client:
-    """A client's connection, written to by hand."""
+    """A client's connection, over which the test sends raw bytes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -88,31 +88,33 @@
         return await self.answer()
 
     def reset(self) -> None:
-        """Ends the connection so that the gateway sees it broken, not only closed for sending."""
+        """Resets the connection (RST), which the gateway can tell from an orderly close."""
         sock = self.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
     def close(self) -> None:
-        """Ends the connection in order."""
+        """Closes the connection in an orderly way."""
         self.writer.close()
 
     def half_close(self) -> None:
-        """Ends its own direction only."""
+        """Closes the client's sending direction only."""
         self.writer.write_eof()
 
     async def closed(self) -> bool:
-        """Waits for the gateway to close; False if it sends something more first."""
+        """Waits until the gateway closes the connection; False if it sends anything before that."""
         async with asyncio.timeout(SOON):
             return await self.reader.read(1) == b""
 
 
 class Bed:
+    """A gateway with its peers: backends, discovery and the counter."""
+
     def __init__(self, backends: int) -> None:
         self.backends = [BackendPeer() for _ in range(backends)]
         self.discovery, self.counter = DiscoveryPeer(), CounterPeer()
         self.port = 0
-        self.operator = ""  # the address of the door for staff, if there is to be one
+        self.operator = ""  # the address of the operators' server, if there is to be one
         self.program: Program
 
     async def start(self, env: dict[str, Any], sockets: int) -> None:
@@ -153,7 +155,7 @@
 
 
 def roomy_settings(**limits: Any) -> dict[str, Any]:
-    """The settings with a first plan wide enough that its requests go on at once and uncounted."""
+    """The settings with a first plan so large that its requests are sent at once and not counted."""
     env = settings_text(**limits)
     env["packages"][0].update(peak_units=400.0, units_per_s=100.0)
     return env
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Small scripted peers on loopback for the gateway's tests: backends, discovery and the counter."""
+"""Scripted peers on loopback for the gateway's tests: backends, discovery and the counter."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from typing import Any
 
 HOST = "127.0.0.1"
-SOON = 10.0  # seconds after which a test that waits for an event gives up: it passes long before
+SOON = 10.0  # seconds for which tests wait for an event that comes much sooner in a passing run
 Asked = tuple[str, dict[str, str], bytes]  # a request: first line, headers in lower case, body
 Step = Callable[[asyncio.StreamWriter, Asked], Awaitable[None] | None]
 
 
 class Peer:
-    """A listening socket on an ephemeral port; every connection is given to `serve`."""
+    """A server on an ephemeral port that passes each connection to `serve`."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
@@ -50,7 +50,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Asked:
-    """One HTTP message: its first line, headers in lower case, and body."""
+    """Reads an HTTP message: its first line, headers in lower case, and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.rstrip().split("\r\n")
     headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines)}
@@ -67,7 +67,7 @@
 
 
 def serve_after(free: asyncio.Event) -> Step:
-    """Holds the request until the event is set."""
+    """A step that answers the request once the event is set."""
 
     async def step(writer: asyncio.StreamWriter, asked: Asked) -> None:
         await free.wait()
@@ -77,7 +77,7 @@
 
 
 class BackendPeer(Peer):
-    """Answers each request by `script`; with none left it serves the request's id."""
+    """A backend that answers requests by the steps of `script`, and after these with the request's id."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -111,7 +111,7 @@
 
 
 class DiscoveryPeer(Peer):
-    """Gives the whole list, then answers a watch when `change` brings something."""
+    """A discovery service that sends the whole list, and answers a watch once `change` is called."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -120,7 +120,7 @@
         self.changed = asyncio.Condition()
         self.changes: list[dict[str, Any]] = []
         self.asked: list[str] = []
-        self.deaf = 0  # so many further calls are taken and never answered, as by an agent that is down
+        self.deaf = 0  # how many further calls are never answered, as if the agent were down
 
     def entry(self, name: str, address: str, state: str = "SERVING", started: float = 0) -> dict[str, Any]:
         return {
@@ -168,7 +168,7 @@
 
 
 class CounterPeer(Peer):
-    """Adds up names; `hold` keeps the answers back until it is set again, `say` replaces them."""
+    """A counter service; it answers while `free` is set, with the replies in `say` first."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -193,7 +193,7 @@
 
 
 def settings_text(**limits: Any) -> dict[str, Any]:
-    """The settings object of tests/batch.txt, the same as the adapter's tests use."""
+    """The settings object of tests/batch.txt, which the adapter's tests use too."""
     text = (pathlib.Path(__file__).parent / "batch.txt").read_text()
     line = next(x for x in text.splitlines() if x.startswith("up\t"))
     loaded: dict[str, Any] = json.loads(line.split("\t", 2)[2])
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter over real text frames."""
+"""The adapter with the text frames of its protocol."""
 
 from __future__ import annotations
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,4 +1,4 @@
-"""How attempts end, over loopback sockets: what is known not to have run is told from what may have."""
+"""Outcomes of attempts over loopback sockets: those that never ran are told from those that may have run."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Ended:
-    """An attempt's owner, for whom its answer is waited."""
+    """The owner of an attempt, with a future for its answer."""
 
     def __init__(self) -> None:
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
@@ -44,7 +44,7 @@
 
 
 class Sender:
-    """A pool with one backend, and attempts whose ends are waited for."""
+    """A connection pool with one backend, and attempts whose outcomes can be awaited."""
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
@@ -109,7 +109,7 @@
     async def test() -> None:
         async with sending(says(text)) as (sender, peer):
             assert await sender.outcome() is outcome
-            assert await sender.outcome() is Outcome.SERVED  # whatever it was, the next attempt is not hurt
+            assert await sender.outcome() is Outcome.SERVED  # in any case the next attempt is unaffected
             assert len(peer.seen) == 2
 
     run(test)
@@ -153,7 +153,7 @@
 
 
 def test_a_request_that_was_not_written_whole_never_ran() -> None:
-    # the kernel takes a part of a large body; the rest is still here when the connection breaks
+    # the kernel takes part of a large body; the rest is still buffered here when the connection breaks
     async def test() -> None:
         started = asyncio.Event()
 
@@ -189,7 +189,7 @@
 
 @asynccontextmanager
 async def hanging() -> AsyncIterator[tuple[Sender, socket.socket]]:
-    """A backend whose connections do not come up until its full backlog is accepted."""
+    """A backend whose connections are not established before its full backlog is accepted."""
     with socket.socket() as listener, socket.socket() as filler:
         listener.bind((HOST, 0))
         listener.listen(0)
@@ -202,7 +202,7 @@
 
 @pytest.mark.parametrize("way", ["drain", "gone", "end", "time-out"])
 def test_an_attempt_that_waits_for_its_connection_is_not_written_afterwards(way: str) -> None:
-    # a drain's grace and a request's end pass while a dial is under way: the bytes must not follow them
+    # a drain or the request's end comes while the connection is being made: nothing may be written after that
     async def test() -> None:
         async with hanging() as (sender, listener):
             attempt, ended = sender.start(0.05 if way == "time-out" else 20.0)
@@ -249,8 +249,8 @@
 
 
 def test_a_backend_that_was_silent_or_restarted_is_dialled_anew() -> None:
-    # a cut-off machine keeps connections open and silent: what is written to one that is left may have run,
-    # a dial that does not come up can't have
+    # connections to an unreachable machine stay open and silent: what is written to one may have run, while
+    # a connection that is never established proves that the attempt did not run
     async def test() -> None:
         served, silent = says(message(200)), says(b"")
         async with sending(silent, silent, served, served, served) as (sender, peer):
@@ -296,8 +296,8 @@
 @pytest.mark.parametrize("behind", [SECOND, message(200, b"mine", "Billed-Units: 2"), b"\x00noise\r\n\r\n"])
 @pytest.mark.parametrize("together", [True, False])
 def test_what_comes_behind_an_answer_changes_neither_it_nor_the_next(behind: bytes, together: bool) -> None:
-    # a second answer in the same read was added to the first one's body, and took over its status and units;
-    # one that came later could pass for the answer to the next request on that connection
+    # a second answer in the same read was appended to the first one's body and replaced its status and units;
+    # one that came later could be taken for the answer to the next request on that connection
     async def test() -> None:
         async def later(writer: asyncio.StreamWriter, asked: Asked) -> None:
             writer.write(message(200, b"mine", "Billed-Units: 2") + (behind if together else b""))
@@ -312,7 +312,7 @@
             assert (answer.outcome, answer.body, answer.units) == (Outcome.SERVED, b"mine", 2.0)
             await asyncio.sleep(2 * MIN_IDLE_S)
             assert (await sender.start()[1]).body == b"next"
-            assert peer.connections == 2  # what brings more than it was asked for is not used again
+            assert peer.connections == 2  # a connection with surplus bytes is not reused
 
     run(test)
 
@@ -326,7 +326,7 @@
             assert connection.is_quiet()
             sock = next(iter(peer.open)).get_extra_info("socket")
             os.write(sock.fileno(), message(200, b"late"))
-            select.select([connection.descriptor], [], [], SOON)  # it is there, and the loop had no turn yet
+            select.select([connection.descriptor], [], [], SOON)  # it is there, but not read yet
             assert not connection.is_quiet()
 
     run(test)
@@ -348,7 +348,7 @@
             if status == 200:
                 assert answer == Answer(Outcome.SERVED, b"real", 0.0, b"")
             else:
-                assert answer.outcome is Outcome.ERROR  # the rejection was not the real answer's
+                assert answer.outcome is Outcome.ERROR  # the rejection header was not the final answer's
             await asyncio.sleep(2 * MIN_IDLE_S)
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 1
 
@@ -372,9 +372,9 @@
 def test_a_spoilt_answer_ends_the_attempt_long_before_its_time(
     text: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # each of these was waited for until the attempt's time was up, and the request failed with it
+    # each of these held the attempt until its time-out, so that the request failed
     async def test() -> None:
-        if len(text) > 50 or b"\r\n\r\n" in text and b": 10\r" not in text:  # all but those that just stop
+        if len(text) > 50 or b"\r\n\r\n" in text and b": 10\r" not in text:  # not those that just end early
             monkeypatch.setattr(backends, "STALL_TIMEOUT_S", 1000.0)
         async with sending(says(text)) as (sender, peer):
             assert await sender.outcome(1000.0) is Outcome.BROKEN
@@ -384,7 +384,7 @@
 
 
 def test_a_backend_at_a_new_address_is_served_by_no_old_connection() -> None:
-    # an answer that came after the address had changed put its connection back under the same id
+    # an answer that came after a change of address returned its connection to the pool under the same id
     async def test() -> None:
         free = asyncio.Event()
 
@@ -410,7 +410,7 @@
 
 
 def test_kept_connections_that_die_unannounced_are_kept_for_less_long() -> None:
-    # each costs the request that is written to it, which may have run: only a new connection is sure to live
+    # a request written to a dead one is lost, as it may have run; only a new one is certain to be alive
     async def test() -> None:
         now = 0.0
         async with sending(says(message(200)), cuts, keepalive=60.0) as (sender, peer):
@@ -419,11 +419,11 @@
             now = 5.0
             assert await sender.outcome() is Outcome.BROKEN and peer.connections == 1
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 2
-            now = 9.0  # as long as was too long
+            now = 9.0  # the idle time that was too long before
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 3
             now = 11.0
             before = sender.pool.idle_limit
             assert await sender.outcome() is Outcome.SERVED and peer.connections == 3
-            assert before < sender.pool.idle_limit < 30.0  # one that lives tells that longer would do as well
+            assert before < sender.pool.idle_limit < 30.0  # a live one shows that a longer time is safe
 
     run(test)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""The HTTP server side, over loopback sockets: what is taken, what is turned away, and in which order."""
+"""The HTTP server over loopback sockets: which requests are accepted or rejected, and in which order."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def test_connections_on_both_sides_are_used_again() -> None:
-    # the parser forgets whether to keep a connection once its callback is over: asked later, it said no
+    # the parser knows whether to keep a connection only during its callback; later it says no
     async def test(bed: Bed, client: Client) -> None:
         for number in range(5):
             assert (await client.ask(request(number)))[0] == 200
@@ -63,7 +63,7 @@
 
 
 def test_a_long_pipeline_is_answered_whole() -> None:
-    # reading stops while enough requests wait, and has to go on again; the module may refuse some of so many
+    # reading pauses while enough requests wait, and must resume; the gateway may refuse some of so many
     async def test(bed: Bed, client: Client) -> None:
         client.send(b"".join(request(n, "report", body=b"x" * 5000) for n in range(60)))
         for number in range(60):
@@ -146,7 +146,7 @@
         told, _, body = await client.ask(text)
         assert told == status and len(body.splitlines()) <= 1
         assert bed.program.driver.taken == 0 and not bed.seen()
-        assert (await (await bed.client()).ask(request(2)))[0] == 200  # and the process goes on
+        assert (await (await bed.client()).ask(request(2)))[0] == 200  # and the process still serves
 
     with_bed(test)
 
@@ -164,12 +164,12 @@
 ) -> None:
     async def inside() -> None:
         env = roomy_settings()
-        env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no time-out ends it in the test
+        env["services"][0]["aim"] = env["services"][0]["deadline"] = 1e6  # no time-out interferes
         async with running(env=env) as bed:
             client, gone = await bed.client(), asyncio.Event()
             bed.backends[0].script = [lambda writer, asked: gone.set()]
             client.send(request(1, budget=1000.0))
-            await gone.wait()  # the backend has it, and answers nothing
+            await gone.wait()  # the backend has the request, and does not answer
             leave(client)
             await bed.backends[0].until(lambda: bed.backends[0].ended == 1)
             assert bed.program.driver.disconnects.requests == 1
@@ -196,7 +196,7 @@
 
 
 def test_a_client_that_reads_nothing_is_not_read_either() -> None:
-    # its answers would pile up in the gateway's memory
+    # otherwise its answers would fill the gateway's memory
     async def test(bed: Bed, client: Client) -> None:
         large = message(200, b"x" * MOST_BODY)
         bed.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
@@ -236,7 +236,7 @@
 
 
 def test_a_crowd_that_says_nothing_does_not_keep_out_those_who_ask() -> None:
-    # one place in 20 ms was freed, and kept for a second more: hundreds of silent ones held all of them
+    # one connection was freed every 20 ms and kept a second more: hundreds of silent clients held all of them
     async def test(bed: Bed, client: Client) -> None:
         front = bed.program.front
         front.most = 40
@@ -319,7 +319,7 @@
 
 
 def test_errors_on_a_connection_are_spaced_and_then_end_it() -> None:
-    # the same comes again as soon as it is turned away, at full speed: each costs as much as a request
+    # a client that repeats its error at full speed costs as much for each as for a request
     async def test(bed: Bed, client: Client) -> None:
         bad = request(1, Plan="gold")
         assert (await client.ask(bad))[0] == 400
@@ -345,7 +345,7 @@
 
 
 def test_a_stopping_gateway_answers_the_whole_pipeline_before_it_closes() -> None:
-    # the first answer's "Connection: close" cut off the requests behind it, which had been taken
+    # the first answer's "Connection: close" cut off the requests behind it that had been accepted
     async def test(bed: Bed, client: Client) -> None:
         free = asyncio.Event()
         bed.backends[0].script = [serve_after(free)] * 2
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -1,4 +1,4 @@
-"""The counter's connection: order, patience, silence, and what is known of a call that went wrong."""
+"""The counter's connection: order, time-outs, silence, and whether a failed call may have been added."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Told:
-    """What the counter told of its calls, in order, and a clock that the test moves."""
+    """The reported ends of calls, in order, and a clock that the test moves."""
 
     def __init__(self) -> None:
         self.events: asyncio.Queue[Counted] = asyncio.Queue()
@@ -52,7 +52,7 @@
 
 
 def test_a_late_answer_takes_its_place_in_line() -> None:
-    # dropped from the line, its total would be taken for the next call's
+    # if it were dropped, its total would be taken for the next call's
     async def test() -> None:
         async with calling(0.02) as (counter, told, peer):
             peer.free.clear()
@@ -147,7 +147,7 @@
 
 
 def test_a_line_that_stood_idle_is_opened_anew() -> None:
-    # the counter closes idle connections unannounced: a call that crosses this may or may not be added
+    # the counter closes idle connections without notice: a call sent meanwhile may or may not be added
     async def test() -> None:
         async with calling() as (counter, told, peer):
             counter.add("c1.7", 1.0, 4.0)
@@ -193,7 +193,7 @@
     ],
 )
 def test_a_reply_with_no_number_may_have_added_and_ends_its_line(reply: bytes) -> None:
-    # later answers on that line may belong to other calls; nan passed for a total, and then set a level
+    # later answers on that connection may belong to other calls; "nan" was taken for a total and set a level
     async def test() -> None:
         async with calling() as (counter, told, peer):
             peer.say = [reply]
@@ -224,7 +224,7 @@
             assert await told.next() == ("c1.7", Outcome.SERVED, 3.0)
             assert peer.calls == [("c1.7", 3.0)] and other.calls == [("c1.7", 4.0)]
             async with asyncio.timeout(SOON):
-                while counter.leaving or peer.open:  # closed once its last call is answered
+                while counter.leaving or peer.open:  # the old connection closes after its last answer
                     await asyncio.sleep(0.001)
             await other.stop()
 
@@ -232,7 +232,7 @@
 
 
 def test_where_a_counter_answers_twice_no_call_gets_anothers_total_again() -> None:
-    """A surplus answer is noticed; from then on a call waits for the answer of the one ahead of it."""
+    """After a surplus answer each call waits for the answer of the call before it."""
 
     async def test() -> None:
         async with calling() as (counter, told, peer):
@@ -247,7 +247,7 @@
                 counter.add(name, amount, 4.0)
             for name, total in (("c1.8", 3.0), ("c1.9", 6.0), ("c1.10", 9.0)):
                 event = await told.next()
-                # a call whose line broke ahead of it was never written: it is told so, with no total at all
+                # a call whose connection broke before it was written is reported so, without a total
                 assert event in ((name, Outcome.SERVED, total), (name, Outcome.NO_CONNECTION, 0.0))
 
     run(test)
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -1,4 +1,4 @@
-"""The ordinary path's cost in exact counts, and odd traffic that must pass byte for byte as recorded."""
+"""The cost of ordinary requests in exact counts, and odd traffic that must pass byte for byte as recorded."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
     assert large <= 1.05 * small < 60
 
 
-# what odd clients send and odd backends answer
+# unusual requests of clients and answers of backends
 
 PLAIN = (
     b"GET /api?client=00000000000000c1 HTTP/1.1\r\nHost: b\r\nX-Call-Id: %b\r\nX-Call-Class: lookup\r\n"
@@ -98,7 +98,7 @@
 
 
 def requests() -> list[bytes]:
-    """Odd requests, some of them several in one."""
+    """Unusual requests; some entries hold several."""
     plain = [
         PLAIN % (b"a1", more)
         for more in (
@@ -194,7 +194,7 @@
 
 
 def outcome(asked: bytes, answered: bytes, piece: int) -> dict[str, list[str]]:
-    """What goes to backends and what to the client: as text, in order."""
+    """The data sent to backends and to the client: as text, in order."""
     harness = Harness()
     client = ClientConnection(harness.front)
     near = harness.transport("client")
@@ -216,7 +216,7 @@
 
 
 def digest(told: dict[str, list[str]]) -> dict[str, list[str]]:
-    """Long texts by their ends: the file stays readable."""
+    """Shortens long texts to their ends, so that the file stays readable."""
     return {
         kind: [t if len(t) < 400 else f"{t[:200]}…{len(t)}…{hash_of(t)}" for t in texts]
         for kind, texts in told.items()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: watches follow each other, failures are got over, and drains reach the pool and the module."""
+"""Discovery: consecutive watches, recovery from failures, and drains that reach the pool and the gateway."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("way", ["broken", "refused", "rubbish"])
 def test_after_a_failed_watch_the_whole_list_is_asked_for(way: str) -> None:
-    # a watch from the old version would wait for a next change, or be refused again and again
+    # a watch from the old version would wait for the next change, or be refused again and again
     async def test() -> None:
         peer = DiscoveryPeer()
         await peer.start()
@@ -86,7 +86,7 @@
 
 
 def test_a_new_agent_takes_over_with_its_first_whole_list() -> None:
-    # until then what the old one tells still counts: a drain told in between has to be kept
+    # until then the old agent's news still counts: a drain reported meanwhile must be kept
     async def test() -> None:
         old, new = DiscoveryPeer(), DiscoveryPeer()
         await old.start()
@@ -94,7 +94,7 @@
         discovery, told = await follow(old)
         await told.get()
         await old.until_asked(2)
-        async with new.changed:  # holds back the new one's answer
+        async with new.changed:  # delays the new one's answer
             discovery.move(read_address(new.address))
             await old.change(old.entry("a", "127.0.0.1:9", "DRAINING"))
             assert (await told.get()).entries[0].backend.status is Status.DRAINING
@@ -104,7 +104,7 @@
         await new.until_asked(2)
         await old.change(old.entry("c", "127.0.0.1:7"))
         await new.change(new.entry("d", "127.0.0.1:6"))
-        assert (await told.get()).entries[0].backend.address == "d"  # and nothing of the old one's
+        assert (await told.get()).entries[0].backend.address == "d"  # and nothing from the old one
         discovery.stop()
         await old.stop()
         await new.stop()
@@ -122,7 +122,7 @@
         await told.get()
         await old.until_asked(2)
         discovery.move(read_address(never.address))
-        discovery.move(read_address(old.address))  # put back, as after a mistake
+        discovery.move(read_address(old.address))  # moved back, as after a mistake
         await old.change(old.entry("a", "127.0.0.1:9"))
         assert (await told.get()).entries[0].backend.address == "a"
         assert len(discovery.watchers) == 1 and old.connections == 1
@@ -133,7 +133,7 @@
 
 
 def test_an_address_that_goes_to_a_new_id_is_no_longer_the_old_one_s() -> None:
-    # the old id's end may be told later: what is sent to it until then would reach, and push over, the new
+    # the old id's end may be reported later: until then its requests would reach, and overload, the new one
     async def test() -> None:
         async with running() as bed:
             client = await bed.client()
@@ -145,7 +145,7 @@
             assert isinstance(driver.gateway, Gateway)
             assert driver.serving == {"new"} == set(driver.pool.endpoints) == set(driver.gateway.servers)
             assert (await client.ask(request(2)))[0] == 200
-            assert bed.backends[0].connections == 2  # none that was dialled for the old one
+            assert bed.backends[0].connections == 2  # no connection made for the old one
 
     run(test)
 
@@ -179,7 +179,7 @@
             draining, other = bed.backends
             asked = len(bed.discovery.asked)
             await bed.discovery.change(bed.discovery.entry("b0", draining.address, "DRAINING"))
-            await bed.discovery.until_asked(asked + 1)  # the next watch: the change was taken in
+            await bed.discovery.until_asked(asked + 1)  # the next watch: the change has been applied
             seen = len(draining.seen)
             for number in range(8, 20):
                 assert (await client.ask(request(number)))[0] == 200
@@ -189,7 +189,7 @@
 
 
 def test_a_service_that_turns_calls_away_is_asked_on_from_the_list_that_is_known() -> None:
-    # asking for all of it again would cost it more each time, when it has too much to do already
+    # fetching the whole list again would cost an overloaded service more each time
     async def test() -> None:
         peer = DiscoveryPeer()
         await peer.start()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver: one final answer a request, the module's decisions carried out, and the guard behind them."""
+"""The driver: one final answer for each request, the gateway's decisions performed, and the fallback."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def scripted(bed: Bed, step: Step) -> None:
-    """The first attempt meets `step`, whichever backend the module draws for it."""
+    """Makes the first attempt meet `step`, whichever backend the gateway chooses for it."""
     done: list[bool] = []
 
     def once(writer: asyncio.StreamWriter, asked: Asked) -> None:
@@ -129,7 +129,7 @@
             client = await bed.client()
             monkeypatch.setattr(Gateway, "handle", handle)
             assert (await client.ask(request(1)))[0] == 502
-            assert (await client.ask(request(2)))[0] == 502  # the next answer is its own, not a leftover
+            assert (await client.ask(request(2)))[0] == 502  # the next answer belongs to the next request
             assert not bed.seen()
 
     run(test)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow gateways: laws that are known are found again, and the page's table is the kept run's."""
+"""Hollow gateways: known laws are found by the fit, and the page's tables show the kept runs."""
 
 from __future__ import annotations
 
--- a/tests/test_linked.py
+++ b/tests/test_linked.py
@@ -1,4 +1,4 @@
-"""Hollow gateways over sockets: all link, hear of changes, and link again; the page has the kept run."""
+"""Hollow gateways over sockets: all connect, get changes, and reconnect; the page shows the kept run."""
 
 from __future__ import annotations
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program itself: its configuration, its stop on SIGTERM, and its life with few descriptors."""
+"""The program as a process: its configuration, its stop on SIGTERM, and serving with few descriptors."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.peers import HOST, SOON, CounterPeer, DiscoveryPeer, serve_after
 
 ROOT = pathlib.Path(__file__).parent.parent
-# the deploy file's command where .ci/run names it, so that what is deployed is what is tested
+# the command of the deploy file, if .ci/run sets it, so that the deployed program is tested
 RUN = os.environ.get("EMBERSILL_RUN") or f"exec {shlex.quote(sys.executable)} -m embersill"
 
 
@@ -86,7 +86,7 @@
 async def process(
     tmp_path: pathlib.Path, descriptors: int = 0, pinned: bool = False
 ) -> AsyncIterator[tuple[Bed, Any]]:
-    """The program as a process of its own, with the peers in this one."""
+    """Runs the program as a separate process, with the peers in this one."""
     bed = Bed(1)
     for peer in (*bed.backends, bed.discovery, bed.counter):
         await peer.start()
@@ -145,11 +145,11 @@
             await bed.backends[0].until(lambda: len(bed.backends[0].seen) == 1)
             child.send_signal(signal.SIGTERM)
             status = 200
-            while status == 200:  # until the signal has come through
+            while status == 200:  # until the signal has taken effect
                 new = await bed.client()
                 status, headers, _ = await new.ask(READY)
             assert status == 503 and headers["connection"] == "close"
-            new = await bed.client()  # still taken in, and a kept connection is still good
+            new = await bed.client()  # still accepted; a kept connection works too
             status, headers, _ = await new.ask(request(2))
             assert status == 200 and headers["connection"] == "close" and await new.closed()
             assert (await kept.ask(request(3)))[0] == 200 and await kept.closed()
@@ -163,7 +163,7 @@
 
 
 def test_more_clients_than_descriptors_are_all_answered(tmp_path: pathlib.Path) -> None:
-    # the loop's own server closes a connection that it has no descriptor for, with the request on it
+    # the event loop's server closes a connection for which it has no descriptor, and loses its request
     async def test() -> None:
         async with process(tmp_path, descriptors=40) as (bed, child):
             clients = [await bed.client() for _ in range(60)]
@@ -186,7 +186,7 @@
 def test_sighup_moves_discovery_and_counter_to_where_the_file_says_now(
     tmp_path: pathlib.Path, pinned: bool
 ) -> None:
-    # without a handler the signal ends the process, with all that it has taken
+    # without a handler the signal ends the process, and with it all requests in progress
     async def test() -> None:
         async with process(tmp_path, pinned=pinned) as (bed, child):
             path = tmp_path / "config.json"
@@ -203,12 +203,12 @@
             discovery.entries = bed.discovery.entries
             path.write_text(json.dumps({**text, "discovery": discovery.address, "counter": counter.address}))
             child.send_signal(signal.SIGHUP)
-            await discovery.until_asked(2)  # its whole list was taken in
+            await discovery.until_asked(2)  # its whole list has been applied
             number = 1
             async with asyncio.timeout(SOON):
                 while not counter.calls:
                     number += 1
-                    await client.ask(request(number, plan="pro", units="8"))  # near its quota: worth counting
+                    await client.ask(request(number, plan="pro", units="8"))  # near its quota: counted
             assert child.returncode is None
             child.terminate()
             async with asyncio.timeout(SOON):
