--- a/embersill/admission.py
+++ b/embersill/admission.py
@@ -122,7 +122,7 @@
         most = math.inf if self.totals.repays else most
         width = max(1, width or self.turn.settings.gateways)
         throttle = Throttle(customer, plan, width, self.turn.now, self.born, most, first)
-        throttle.level *= self.turn.settings.banks_from
+        throttle.level *= self.turn.settings.initial_fill
         if self.processes > 1:
             throttle.set_ceiling(1.0 / width / self.processes, self.turn.now)
         self.throttles[customer] = throttle
--- a/embersill/edge/configuration/routes.py
+++ b/embersill/edge/configuration/routes.py
@@ -157,7 +157,7 @@
         retry_store=slack * SLACK_PART * budget / gateways,
         retry_share=ratio * RATIO_PART * budget,
         counts_all=True,
-        banks_from=1.0 if fresh else 0.0,
+        initial_fill=1.0 if fresh else 0.0,
     )
 
 
--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -141,7 +141,7 @@
     retry_store: float = -1.0  # most retries saved up for each service; negative: the default
     retry_share: float = 0.15  # retries earned by each first attempt: bounds the load they add
     counts_all: bool = False  # report every customer's demand, however far from its quota
-    banks_from: float = 1.0  # part of its burst that a new throttle starts with
+    initial_fill: float = 1.0  # part of its burst that a new throttle starts with
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -351,8 +351,8 @@
             "no-fresh-burst",
             "embersill.edge.configuration.routes",
             "a restarted gateway's banks begin full",
-            "banks_from=1.0 if fresh else 0.0",
-            "banks_from=1.0",
+            "initial_fill=1.0 if fresh else 0.0",
+            "initial_fill=1.0",
         ),
     ),
     (
