--- a/embersill/edge/configuration/routes.py
+++ b/embersill/edge/configuration/routes.py
@@ -154,7 +154,7 @@
         most_units=0.0,
         settles=False,
         late_at=LATE_AT,
-        retry_store=slack * SLACK_PART * budget / gateways,
+        max_saved_retries=slack * SLACK_PART * budget / gateways,
         retry_share=ratio * RATIO_PART * budget,
         counts_all=True,
         initial_fill=1.0 if fresh else 0.0,
--- a/embersill/edge/dataplane/backend_choice.py
+++ b/embersill/edge/dataplane/backend_choice.py
@@ -91,7 +91,7 @@
     def apply_settings(self) -> None:
         """Applies changed settings; a smaller retry budget takes effect at once."""
         if self.budgeted:
-            self.most_credit = self.turn.settings.retry_store
+            self.most_credit = self.turn.settings.max_saved_retries
             self.retry_credit = min(self.retry_credit, self.most_credit)
 
 
--- a/embersill/fleet.py
+++ b/embersill/fleet.py
@@ -54,8 +54,8 @@
         self.kinds: dict[str, float] = {}  # answer time of a kind of machine relative to the fleet's
         self.usual: dict[tuple[str, float], float] = {}
         # the retry budget: shared by all gateways or this gateway's own; how many may be saved up
-        self.budgeted = turn.settings.retry_store >= 0
-        self.most_credit = turn.settings.retry_store if self.budgeted else RETRY_BURST
+        self.budgeted = turn.settings.max_saved_retries >= 0
+        self.most_credit = turn.settings.max_saved_retries if self.budgeted else RETRY_BURST
         self.retry_credit = self.most_credit * turn.settings.initial_fill
         # each gateway finds failures by itself, and again after they decay: the cost adds up over all
         self.half_life = HALF_LIFE_S * min(max(turn.settings.gateways / FEW_GATEWAYS, 1.0), MAX_LIFE_FACTOR)
