--- a/embersill/edge/__main__.py
+++ b/embersill/edge/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the whole gateway: `python -m embersill.edge`."""
+"""The command line of the gateway and its tools: `python -m embersill.edge`."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 import uvloop
 
-from embersill.edge.logs import begin_logs
-from embersill.edge.program import System, prepared
+from embersill.edge.logs import start_logging
+from embersill.edge.program import GatewayProcess, prepare
 from embersill.roles import run_until_signal
 
 
 async def run(environment: dict[str, str]) -> int:
-    """Serves until the process is told to stop; its exit status."""
-    ready = prepared(environment)
-    if ready.is_error():
-        logging.getLogger("embersill.edge").error("can't start: %s", ready.error)
+    """Runs a gateway until the process is signalled to stop; returns the exit status."""
+    prepared = prepare(environment)
+    if prepared.is_error():
+        logging.getLogger("embersill.edge").error("can't start: %s", prepared.error)
         return 2
     try:
-        await run_until_signal(System(*ready.ok))
+        await run_until_signal(GatewayProcess(*prepared.ok))
     except OSError as error:
         logging.getLogger("embersill.edge").error("can't run: %s", error)
         return 2
@@ -28,17 +28,17 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """The command line: without a command this is a gateway. Returns the exit status."""
-    told = sys.argv[1:] if arguments is None else arguments
+    """Runs a command, or a gateway if none is given; returns the exit status."""
+    given = sys.argv[1:] if arguments is None else arguments
     level = "info"
-    if told:
-        from embersill.edge.command import carry_out, parser  # a gateway's own start does without
+    if given:
+        from embersill.edge.command import run_command, parser  # not needed to start a gateway
 
-        chosen = parser().parse_args(told)
+        chosen = parser().parse_args(given)
         if chosen.command not in (None, "gateway"):
-            return carry_out(chosen)
+            return run_command(chosen)
         level = chosen.log
-    begin_logs(level)
+    start_logging(level)
     return uvloop.run(run(dict(os.environ)))
 
 
--- a/embersill/edge/command.py
+++ b/embersill/edge/command.py
@@ -21,7 +21,7 @@
 from embersill.edge.configuration.check import checked
 from embersill.edge.configuration.document import read_document, write_version
 from embersill.edge.discovery.instances import Instance
-from embersill.edge.local import read_local, VARIABLE
+from embersill.edge.local import read_local, CONFIG_VARIABLE
 from embersill.edge.configuration.policy import AS_BUILT, differences, read_policy
 from embersill.edge.configuration.rollouts import MOST_SHARE
 from embersill.edge.configuration.stages import Site, steps_of
@@ -43,7 +43,7 @@
 
 def check_settings(chosen: argparse.Namespace) -> Found:
     """The settings file of a process, as its start would read it."""
-    return read_local({VARIABLE: chosen.subject}).map(
+    return read_local({CONFIG_VARIABLE: chosen.subject}).map(
         lambda local: {
             "node_name": local["node_name"],
             "zone": local["zone"],
@@ -240,7 +240,9 @@
     levels = ("debug", "info", "warning")
     made.add_argument("--log", choices=levels, default="info", help="the least level that is written")
     commands = made.add_subparsers(dest="command", metavar="COMMAND")
-    commands.add_parser("gateway", help=f"serve, by the settings file that {VARIABLE} names (the default)")
+    commands.add_parser(
+        "gateway", help=f"serve, by the settings file that {CONFIG_VARIABLE} names (the default)"
+    )
     check = commands.add_parser("check", help="read a file as a gateway would").add_subparsers(
         dest="what", required=True
     )
@@ -292,7 +294,7 @@
     return made
 
 
-def carry_out(chosen: argparse.Namespace) -> int:
+def run_command(chosen: argparse.Namespace) -> int:
     """Does what was chosen and prints what it found; the exit status."""
     found: Found = chosen.does(chosen)
     if found.is_error():
--- a/embersill/edge/dataplane/handlers.py
+++ b/embersill/edge/dataplane/handlers.py
@@ -83,7 +83,7 @@
         # True while the event loop lags: a client may have disconnected since it sent its request
         self.is_behind: Callable[[], bool] = lambda: False
         # calls a function once the sockets have been polled again, so that a client's disconnect is known
-        self.after_next_look: Callable[[Callable[[], None]], None] = lambda call: call()
+        self.after_next_poll: Callable[[Callable[[], None]], None] = lambda call: call()
         self.longest_budget: dict[str, float] = {}  # seconds by route
 
     def looks_like_retry(self, way: Way, left: float) -> bool:
@@ -100,7 +100,7 @@
             connection.target, connection.headers, connection.body, connection.body_size, connection.received
         )
         if self.table is not None:
-            return self.after_next_look(lambda: self.place_after_look(arrived, exchange, method))
+            return self.after_next_poll(lambda: self.place_after_poll(arrived, exchange, method))
         # the gateway has just started: a client that retries only once would be lost by a 503
         if len(self.early) >= MAX_EARLY:
             raise BadRequest(503, "no configuration yet", RETRY_SOON)
@@ -110,7 +110,7 @@
         self.early.append(EarlyRequest(arrived, exchange, method, until))
         return None
 
-    def place_after_look(self, arrived: ReceivedRequest, exchange: Exchange, method: bytes) -> None:
+    def place_after_poll(self, arrived: ReceivedRequest, exchange: Exchange, method: bytes) -> None:
         """Places a request that was read while the event loop lagged, unless its client has left by now."""
         if exchange.connection.left or self.table is None:
             return
--- a/embersill/edge/listening.py
+++ b/embersill/edge/listening.py
@@ -1,4 +1,4 @@
-"""Listening at an address that another process may still hold for a moment."""
+"""Listening at an address that another process may still hold for a short time."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 import errno
 from collections.abc import Awaitable, Callable
 
-PAUSE = 0.05  # seconds between tries
+RETRY_INTERVAL_S = 0.05
 
 
-async def when_free(listen: Callable[[], Awaitable[None] | None], within: float) -> None:
-    """Listens, and tries again for so many seconds while the address is in use.
+async def listen_when_free(listen: Callable[[], Awaitable[None] | None], within: float) -> None:
+    """Calls `listen`, and retries for `within` seconds while the address is in use.
 
-    OSError if it is in use after that, or can't be listened at for another reason.
+    Raises OSError if it is still in use then, or if listening fails for another reason.
     """
     loop = asyncio.get_running_loop()
     end = loop.time() + within
@@ -25,4 +25,4 @@
         except OSError as error:
             if error.errno != errno.EADDRINUSE or loop.time() >= end:
                 raise
-        await asyncio.sleep(PAUSE)
+        await asyncio.sleep(RETRY_INTERVAL_S)
--- a/embersill/edge/local.py
+++ b/embersill/edge/local.py
@@ -1,4 +1,4 @@
-"""What the platform tells a process in its settings file: read, checked, and turned into what parts need."""
+"""The settings file that the platform gives to a gateway process: reading and validation."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from embersill.edge.configuration.check import checked
 from embersill.net.discovery import read_address
 
-VARIABLE = "EMBERSILL_CONFIG"
+CONFIG_VARIABLE = "EMBERSILL_CONFIG"
 
 
 class Listen(TypedDict):
-    """Addresses to listen at, as host:port."""
+    """Listen addresses, as host:port."""
 
     front_http: NotRequired[str]
     readiness: NotRequired[str]
@@ -24,7 +24,7 @@
 
 
 class Limits(TypedDict):
-    """What the machine gives this process."""
+    """The resource limits of this process."""
 
     memory_mb: float
     file_descriptors: float
@@ -33,7 +33,7 @@
 
 
 class Tolerance(TypedDict):
-    """What may be lost at once."""
+    """The simultaneous failures that the system has to tolerate."""
 
     machine_failures: int
     zones: NotRequired[int]
@@ -41,7 +41,7 @@
 
 
 class Local(TypedDict):
-    """The settings file. Fields that are not named here are ignored."""
+    """The settings file. Unknown fields are ignored."""
 
     node_name: str
     ip_address: str
@@ -60,19 +60,19 @@
 
 
 def read_local(environment: Mapping[str, str]) -> Result[Local, str]:
-    """The settings that the environment names, or one line that says what is wrong with them."""
-    path = environment.get(VARIABLE, "")
+    """The settings from the file that the environment names, or a one-line error."""
+    path = environment.get(CONFIG_VARIABLE, "")
     if not path:
-        return Error(f"{VARIABLE} names no settings file")
+        return Error(f"{CONFIG_VARIABLE} names no settings file")
     try:
         loaded = json.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
         return Error(f"{path}: {error}")
-    return checked(loaded, Local, "settings").bind(sound)
+    return checked(loaded, Local, "settings").bind(validated)
 
 
-def sound(local: Local) -> Result[Local, str]:
-    """What no type can say: ports in order, addresses that are some."""
+def validated(local: Local) -> Result[Local, str]:
+    """Checks what the types do not: the port range and the addresses."""
     ports = local["internal_port_range"]
     if len(ports) != 2 or not 0 < ports[0] <= ports[1] < 65536:
         return Error("settings.internal_port_range: not a first and a last port")
@@ -85,6 +85,6 @@
 
 
 def bound(local: Local, name: str, default: float) -> float:
-    """One of the deployment's bounds."""
+    """One of the deployment's numeric bounds; the default if it is missing or not a number."""
     value = local["bounds"].get(name, default)
     return float(value) if isinstance(value, int | float) else default
--- a/embersill/edge/logs.py
+++ b/embersill/edge/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event, by eliot, which the standard logging is led into."""
+"""Logging: one line of key=value pairs per event, by eliot, to which standard logging is redirected."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 import eliot
 
-HIDDEN = frozenset(("task_uuid", "task_level", "timestamp", "message_type"))
+OMITTED_FIELDS = frozenset(("task_uuid", "task_level", "timestamp", "message_type"))
 
 
 def line(message: dict[str, Any]) -> str:
-    """An event as one line; whatever has a space in it stands in quotes."""
+    """An event as one line; empty values and values with a space are quoted."""
     words = [f"event={message.get('message_type', '')}"]
     for name, value in message.items():
-        if name not in HIDDEN:
+        if name not in OMITTED_FIELDS:
             text = str(value).replace("\n", "\\n")
             words.append(f'{name}="{text}"' if " " in text or not text else f"{name}={text}")
     return " ".join(words)
@@ -27,10 +27,10 @@
 
 
 class Handler(logging.Handler):
-    """Leads what modules log into eliot: `name=value` words become fields."""
+    """Passes log records to eliot; `name=value` words of the message become fields."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes what a module has logged."""
+        """Passes one record on; the first three other words of its message name the event."""
         fields: dict[str, Any] = {}
         words = []
         for word in record.getMessage().split(" "):
@@ -53,8 +53,8 @@
         return logging.Formatter().formatException(record.exc_info) if record.exc_info else ""
 
 
-def begin_logs(level: str) -> None:
-    """From now on events go to standard error."""
+def start_logging(level: str) -> None:
+    """Sends events to standard error from now on, at this level and above."""
     eliot.add_destinations(write)
     root = logging.getLogger("embersill")
     root.setLevel(level.upper())
--- a/embersill/edge/program.py
+++ b/embersill/edge/program.py
@@ -1,4 +1,4 @@
-"""The parts of one gateway of the system, put together, from start to stop."""
+"""One gateway process: connects its parts, and runs them from start to stop."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from embersill.edge.dataplane.in_flight import InFlight
 from embersill.edge.discovery.instances import GONE, Instance
 from embersill.edge.peers.links import Links
-from embersill.edge.listening import when_free
+from embersill.edge.listening import listen_when_free
 from embersill.edge.local import Local, bound, read_local
 from embersill.edge.consensus.membership import Requirements
 from embersill.edge.node import Node
@@ -41,27 +41,27 @@
 from embersill.net.discovery import Entry, Listing, read_address
 from embersill.net.driver import Driver
 
-TICK = 0.02  # seconds between looks at what is due
-DIAL_WITHIN = 0.6  # seconds for a connection to a backend: under load an opening packet may wait
-KEPT = 8.0  # seconds that one may be unused before its backends have said how long they keep it
-FILES = 200  # descriptors that the machine keeps for files
-OWN = 120  # descriptors for links, listeners and calls of control
-CLIENTS_PART = 0.5  # of the rest
-ROOM = 32 << 20  # bytes for long bodies under way
-CONTROL_MOST = 200  # connections that call control
-CONTROL_ROOM = 16 << 20
-STOP_AT_LATEST = 0.7  # seconds before the platform's own end
-SEEN_LEAVING = 2.3  # seconds after SIGTERM in which clients may still be sent here
-LISTEN_WITHIN = 5.0  # seconds for an address that the process before this one still holds
-SHORT = 0.05
-BEHIND_BY = 0.1  # seconds that a tick comes late, from which clients may have left before they are read
-BEHIND_FOR = 0.5  # seconds after such a tick in which that is looked for
+TICK_S = 0.02  # interval of periodic work
+DIAL_TIMEOUT_S = 0.6  # to connect to a backend: under load a SYN packet may wait
+DEFAULT_IDLE_S = 8.0  # how long an idle connection is used until its backend states its keep-alive time
+FILE_DESCRIPTORS = 200  # reserved for files
+INTERNAL_DESCRIPTORS = 120  # reserved for links, listeners and control calls
+CLIENT_DESCRIPTOR_SHARE = 0.5  # of the remaining descriptors
+CLIENT_BODY_BYTES = 32 << 20  # buffered for long bodies in transit
+MAX_CONTROL_CONNECTIONS = 200
+CONTROL_BODY_BYTES = 16 << 20
+STOP_MARGIN_S = 0.7  # how long before the end of the platform's grace period the process stops
+DRAIN_NOTICE_S = 2.3  # how long after SIGTERM the load balancer may still send clients here
+LISTEN_TIMEOUT_S = 5.0  # to wait for an address that the previous process still holds
+SHORT_PAUSE_S = 0.05
+LAG_THRESHOLD_S = 0.1  # delay of a tick from which clients may have left before their requests are read
+LAG_RECOVERY_S = 0.5  # how long after such a tick requests are checked for that
 
 log = logging.getLogger("embersill.edge")
 
 
-class System:
-    """One gateway: `Node` decides on the system, `Gateway` on requests; here they meet sockets and disk."""
+class GatewayProcess:
+    """One gateway: connects `Node` (the system) and `EdgeGateway` (the requests) to sockets and disk."""
 
     def __init__(self, local: Local, store: Store | None, stored: Stored) -> None:
         self.local, self.store = local, store
@@ -73,7 +73,8 @@
         now = self.clock()
         control = local["listen_addresses"].get("control_plane", f"{local['ip_address']}:0")
         seeds = [read_address(text)[0] for text in local["seed_nodes"]]
-        # where no machine has a disk those that count keep the state in memory, and learn it anew
+        # without a data directory a core member keeps the state in memory, and fetches it again after a
+        # restart
         core = local["counts_toward_quorum"] and (store is not None or not local.get("data_directory"))
         hello = Hello(
             name,
@@ -86,50 +87,52 @@
         )
         self.node = Node(hello, seeds, stored, self.chance, now, local.get("heartbeat_interval_s", 1.0))
         self.node.founding.requirements = requirements_of(local)
-        self.node.demand.on_holding = self.holding
+        self.node.demand.on_holding = self.slices_in_use
         self.node.on_view = log.info
-        self.node.on_table, self.node.on_instances = self.table_came, self.instances_came
-        self.node.on_policy = self.policy_came
+        self.node.on_table, self.node.on_instances = self.configuration_changed, self.instances_changed
+        self.node.on_policy = self.policy_changed
         self.count = 1
-        descriptors = int(local["limits"]["file_descriptors"]) - FILES - OWN
-        clients = max(int(descriptors * CLIENTS_PART), 16)
+        descriptors = int(local["limits"]["file_descriptors"]) - FILE_DESCRIPTORS - INTERNAL_DESCRIPTORS
+        clients = max(int(descriptors * CLIENT_DESCRIPTOR_SHARE), 16)
         dialect = EdgeDialect(self.misdirected)
-        self.pool = Pool(self.clock, DIAL_WITHIN, KEPT, max(descriptors - clients, 16), dialect)
+        self.pool = Pool(self.clock, DIAL_TIMEOUT_S, DEFAULT_IDLE_S, max(descriptors - clients, 16), dialect)
         self.pool.enable_streaming()
         self.gateway = EdgeGateway(self.settings(), seed, now)
         self.node.roller.counts = self.gateway.seen
         self.driver = Driver(self.gateway, self.clock, self.pool)
         self.driver.busy_status = 503
         self.in_flight = InFlight(self.node, self.driver.post, self.loop.call_later)
-        self.in_flight.on_flush = self.carry_out
+        self.in_flight.on_flush = self.flush_effects
         self.gateway.attempts.on_in_flight_change = self.in_flight.changed
         self.quota_client = QuotaClient(self.node, self.clock, self.driver.post, self.loop.call_later)
-        self.quota_client.on_flush = self.carry_out
+        self.quota_client.on_flush = self.flush_effects
         self.driver.counter, self.driver.reserve = self.quota_client, self.quota_client.borrow
         sums = self.node.demand.sums
         sums.overshoot, sums.slack = bound(local, "quota_overshoot", 0.0), bound(local, "quota_slack", 0.0)
         self.handler = ClientHandler(lambda: self.driver, self.chance)
-        self.handler.is_behind, self.handler.after_next_look = self.is_behind, self.after_next_look
+        self.handler.is_behind, self.handler.after_next_poll = self.is_behind, self.after_next_poll
         self.handler.on_stopped = self.node.reports.figures.count_rejected
-        self.front = self.door(clients, self.handler, ROOM)
+        self.front = self.listener(clients, self.handler, CLIENT_BODY_BYTES)
         self.metrics = Metrics(self.driver, self.gateway, self.front)
-        self.ready = self.door(32, ReadinessHandler(self.is_ready, self.metrics), 0)
-        self.control = self.door(CONTROL_MOST, ControlHandler(self.control_called), CONTROL_ROOM)
+        self.ready = self.listener(32, ReadinessHandler(self.is_ready, self.metrics), 0)
+        self.control = self.listener(
+            MAX_CONTROL_CONNECTIONS, ControlHandler(self.handle_control_call), CONTROL_BODY_BYTES
+        )
         port = local["internal_port_range"][0]
         self.links = Links(self.node, self.clock, local["ip_address"], port, self.node.peers.targets)
-        self.links.flush = self.carry_out
+        self.links.flush = self.flush_effects
         self.ticker: asyncio.TimerHandle | None = None
         self.tick_due, self.behind_until = now, 0.0
         self.stopping = False
 
-    def door(self, most: int, desk: Any, room: int) -> Front:
-        """A listener with bounds on its connections and on bytes under way."""
+    def listener(self, most: int, desk: Any, room: int) -> Front:
+        """A listener with limits on its connections and on buffered bytes."""
         front = Front(self.driver, self.settings(), self.clock, most, self.is_ready, desk)
         front.room_in_all = front.room = room
         return front
 
     def settings(self) -> Settings:
-        """The settings of the decisions, by the configuration, the policy and the number of gateways."""
+        """The settings for `EdgeGateway`, from the configuration, the policy and the number of gateways."""
         return settings_for(
             self.node.table,
             zone=self.local["zone"],
@@ -142,11 +145,11 @@
         )
 
     def is_ready(self) -> bool:
-        """True if new clients may be sent here."""
+        """True if the load balancer may send new clients here."""
         return not self.stopping and self.node.table is not None and bool(self.driver.serving)
 
-    def holding(self) -> dict[str, float]:
-        """Slices that were told and still decide, by tenant."""
+    def slices_in_use(self) -> dict[str, float]:
+        """The assigned slices that are still in use, by tenant."""
         now = self.clock()
         return {
             name: throttle.rate
@@ -154,10 +157,10 @@
             if throttle.read_until > now
         }
 
-    # what the node tells
+    # callbacks of the node
 
-    def table_came(self, table: Table) -> None:
-        """Another configuration is in force."""
+    def configuration_changed(self, table: Table) -> None:
+        """Applies a configuration."""
         limits = table.document.get("limits", {})
         self.front.read_within = max(limits.get("header_timeout_s", 3.0), 1.0)
         self.front.idle_limit = limits.get("idle_timeout_s", 15.0) + 0.5
@@ -166,14 +169,14 @@
         self.handler.apply_table(table)
         log.info("configuration version=%d routes=%d", table.version, len(table.document["routes"]))
 
-    def policy_came(self, policy: Policy, label: str) -> None:
-        """Another policy is in force."""
+    def policy_changed(self, policy: Policy, label: str) -> None:
+        """Applies a policy; `label`: the rollout stage that requests are counted under, if any."""
         self.gateway.follow(policy, label)
         self.driver.post(Configured(self.settings()))
         log.info("policy name=%s stretch=%s", policy["name"].replace(" ", "_"), label or "none")
 
-    def instances_came(self, news: list[Instance]) -> None:
-        """Backends have changed."""
+    def instances_changed(self, news: list[Instance]) -> None:
+        """Applies changed backends."""
         now = self.clock()
         entries = []
         for one in news:
@@ -189,24 +192,24 @@
         self.driver.list_told(Listing(ListKind.CHANGES, 0, tuple(entries)))
 
     def known_start(self, name: str) -> float | None:
-        """When a backend that is known has started; None for another."""
+        """When a backend started, if that is known."""
         server = self.gateway.servers.get(name)
         return server.backend.started if server is not None else None
 
     def misdirected(self, backend: str) -> None:
-        """Another backend is at that address: this one is gone, whatever was told."""
+        """Marks a backend as lost because another one answers at its address."""
         registry = self.node.registry
         one = registry.instances.known.get(backend)
         if one is not None and one.open:
             registry.tell(registry.instances.merge([msgspec.structs.replace(one, lost=True)], self.clock()))
 
-    def control_called(self, what: str, body: Any, answered: Any) -> None:
-        """A call of a backend or an operator."""
+    def handle_control_call(self, what: str, body: Any, answered: Any) -> None:
+        """Handles a control call of a backend or an operator."""
         self.node.call(what, body, answered, self.clock())
-        self.carry_out()
+        self.flush_effects()
 
-    def carry_out(self) -> None:
-        """Sends the node's mail and asks for its saves, until there is nothing more."""
+    def flush_effects(self) -> None:
+        """Sends the node's messages and starts its saves, until there are none left."""
         effects = self.node.effects
         while effects.mail or effects.saves:
             mail, saves = effects.take()
@@ -218,13 +221,13 @@
                     save.then(True)
 
     def saved(self, save: Save, good: bool) -> None:
-        """A save has ended."""
+        """Completes a save."""
         save.then(good)
-        self.carry_out()
+        self.flush_effects()
 
     def tick(self) -> None:
-        """What is due by now; called every `TICK` seconds."""
-        self.ticker = self.loop.call_later(TICK, self.tick)
+        """Does the periodic work; called every `TICK_S` seconds."""
+        self.ticker = self.loop.call_later(TICK_S, self.tick)
         self.note_delay(self.clock())
         try:
             self.node.tick(self.clock())
@@ -234,36 +237,36 @@
             if self.node.peers.count != self.count:
                 self.count = self.node.peers.count
                 self.driver.post(Configured(self.settings()))
-            self.carry_out()
+            self.flush_effects()
         except Exception:
             log.exception("a tick went wrong")
 
     def note_delay(self, now: float) -> None:
-        """Notes by how much a tick came late: by so much all else that has come is read late."""
+        """Notes the delay of a tick: whatever else has arrived is read equally late."""
         late = now - self.tick_due
-        self.tick_due = now + TICK
+        self.tick_due = now + TICK_S
         self.metrics.note_timer_delay(late)
-        if late > BEHIND_BY:
-            self.behind_until = now + BEHIND_FOR
+        if late > LAG_THRESHOLD_S:
+            self.behind_until = now + LAG_RECOVERY_S
 
     def is_behind(self) -> bool:
-        """True while requests are read some time after they came."""
+        """True while the event loop lags, so that requests are read some time after they arrived."""
         return self.clock() < self.behind_until
 
-    def after_next_look(self, call: Callable[[], None]) -> None:
-        """Calls something after the loop has looked at its sockets once more.
+    def after_next_poll(self, call: Callable[[], None]) -> None:
+        """Calls a function after the event loop has polled its sockets once more.
 
-        What is called soon may run before that look; what it calls soon in its turn runs after it.
+        A `call_soon` callback may run before that poll; a callback that it schedules runs after it.
         """
         self.loop.call_soon(self.loop.call_soon, call)
 
-    # from start to stop
+    # lifecycle
 
     async def start(self) -> None:
-        """Listens, links, and begins to serve."""
+        """Starts listening, links to peers, and begins to serve."""
         if self.store is not None:
             self.store.start(self.saved)
-        await when_free(self.links.start, LISTEN_WITHIN)
+        await listen_when_free(self.links.start, LISTEN_TIMEOUT_S)
         listen = self.local["listen_addresses"]
         for front, text in (
             (self.front, listen.get("front_http")),
@@ -271,13 +274,13 @@
             (self.control, listen.get("control_plane")),
         ):
             if text:
-                await when_free(partial(front.listen, read_address(text)), LISTEN_WITHIN)
+                await listen_when_free(partial(front.listen, read_address(text)), LISTEN_TIMEOUT_S)
         self.node.begin()
         self.tick()
         log.info("started node=%s zone=%s core=%s", self.node.me.name, self.local["zone"], self.node.me.core)
 
     def reload(self) -> None:
-        """Reads the settings file again: its seeds hold from now on."""
+        """Reads the settings file again and applies its seeds."""
         read = read_local(dict(os.environ))
         if read.is_error():
             return log.warning("settings stay as they were: %s", read.error)
@@ -288,23 +291,23 @@
         return log.info("settings read again")
 
     async def stop(self) -> None:
-        """Answers all that was taken and all that still comes, then ends."""
+        """Drains the gateway: answers accepted requests and those that still arrive, then stops."""
         self.stopping = True
-        end = self.clock() + bound(self.local, "grace_period_s", 6.0) - STOP_AT_LATEST
+        end = self.clock() + bound(self.local, "grace_period_s", 6.0) - STOP_MARGIN_S
         self.front.stopping = True
         self.node.leave()
-        self.carry_out()
-        await asyncio.sleep(min(SEEN_LEAVING, max(end - self.clock() - 1.0, 0.0)))
+        self.flush_effects()
+        await asyncio.sleep(min(DRAIN_NOTICE_S, max(end - self.clock() - 1.0, 0.0)))
         self.front.stop_listening()
-        await asyncio.sleep(3 * SHORT)
+        await asyncio.sleep(3 * SHORT_PAUSE_S)
         self.front.close_idle()
-        await self.driver.wait_answered(max(end - self.clock() - 5 * SHORT, SHORT))
+        await self.driver.wait_answered(max(end - self.clock() - 5 * SHORT_PAUSE_S, SHORT_PAUSE_S))
         self.driver.fail_unanswered()
         self.handler.expire_early(math.inf)
         self.front.close_idle()
-        await self.front.wait_drained(4 * SHORT)
+        await self.front.wait_drained(4 * SHORT_PAUSE_S)
         while not self.node.agreement.handover.complete and self.clock() < end:
-            await asyncio.sleep(SHORT)
+            await asyncio.sleep(SHORT_PAUSE_S)
         for front in (self.front, self.control, self.ready):
             front.stop_listening()
             front.close()
@@ -319,24 +322,24 @@
 
 
 def requirements_of(local: Local) -> Requirements:
-    """What the membership has to bear, by the settings; one machine where they are silent."""
-    borne = local.get("fault_tolerance", {"machine_failures": 1})
+    """The failures that the membership has to tolerate, by the settings; one machine by default."""
+    tolerated = local.get("fault_tolerance", {"machine_failures": 1})
     regions, places = local.get("zones", {}), dict[str, str]()
-    if borne.get("regions", 0) > 0:
+    if tolerated.get("regions", 0) > 0:
         places = dict(regions)
-    elif borne.get("zones", 0) > 0:
+    elif tolerated.get("zones", 0) > 0:
         places = {zone: zone for zone in regions or (local["zone"],)}
-    return Requirements(max(2 * borne.get("machine_failures", 0) + 1, 3), places)
+    return Requirements(max(2 * tolerated.get("machine_failures", 0) + 1, 3), places)
 
 
 def first_vote(local: Local) -> Vote | None:
-    """A seed's vote at the very first start of the system, before it has answered anything."""
+    """A seed's vote at the very first start of the system, before it has answered any peer."""
     seeds = tuple(sorted((read_address(text)[0] for text in local["seed_nodes"]), key=address_key))
     return Vote(seeds) if local["first_start"] and local["ip_address"] in seeds else None
 
 
-def prepared(environment: dict[str, str]) -> Result[tuple[Local, Store | None, Stored], str]:
-    """Settings and what the disk remembers, or one line on what is wrong."""
+def prepare(environment: dict[str, str]) -> Result[tuple[Local, Store | None, Stored], str]:
+    """Reads the settings and the stored state; a one-line error if the settings are wrong."""
     read = read_local(environment)
     if read.is_error():
         return Error(read.error)
@@ -349,14 +352,14 @@
     try:
         store = Store(Path(folder), local["limits"].get("disk_mb", 64.0))
     except Exception as error:
-        return Ok((local, do_without(f"{folder}: {error}"), without))
+        return Ok((local, run_without_store(f"{folder}: {error}"), without))
     begun = store.begin(lambda: nonce, vote)
     if begun.is_error():
-        return Ok((local, do_without(begun.error), without))
+        return Ok((local, run_without_store(begun.error), without))
     return Ok((local, store, begun.ok))
 
 
-def do_without(why: str) -> Store | None:
-    """A disk that can't be believed keeps nobody from being served: this gateway holds no state then."""
+def run_without_store(why: str) -> Store | None:
+    """Logs why the disk is not used; the gateway still serves clients then, but is no core member."""
     log.error("disk not used: %s", why)
     return None
--- a/embersill/rig/soak/fences.py
+++ b/embersill/rig/soak/fences.py
@@ -33,8 +33,8 @@
             "drain",
             "embersill.edge.program",
             "a gateway that is told to end would not wait for what it has taken",
-            "max(end - self.clock() - 5 * SHORT, SHORT)",
-            "SHORT",
+            "max(end - self.clock() - 5 * SHORT_PAUSE_S, SHORT_PAUSE_S)",
+            "SHORT_PAUSE_S",
             (("embersill.edge.program", "self.driver.fail_unanswered()", "pass"),),
         ),
         Fence(
--- a/tests/edge/test_client_leaves.py
+++ b/tests/edge/test_client_leaves.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from embersill.edge.program import System
+from embersill.edge.program import GatewayProcess
 from tests.edge.test_client_states import HOST
 from tests.edge.test_client_states import Client as Connection
 from tests.edge.test_sockets import Backend, answer, play, until
@@ -112,20 +112,20 @@
 
 Leave = Callable[[Client], None]
 LEAVES: tuple[Leave, ...] = (Client.close, Client.reset, Client.half_close)
-Then = Callable[[int, WorkingBackend, System], Awaitable[None]]
+Then = Callable[[int, WorkingBackend, GatewayProcess], Awaitable[None]]
 
 
 def play_working(folder: Path, then: Then, kind: type[WorkingBackend] = WorkingBackend) -> None:
     """Plays with four gateways; `then` has the port of clients, the backend and the gateway they talk to."""
 
-    async def adapted(ports: list[int], backend: Backend, systems: list[System]) -> None:
+    async def adapted(ports: list[int], backend: Backend, systems: list[GatewayProcess]) -> None:
         assert isinstance(backend, WorkingBackend)
         await then(ports[0], backend, systems[3])
 
     play(folder, lambda path, headers: None, adapted, kind)
 
 
-def is_calm(system: System) -> bool:
+def is_calm(system: GatewayProcess) -> bool:
     """True if nothing is under way any more, and each count of it is back at nought."""
     gauges = system.metrics.gauges()
     names = (
@@ -143,7 +143,7 @@
 def test_no_backend_works_on_for_a_client_that_has_left(
     tmp_path: Path, leave: Leave, pipelined: bool
 ) -> None:
-    async def then(port: int, backend: WorkingBackend, system: System) -> None:
+    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         names = ["one", "two", "three"] if pipelined else ["one"]
         client = await Client.connect(port)
         client.send(*map(request, names))
@@ -160,7 +160,7 @@
 
 @pytest.mark.parametrize("leave", LEAVES, ids=[leave.__name__ for leave in LEAVES])
 def test_an_order_whose_client_has_left_runs_to_its_end_once(tmp_path: Path, leave: Leave) -> None:
-    async def then(port: int, backend: WorkingBackend, system: System) -> None:
+    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         client = await Client.connect(port)
         client.send(request("order", ORDER))
         await until(lambda: len(backend.runs) == 1)
@@ -178,7 +178,7 @@
 def test_a_request_that_waits_for_a_token_goes_nowhere_and_gives_its_token_back(
     tmp_path: Path, leave: Leave
 ) -> None:
-    async def then(port: int, backend: WorkingBackend, system: System) -> None:
+    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         client, other = await Client.connect(port), await Client.connect(port)
         client.send(request("first", "/p0/short"))
         await until(lambda: len(backend.runs) == 1)
@@ -201,7 +201,7 @@
 
 
 def test_a_request_whose_connection_is_still_dialled_is_not_written_and_uses_no_quota(tmp_path: Path) -> None:
-    async def then(port: int, backend: WorkingBackend, system: System) -> None:
+    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         dials = asyncio.Event()
         connect = system.pool.connect
 
@@ -228,7 +228,7 @@
 def test_a_leave_is_seen_while_nothing_is_read(tmp_path: Path) -> None:
     """Sixteen requests are under way, and more than is read ahead waits behind them."""
 
-    async def then(port: int, backend: WorkingBackend, system: System) -> None:
+    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         client = await Client.connect(port)
         client.send(*(request(f"r{n}") for n in range(400)))
         await until(lambda: len(backend.runs) >= 4)
@@ -243,7 +243,7 @@
 
 
 def test_a_process_that_is_behind_looks_for_a_leave_before_it_sends(tmp_path: Path) -> None:
-    async def then(port: int, backend: WorkingBackend, system: System) -> None:
+    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         client, stays = await Client.connect(port), await Client.connect(port)
         await asyncio.sleep(0.05)
         system.behind_until = system.clock() + 5.0
@@ -258,7 +258,7 @@
 
 
 def test_a_late_tick_tells_that_the_process_is_behind(tmp_path: Path) -> None:
-    async def then(port: int, backend: WorkingBackend, system: System) -> None:
+    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         now = system.clock()
         system.tick_due = now
         system.note_delay(now + 0.05)
@@ -279,7 +279,7 @@
 def test_a_backend_that_works_on_is_not_sent_one_request_after_the_other(tmp_path: Path) -> None:
     """Its slot isn't free: what was broken off counts there for as long as it usually takes."""
 
-    async def then(port: int, backend: WorkingBackend, system: System) -> None:
+    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         server = system.gateway.servers["i-1"]
         for fleet in system.gateway.backends.fleets.values():
             fleet.usual["r0", 0.0] = WORK
@@ -308,7 +308,7 @@
             await asyncio.sleep(0.1)
             return False
 
-    async def then(port: int, backend: WorkingBackend, system: System) -> None:
+    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         for name, path in (("ask", REPEATABLE), ("order", ORDER)):
             client = await Client.connect(port)
             client.send(request(name, path))
@@ -340,7 +340,7 @@
                 await asyncio.sleep(0.005)
             self.ended = asyncio.get_running_loop().time()
 
-    async def then(port: int, backend: WorkingBackend, system: System) -> None:
+    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         assert isinstance(backend, Streaming)
         for leave in LEAVES:
             backend.ended = 0.0
--- a/tests/edge/test_client_states.py
+++ b/tests/edge/test_client_states.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from embersill.edge.program import System
+from embersill.edge.program import GatewayProcess
 from tests.edge.test_sockets import Backend, answer, play, until
 
 HOST = "127.0.0.4"
@@ -225,7 +225,7 @@
 def test_each_client_is_told_its_own_and_what_must_not_run_twice_does_not(
     tmp_path: Path, behave: Behaviour
 ) -> None:
-    async def then(ports: list[int], backend: Backend, systems: list[System]) -> None:
+    async def then(ports: list[int], backend: Backend, systems: list[GatewayProcess]) -> None:
         client = Client(*await asyncio.open_connection(HOST, ports[0]))
         await behave(client, backend)
         following = Client(*await asyncio.open_connection(HOST, ports[0]))
--- a/tests/edge/test_listening.py
+++ b/tests/edge/test_listening.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from embersill.edge.listening import when_free
+from embersill.edge.listening import listen_when_free
 
 
 def listener(address: tuple[str, int]) -> socket.socket:
@@ -33,7 +33,7 @@
                 held.close()
             listener(address).close()
 
-        await when_free(listen, 5.0)
+        await listen_when_free(listen, 5.0)
         assert len(tries) == 3
 
     asyncio.run(played())
@@ -48,7 +48,7 @@
             raise OSError(error, "no")
 
         with pytest.raises(OSError) as raised:
-            await when_free(listen, 0.0)
+            await listen_when_free(listen, 0.0)
         assert raised.value.errno == error and len(asked) == tries
 
     asyncio.run(played(errno.EADDRINUSE, 1))
--- a/tests/edge/test_metrics.py
+++ b/tests/edge/test_metrics.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from embersill.edge.program import System
+from embersill.edge.program import GatewayProcess
 from embersill.net.disconnects import ClientDisconnects, LeftBy
 from tests.edge.test_sockets import Backend, answer, call, play, try_of
 
@@ -17,7 +17,7 @@
 
 
 def test_a_gateway_tells_its_figures_beside_its_readiness(tmp_path: Path) -> None:
-    async def then(ports: list[int], backend: Backend, systems: list[System]) -> None:
+    async def then(ports: list[int], backend: Backend, systems: list[GatewayProcess]) -> None:
         assert (await call("127.0.0.4", ports[0], try_of(1)))[0] == 200
         status, headers, text = await call("127.0.0.4", ports[1], "GET /api/metrics HTTP/1.1")
         assert (status, headers["content-type"]) == (200, "text/plain; version=0.0.4")
--- a/tests/edge/test_sockets.py
+++ b/tests/edge/test_sockets.py
@@ -16,7 +16,7 @@
 from embersill.edge.dataplane.handlers import OPENAPI_PATH, operations
 from embersill.edge.local import Local
 from embersill.edge.logs import line
-from embersill.edge.program import System, first_vote
+from embersill.edge.program import GatewayProcess, first_vote
 from embersill.edge.storage.store import Store
 from embersill.lab.edge.fleet import change
 
@@ -130,7 +130,7 @@
         settings = local(number, ports, place, number < 4)
         vote = first_vote(settings)
         stored = store.begin(lambda number=number: f"s{number}", vote) if store is not None else None  # type: ignore[misc]
-        systems.append(System(settings, store, stored.ok if stored is not None else Stored("x")))
+        systems.append(GatewayProcess(settings, store, stored.ok if stored is not None else Stored("x")))
         stores.append(store)
     try:
         for system in systems:
@@ -183,7 +183,7 @@
 
 
 def test_a_request_goes_whole_from_client_to_backend_and_back(tmp_path: Path) -> None:
-    async def then(ports: list[int], backend: Backend, systems: list[System]) -> None:
+    async def then(ports: list[int], backend: Backend, systems: list[GatewayProcess]) -> None:
         assert (await call("127.0.0.4", ports[1], "GET /api/readiness HTTP/1.1"))[0] == 200
         status, headers, body = await call("127.0.0.4", ports[0], try_of(1))
         assert (status, headers["x-backend-seal"], body) == (200, "s1", b"whole")
@@ -217,7 +217,7 @@
             return answer(headers, b"503 Service Unavailable", b"X-Request-Not-Executed: 1\r\n")
         return None if fault == "broken" else b"\x00\x01 no answer at all\r\n\r\n"
 
-    async def then(ports: list[int], backend: Backend, systems: list[System]) -> None:
+    async def then(ports: list[int], backend: Backend, systems: list[GatewayProcess]) -> None:
         for number in range(3):
             status, headers, body = await call("127.0.0.4", ports[0], try_of(number, "/p1/x", method="POST"))
             if fault == "surplus":
@@ -242,7 +242,7 @@
             return answer(headers, body=long).replace(b"X-Attempt-Id", b"X-Other-Name")
         return answer(headers, body=long, more=SEAL if kind == "own" else b"")
 
-    async def then(ports: list[int], backend: Backend, systems: list[System]) -> None:
+    async def then(ports: list[int], backend: Backend, systems: list[GatewayProcess]) -> None:
         status, _, body = await call("127.0.0.4", ports[0], try_of(1, "/p1/x", method="POST"))
         wanted = {"late": (200, b"whole"), "own": (200, long)}
         if kind in wanted:
@@ -255,7 +255,7 @@
 
 
 def test_a_backends_own_failure_goes_back_as_it_is(tmp_path: Path) -> None:
-    async def then(ports: list[int], backend: Backend, systems: list[System]) -> None:
+    async def then(ports: list[int], backend: Backend, systems: list[GatewayProcess]) -> None:
         status, headers, body = await call("127.0.0.4", ports[0], try_of(1, "/p1/x", method="POST"))
         assert (status, body, headers["x-backend-seal"]) == (500, b"whole", "s1")
 
@@ -281,7 +281,7 @@
 def test_a_gateway_says_what_it_believes_in_the_form_of_the_interface_file(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def then(ports: list[int], backend: Backend, systems: list[System]) -> None:
+    async def then(ports: list[int], backend: Backend, systems: list[GatewayProcess]) -> None:
         address = f"127.0.0.4:{ports[2]}"
         status = await asyncio.to_thread(main, ["status", address])
         told = json.loads(capsys.readouterr().out)
@@ -298,7 +298,7 @@
 def test_a_lapsed_tenant_is_turned_away_at_any_gateway_until_it_is_restored(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def then(ports: list[int], backend: Backend, systems: list[System]) -> None:
+    async def then(ports: list[int], backend: Backend, systems: list[GatewayProcess]) -> None:
         async def command(*words: str) -> tuple[int, Any]:
             status = await asyncio.to_thread(main, ["lapse", words[0], f"127.0.0.4:{ports[2]}", *words[1:]])
             told = capsys.readouterr()
--- a/tests/edge/test_store.py
+++ b/tests/edge/test_store.py
@@ -19,7 +19,7 @@
 from embersill.edge.records import EpochStart, RegisterSnapshot, Roster, Save, Seat
 from embersill.edge.configuration.document import EMPTY, State
 from embersill.edge.discovery.instances import Instance
-from embersill.edge.program import prepared
+from embersill.edge.program import prepare
 from embersill.edge.storage.store import Store
 from embersill.lab.edge.fleet import document
 
@@ -130,7 +130,7 @@
         transaction.put(b"remembered", b"torn")
     store.environment.close()
     path = settings_file(tmp_path, tmp_path / "disk")
-    local, used, stored = prepared({"EMBERSILL_CONFIG": str(path)}).ok
+    local, used, stored = prepare({"EMBERSILL_CONFIG": str(path)}).ok
     assert used is None and stored.begun is None and stored.store != "nonce"
 
 
