--- a/embersill/edge/command.py
+++ b/embersill/edge/command.py
@@ -1,7 +1,7 @@
-"""Commands beside the gateway itself: checks of files and folders, and what a gateway believes.
+"""Commands beside the gateway itself: checks of files and stores, a gateway's status, orders of operators.
 
-Each prints what it found as JSON on standard output, or one line on standard error that names the place of
-what is wrong. Exit status: 0 where all is well, 1 where something is not, 2 where it could not be looked at.
+Each prints its result as JSON on standard output, or one line on standard error that names the place of
+the error. Exit status: 0 for success, 1 for an error, 2 for wrong usage.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 from embersill.edge.storage.store import read_stored
 from embersill.net.discovery import read_address
 
-ANSWER_WITHIN = 3.0  # seconds for a gateway to say what it believes
-MOST_ANSWER = 16 << 20  # bytes of it
+ANSWER_TIMEOUT_S = 3.0  # for a gateway's response
+MAX_ANSWER_BYTES = 16 << 20
 Found = Result[dict[str, Any], str]
 
 
 def read_json(path: str) -> Result[Any, str]:
-    """What a file holds, as JSON."""
+    """The JSON value in a file, or a one-line error."""
     try:
         return Ok(json.loads(Path(path).read_text()))
     except (OSError, ValueError, RecursionError) as error:
@@ -73,7 +73,7 @@
     """The folder in which a gateway that is stopped keeps its state."""
     path = chosen.subject
 
-    def told(stored: Stored) -> Found:
+    def summary(stored: Stored) -> Found:
         begun, kept, state = stored.begun, stored.remembered, stored.state
         backends: list[Instance] = []
         try:
@@ -97,17 +97,17 @@
             }
         )
 
-    return read_stored(Path(path)).bind(told)
+    return read_stored(Path(path)).bind(summary)
 
 
 def ask(address: str, method: str, path: str, body: Any = None) -> Found:
-    """A call of control at `address` (host:port): what it answers, or its refusal in a line."""
+    """Makes a control call to `address` (host:port); a refusal is returned as a one-line error."""
     try:
         host, port = read_address(address)
-        connection = http.client.HTTPConnection(host, port, timeout=ANSWER_WITHIN)
+        connection = http.client.HTTPConnection(host, port, timeout=ANSWER_TIMEOUT_S)
         connection.request(method, path, json.dumps(body) if body is not None else None)
         answer = connection.getresponse()
-        told = json.loads(answer.read(MOST_ANSWER))
+        told = json.loads(answer.read(MAX_ANSWER_BYTES))
         connection.close()
         if answer.status != 200:
             return Error(f"{address}: {answer.status}: {told.get('error_message', 'no reason given')}")
@@ -117,12 +117,12 @@
 
 
 def status(chosen: argparse.Namespace) -> Found:
-    """What the gateway whose calls of control go to that address (host:port) believes."""
+    """Asks the gateway with that control address (host:port) for its status."""
     return ask(chosen.subject, "GET", "/api/status")
 
 
 def read_ladder(text: str) -> list[dict[str, float]]:
-    """Steps as `share:seconds`, the last one maybe without seconds; ValueError for anything else."""
+    """Steps given as `share:seconds`, the last maybe without seconds; raises ValueError if malformed."""
     steps = []
     for part in text.split(","):
         share, colon, lasts = part.partition(":")
@@ -134,7 +134,7 @@
 
 
 def wish_of(chosen: argparse.Namespace) -> dict[str, Any]:
-    """Who orders what, and which number it builds on, where that is given."""
+    """The body of an order: the action, who orders it, and which number it builds on, if given."""
     wish: dict[str, Any] = {"action": chosen.what, "by": chosen.by}
     if chosen.number is not None:
         wish["based_on_number"] = chosen.number
@@ -142,7 +142,7 @@
 
 
 def lapse(chosen: argparse.Namespace) -> Found:
-    """Orders about a lapsed tenant, or what is ordered."""
+    """Sends an order about a lapsed tenant, or asks for the list of orders or a report."""
     if chosen.what == "list":
         return ask(chosen.subject, "GET", "/api/lapses")
     place = f"/api/lapses/{urllib.parse.quote(chosen.tenant, safe='')}"
@@ -166,7 +166,7 @@
 
 
 def read_plan(chosen: argparse.Namespace) -> Found:
-    """The sites file, with the order in which a policy would come to them."""
+    """The sites file, with the steps in which a policy would be rolled out to the sites."""
 
     def ordered(plan: Any) -> Found:
         read = checked(plan, Plan, chosen.sites)
@@ -180,7 +180,7 @@
 
 
 def rollout(chosen: argparse.Namespace) -> Found:
-    """A policy on its way down the sites: planned, ordered, or what has become of it."""
+    """Plans a policy rollout, sends an order about one, or asks for its status."""
     if chosen.what == "plan":
         return read_plan(chosen).map(lambda plan: {"steps": plan["steps"]})
     if chosen.what == "status":
@@ -196,13 +196,13 @@
 
 
 def add_wish(one: argparse.ArgumentParser, of: str) -> None:
-    """The options that every order of an operator has."""
+    """Adds the options that all operator orders have."""
     one.add_argument("--by", required=True, help="who orders it")
     one.add_argument("--number", type=int, help=f"of the {of} that this builds on")
 
 
 def add_rollout(commands: Any) -> None:
-    """The commands about staged policies."""
+    """Adds the commands about policy rollouts."""
     made = commands.add_parser("rollout", help="carry a policy down the sites step by step")
     rollouts = made.add_subparsers(dest="what", required=True)
     for name, text in (
@@ -226,7 +226,7 @@
 
 
 class Plan(TypedDict):
-    """A file with the sites of a policy, and what comes last."""
+    """The sites file of a rollout; `last`: the routes, services or tenants whose sites come last."""
 
     sites: dict[str, Site]
     last: NotRequired[list[str]]
@@ -235,7 +235,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    """The whole command line."""
+    """The parser of the whole command line."""
     made = argparse.ArgumentParser(prog="embersill.edge", description="The whole gateway, and its tools.")
     levels = ("debug", "info", "warning")
     made.add_argument("--log", choices=levels, default="info", help="the least level that is written")
@@ -295,7 +295,7 @@
 
 
 def run_command(chosen: argparse.Namespace) -> int:
-    """Does what was chosen and prints what it found; the exit status."""
+    """Runs the chosen command and prints its result; returns the exit status."""
     found: Found = chosen.does(chosen)
     if found.is_error():
         print(f"embersill.edge: {found.error}", file=sys.stderr)
