--- a/embersill/edge/program.py
+++ b/embersill/edge/program.py
@@ -128,7 +128,7 @@
     def listener(self, most: int, desk: Any, room: int) -> Front:
         """A listener with limits on its connections and on buffered bytes."""
         front = Front(self.driver, self.settings(), self.clock, most, self.is_ready, desk)
-        front.room_in_all = front.room = room
+        front.body_room_total = front.body_room_free = room
         return front
 
     def settings(self) -> Settings:
@@ -162,7 +162,7 @@
     def configuration_changed(self, table: Table) -> None:
         """Applies a configuration."""
         limits = table.document.get("limits", {})
-        self.front.read_within = max(limits.get("header_timeout_s", 3.0), 1.0)
+        self.front.request_timeout = max(limits.get("header_timeout_s", 3.0), 1.0)
         self.front.idle_limit = limits.get("idle_timeout_s", 15.0) + 0.5
         self.gateway.slow(table.squeezed, self.node.figures)
         self.driver.post(Configured(self.settings()))
--- a/embersill/net/backends.py
+++ b/embersill/net/backends.py
@@ -214,6 +214,7 @@
         self.load: tuple[float, ...] = ()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Transport callback: registers the connection."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
         # with no buffer above the kernel's, pause_writing means that part of the request is unsent
         self.transport.set_write_buffer_limits(high=0)
@@ -223,9 +224,11 @@
         self.pool.opened(self)
 
     def pause_writing(self) -> None:
+        """Transport callback: not all written data is in the kernel's buffer."""
         self.unsent = True
 
     def resume_writing(self) -> None:
+        """Transport callback: the kernel has taken all written data."""
         self.unsent = False
 
     def send(self, attempt: Attempt, wait: float) -> None:
@@ -260,6 +263,7 @@
     # parser callbacks
 
     def on_message_begin(self) -> None:
+        """Parser callback."""
         self.begun = True
         if self.complete:
             self.surplus = True
@@ -267,6 +271,7 @@
             self.start_message()  # discards what an interim response has set
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Parser callback."""
         if self.complete:  # what follows a complete response belongs to no attempt
             return
         name = name.lower()
@@ -283,15 +288,18 @@
             self.pool.dialect.header(self, name, value)
 
     def on_headers_complete(self) -> None:
+        """Parser callback."""
         self.in_body = self.parser is not None and not is_interim(self.parser.get_status_code())
 
     def on_body(self, body: bytes) -> None:
+        """Parser callback: keeps a piece of the body."""
         if not self.complete:
             self.size += len(body)
             if self.size <= self.pool.most_body:
                 self.parts.append(body)
 
     def on_message_complete(self) -> None:
+        """Parser callback: skips interim and foreign responses."""
         if self.complete or self.parser is None:
             return
         self.begun = False
@@ -307,6 +315,7 @@
     # transport callbacks
 
     def data_received(self, data: bytes) -> None:
+        """Transport callback: parses a response; ends the attempt once it is complete or invalid."""
         attempt = self.attempt
         if attempt is None:
             return self.close()  # unrequested data, or surplus behind a response
@@ -444,6 +453,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Transport callback: ends the attempt, as never written or as broken."""
         self.pool.closed(self)
         attempt, self.attempt = self.attempt, None
         self.parser = self.transport = None  # breaks the cycle with the parser: both are freed at once
--- a/embersill/net/counter.py
+++ b/embersill/net/counter.py
@@ -43,6 +43,7 @@
         self.unsent = self.dead = self.leaving = False  # unsent: not all is in the kernel's buffer
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Transport callback."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
         self.transport.set_write_buffer_limits(high=0)  # so that pause_writing means that a call is not sent
         self.write_waiting()
@@ -58,9 +59,11 @@
                 self.write(call, text)
 
     def pause_writing(self) -> None:
+        """Transport callback: not all written data is in the kernel's buffer."""
         self.unsent = True
 
     def resume_writing(self) -> None:
+        """Transport callback: the kernel has taken all written data."""
         self.unsent = False
 
     def call(self, call: CounterCall, text: bytes) -> None:
@@ -87,6 +90,7 @@
         return now - self.used < IDLE_LIMIT_S
 
     def data_received(self, data: bytes) -> None:
+        """Transport callback: matches replies to calls, in order."""
         self.reader.feed(data)
         try:
             while (reply := self.reader.gets()) is not False:
@@ -123,6 +127,7 @@
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Transport callback: ends the remaining calls."""
         self.end()
 
     def end(self) -> None:
--- a/embersill/net/discovery.py
+++ b/embersill/net/discovery.py
@@ -101,6 +101,7 @@
         self.keep = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Transport callback."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
 
     def ask(self, target: str, host: str) -> asyncio.Future[bytes]:
@@ -134,6 +135,7 @@
             self.answer.set_exception((DiscoveryOverloaded if status == 503 else BadList)(f"status {status}"))
 
     def data_received(self, data: bytes) -> None:
+        """Transport callback: feeds the parser."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -142,6 +144,7 @@
             self.fail("the list is too long")
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Transport callback: fails the call in progress."""
         self.fail("the connection closed before the response was complete")
 
 
--- a/embersill/net/operators.py
+++ b/embersill/net/operators.py
@@ -25,11 +25,10 @@
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.target, self.received_bytes, self.answered = b"", 0, False
-        self.timer = server.loop.call_later(
-            CALL_TIMEOUT_S, self.reply, 408, "the call was not complete in time\n"
-        )
+        self.timer = server.loop.call_later(CALL_TIMEOUT_S, self.reply, 408, "the call did not come whole\n")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Transport callback: registers the connection."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
         self.server.add(self)
 
@@ -44,10 +43,11 @@
         try:
             method, target = self.parser.get_method().decode("ascii"), self.target.decode("ascii")
         except UnicodeDecodeError:
-            return self.reply(400, "not a valid HTTP call\n")
+            return self.reply(400, "not a call\n")
         self.reply(*self.server.handle(method, target))
 
     def data_received(self, data: bytes) -> None:
+        """Transport callback: feeds the parser."""
         self.received_bytes += len(data)
         if self.answered or self.parser is None:
             return
@@ -56,7 +56,7 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.reply(400, "not a valid HTTP call\n")
+            self.reply(400, "not a call\n")
 
     def reply(self, status: int, text: str) -> None:
         """Sends the one response and closes the connection; later ones are ignored."""
@@ -71,6 +71,7 @@
         self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Transport callback: removes the connection."""
         self.timer.cancel()
         self.transport = self.parser = None  # breaks the cycle with the parser: both are freed at once
         self.server.connections.pop(self, None)
--- a/embersill/roles.py
+++ b/embersill/roles.py
@@ -14,7 +14,7 @@
 from embersill.configuration.platform import BadConfiguration, Configuration, read_configuration
 from embersill.control import Gateway
 from embersill.net.backends import Pool
-from embersill.net.clients import SLOW_WITHIN, Front
+from embersill.net.clients import SLOW_REQUEST_TIMEOUT_S, Front
 from embersill.net.counter import Counter
 from embersill.net.discovery import Discovery
 from embersill.net.driver import Decider, Driver
@@ -127,9 +127,9 @@
 
             avoided = decides.avoided if isinstance(decides, Gateway) else lambda: 0
             self.operations = Operations(self, config.name, avoided)
-            self.front.shares, self.front.read_within = True, SLOW_WITHIN
+            self.front.shares, self.front.request_timeout = True, SLOW_REQUEST_TIMEOUT_S
             self.pool.enable_streaming()
-            self.front.room_in_all = self.front.room = int(config.memory * BODY_MEMORY_SHARE)
+            self.front.body_room_total = self.front.body_room_free = int(config.memory * BODY_MEMORY_SHARE)
 
     def serves(self) -> bool:
         """Whether it is ready: the list is settled and at least one backend serves."""
--- a/embersill/service/calls.py
+++ b/embersill/service/calls.py
@@ -1,6 +1,6 @@
-"""The operators' calls: what each path means, and what it answers. No I/O.
+"""Routes the operators' HTTP calls. No I/O.
 
-A call is carried out whole or not at all: anything out of form is a 4xx and changes nothing.
+A call is carried out completely or not at all: an invalid one gets a 4xx status and changes nothing.
 """
 
 from __future__ import annotations
@@ -12,46 +12,50 @@
 
 
 class Service(Protocol):
-    """The gateway as its operators know it."""
+    """What operators can ask of a gateway."""
 
-    def can_serve(self) -> bool: ...
+    def can_serve(self) -> bool:
+        """True if the gateway is ready for requests."""
+        ...
 
-    def stats(self) -> str: ...
+    def stats(self) -> str:
+        """The counters as text."""
+        ...
 
     def hold(self, backend: str, out: bool) -> bool:
-        """Takes a backend out of use, or puts it back; False for an id that nobody has."""
+        """Takes a backend out of use, or puts it back; False for an unknown id."""
         ...
 
-    def empty(self, on: bool) -> None:
+    def set_draining(self, on: bool) -> None:
         """Begins to drain the gateway, or ends that."""
         ...
 
 
 def route(method: str, path: str, service: Service) -> Reply:
-    """Carries out one call; its status and text."""
+    """Carries out one call; returns its status and text."""
     path = path.partition("?")[0]
     match path.split("/")[1:] if path.startswith("/") else [""]:
         case ["healthcheck"]:
-            wanted = "GET"
+            required_method = "GET"
         case ["stats"]:
-            wanted = "GET"
+            required_method = "GET"
         case ["backends", _, "maint" | "ready"]:
-            wanted = "POST"
+            required_method = "POST"
         case ["healthcheck", "fail" | "ok"]:
-            wanted = "POST"
+            required_method = "POST"
         case _:
             return 404, "no such call\n"
-    if method != wanted:
-        return 405, f"only {wanted}\n"
-    words = path.split("/")[1:]
-    if words == ["stats"]:
+    if method != required_method:
+        return 405, f"only {required_method}\n"
+    segments = path.split("/")[1:]
+    if segments == ["stats"]:
         return 200, service.stats()
-    if words == ["healthcheck"]:
+    if segments == ["healthcheck"]:
         return (200, "serving\n") if service.can_serve() else (503, "not serving yet\n")
-    if words[0] == "healthcheck":
-        service.empty(words[1] == "fail")
+    if segments[0] == "healthcheck":
+        service.set_draining(segments[1] == "fail")
         return 200, "done\n"
-    backend = unquote(words[1])
-    if not service.hold(backend, words[2] == "maint"):
+    backend = unquote(segments[1])
+    if not service.hold(backend, segments[2] == "maint"):
         return 404, "no backend has this id\n"
     return 200, "done\n"
--- a/tests/service/test_bodies.py
+++ b/tests/service/test_bodies.py
@@ -133,25 +133,25 @@
     async def test() -> None:
         async with running(1, operator=free_address()) as bed:
             front = bed.program.front
-            assert front.room_in_all == int(0.3 * 192_000_000)
+            assert front.body_room_total == int(0.3 * 192_000_000)
             client = await bed.client()
             assert (await client.ask(request(1, "extract", body=LONG)))[0] == 200
             assert bed.seen()[0][2] == LONG
             in_chunks = request(2, "extract", body=b"", Transfer_Encoding="chunked", drop="Content-Length")
             client.send(in_chunks + chunked(LONG, 40_000))
             assert (await client.answer())[0] == 200 and bed.seen()[1][2] == LONG
-            assert front.room == front.room_in_all
-            front.room = 100_000  # others have the rest
+            assert front.body_room_free == front.body_room_total
+            front.body_room_free = 100_000  # others have the rest
             assert (await client.ask(request(3, "extract", body=LONG)))[0] == 503
             again = await bed.client()
-            front.room = front.room_in_all
-            too_long = request(4, "extract", body=b"", Content_Length=str(front.room_in_all + 1))
+            front.body_room_free = front.body_room_total
+            too_long = request(4, "extract", body=b"", Content_Length=str(front.body_room_total + 1))
             assert (await again.ask(too_long))[0] == 413
             half = await bed.client()
             half.send(request(5, "extract", body=LONG)[:300_000])
-            await until(lambda: front.room < front.room_in_all)
+            await until(lambda: front.body_room_free < front.body_room_total)
             half.reset()
-            await until(lambda: front.room == front.room_in_all)
+            await until(lambda: front.body_room_free == front.body_room_total)
             assert len(bed.seen()) == 2
 
     run(test)
--- a/tests/service/test_decided.py
+++ b/tests/service/test_decided.py
@@ -10,7 +10,7 @@
 from embersill.interface import BackendHold, Send, Shared, Status
 from embersill.service.calls import route
 from embersill.service.figures import Figures
-from embersill.service.succession import Mark, Stage, held_text, read_held, sealed, stage_of
+from embersill.service.succession import Mark, Stage, encode_record, held_text, read_held, stage_of
 from tests.helpers import CAPPED, Watch, backend, backends, gateway, request
 
 
@@ -32,7 +32,7 @@
         self.told.append((backend, out))
         return True
 
-    def empty(self, on: bool) -> None:
+    def set_draining(self, on: bool) -> None:
         self.told.append(on)
 
 
@@ -152,8 +152,8 @@
             changed[place] ^= 1 << chance.randrange(8)
             assert read(bytes(changed)) in (None, mark, held)
     wrong: list[object] = [["x", 1, True], ["x", 1.0, 1], [1, 1.0, True], ["x", 1.0], {}, None, "x"]
-    assert all(Mark.read(sealed("mark", value)) is None for value in wrong)
-    assert read_held(sealed("held", [1])) is None and read_held(sealed("mark", ["a"])) is None
+    assert all(Mark.read(encode_record("mark", value)) is None for value in wrong)
+    assert read_held(encode_record("held", [1])) is None and read_held(encode_record("mark", ["a"])) is None
 
 
 def test_any_order_of_processes_leaves_one_that_takes_clients_in() -> None:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -8,7 +8,7 @@
 import pytest
 
 from embersill.net.backends import MIN_IDLE_S
-from embersill.net.clients import MOST_BODY, MOST_ERRORS, MOST_HEAD, SETTLED
+from embersill.net.clients import MAX_BODY_BYTES, MAX_BAD_REQUESTS, MAX_HEAD_BYTES, EVICTABLE_IDLE_S
 from tests.bed import READY, Bed, Client, request, roomy_settings, run, running
 from tests.peers import SOON, Asked, message, serve, serve_after
 
@@ -130,7 +130,7 @@
         (request(1, "extract", Content_Length="10\r\n Transfer-Encoding: chunked"), 400),
         (request(1, "extract", Transfer_Encoding="chunked"), 400),
         (request(1, "extract", Transfer_Encoding="identity"), 400),
-        (request(1, "extract", body=b"x" * (MOST_BODY + 1)), 413),
+        (request(1, "extract", body=b"x" * (MAX_BODY_BYTES + 1)), 413),
         (
             request(1, "extract", drop="Content-Length", body=b"", Transfer_Encoding="chunked")
             + b"20000\r\n"
@@ -138,7 +138,7 @@
             + b"\r\n0\r\n\r\n",
             413,
         ),
-        (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * (4 * MOST_HEAD), 431),
+        (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * (4 * MAX_HEAD_BYTES), 431),
     ],
 )
 def test_bad_input_is_told_and_reaches_nobody(text: bytes, status: int) -> None:
@@ -153,7 +153,7 @@
 
 def test_the_largest_body_passes() -> None:
     async def test(bed: Bed, client: Client) -> None:
-        assert (await client.ask(request(1, "extract", body=b"x" * MOST_BODY)))[0] == 200
+        assert (await client.ask(request(1, "extract", body=b"x" * MAX_BODY_BYTES)))[0] == 200
 
     with_bed(test)
 
@@ -198,7 +198,7 @@
 def test_a_client_that_reads_nothing_is_not_read_either() -> None:
     # otherwise its answers would fill the gateway's memory
     async def test(bed: Bed, client: Client) -> None:
-        large = message(200, b"x" * MOST_BODY)
+        large = message(200, b"x" * MAX_BODY_BYTES)
         bed.backends[0].script = [lambda writer, asked: writer.write(large)] * 1000
         client = await bed.client(receive_buffer=8192)
         client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -227,7 +227,7 @@
         front.most = len(front.connections)
         assert not front.has_room()
         assert not any(c.closing for c in front.connections)
-        front.clock = lambda: now + 2 * SETTLED
+        front.clock = lambda: now + 2 * EVICTABLE_IDLE_S
         other = await bed.client()
         assert (await other.ask(READY))[0] == 200
         assert (await client.answer())[0] == 408 and await client.closed()
@@ -324,9 +324,9 @@
         bad = request(1, Plan="gold")
         assert (await client.ask(bad))[0] == 400
         (connection,) = bed.program.front.connections
-        assert connection.rest is not None and connection.paused
+        assert connection.error_pause is not None and connection.paused
         client.send(bad * 300)
-        for _ in range(MOST_ERRORS - 1):
+        for _ in range(MAX_BAD_REQUESTS - 1):
             assert (await client.answer())[0] == 400
         assert await client.closed()
 
