--- a/embersill/tiers/forwarder.py
+++ b/embersill/tiers/forwarder.py
@@ -96,6 +96,7 @@
 
     @property
     def fit(self) -> bool:
+        """Whether parts may be lent to the planner."""
         return self.up and not (self.leaving or self.silent)
 
 
@@ -202,6 +203,7 @@
     # called by the driver
 
     def handle(self, event: Event, now: float) -> list[Action]:
+        """Handles an event of the driver and returns actions for it."""
         self.now = max(self.now, now)
         self.actions = []
         if isinstance(event, Request):
@@ -215,12 +217,14 @@
         return self.actions
 
     def arrive(self, request: Request) -> None:
+        """Starts a task for a new request."""
         part = self.parts[part_of(request.customer, len(self.parts))]
         task = Task(request, part, self.now)
         self.tasks[request.id] = task
         self.dispatch(task)
 
     def dispatch(self, task: Task) -> None:
+        """Asks the part's holder about a task, or decides it locally if there is none."""
         part = task.part
         if part.holder is None:
             self.decide_here(task)
@@ -228,6 +232,7 @@
             self.ask(task, part.holder)
 
     def ask(self, task: Task, link: Link) -> None:
+        """Sends a task to a planner, and limits the wait for the planner's acknowledgement."""
         request = task.request
         self.last_ask += 1
         task.ask, task.link = self.last_ask, link
@@ -261,6 +266,7 @@
         heapq.heappush(self.patience, (max(until, self.now + self.terms.patience_least), task.ask))
 
     def attempt_ended(self, event: AttemptEnded) -> None:
+        """Records an attempt's outcome and reports it to whoever decides the task."""
         task = self.tasks.get(event.request)
         if task is None or event.attempt >= len(task.attempts):
             return
@@ -289,6 +295,7 @@
         self.forget(task)
 
     def client_left(self, event: ClientLeft) -> None:
+        """Ends a task whose client disconnected."""
         task = self.tasks.get(event.request)
         if task is None:
             return
@@ -345,6 +352,7 @@
         return kept.units + filled
 
     def allot_local(self, part: Part, customer: str, plan: Plan, kept: Reserved, cap: float | None) -> None:
+        """Sets this forwarder's part of a customer's quota and ceiling in the local module."""
         # quotas are soft: a customer that is new to this forwarder gets at least an even part
         portion = min(ALONE_QUOTA_FACTOR * max(kept.portion, self.share), 1.0)
         ceiling, depth = self.share, max(plan.ceiling_depth * self.share, kept.units)
@@ -392,6 +400,7 @@
             self.outbox[part.holder.name].append(Used(request.customer, request.plan, request.units))
 
     def run_local(self, event: Event) -> None:
+        """Passes an event to the local module and follows its actions."""
         for action in self.local.handle(event, self.now):
             if isinstance(action, Send):
                 task = self.tasks[action.request]
@@ -509,10 +518,12 @@
         link.short_since, link.reachable_since = float("inf"), self.now
 
     def begin(self, now: float) -> None:
+        """Starts a call: advances the time and clears the actions."""
         self.now = max(self.now, now)
         self.actions = []
 
     def echo(self, link: Link, beat: Beat) -> None:
+        """Answers a beat, which renews the loans to the planner."""
         self.outbox[link.name].append(Echo(beat.number))
         link.echoes[beat.number] = link.last_echo = self.now
         while len(link.echoes) > MAX_ECHOES:
@@ -523,6 +534,7 @@
             self.review()
 
     def granted(self, link: Link, grant: Grant, basis: int) -> None:
+        """Starts a granted attempt, unless the grant is no longer fresh."""
         task = self.asks.get(grant.ask)
         if task is None or task.link is not link:
             return  # taken back or over: the planner is or will be notified
@@ -553,6 +565,7 @@
         return min(risky, default=float("inf")) + klass.memory
 
     def answered(self, link: Link, message: Refused | Failed) -> None:
+        """Passes a planner's final answer on to the driver."""
         task = self.asks.get(message.ask)
         if task is None or task.link is not link or task.over:
             return
@@ -566,6 +579,7 @@
         self.forget(task)
 
     def refused(self, task: Task, why: str) -> None:
+        """Counts a refusal by its reason."""
         self.refusals[why] += 1
         if self.on_refused is not None:
             self.on_refused(task.request, why)
@@ -642,12 +656,14 @@
         self.allot_part(part)
 
     def recall(self, part: Part, holder: Link) -> None:
+        """Asks the holder to return a part, once."""
         if not part.recalled:
             self.last_token += 1
             part.recalled, part.recall_until = self.last_token, self.now + self.terms.recall
             self.outbox[holder.name].append(Recall([part.number], part.recalled))
 
     def returned(self, link: Link, token: int) -> None:
+        """The holder has returned its parts: lends them to another planner."""
         for part in self.parts:
             if part.recalled == token and part.holder is link:
                 part.holder, part.recalled = None, 0
--- a/embersill/tiers/frames.py
+++ b/embersill/tiers/frames.py
@@ -15,9 +15,9 @@
 from embersill.tiers.wire import (
     MAX_HANDSHAKE_BYTES,
     FrameReader,
+    HandshakeError,
     PlannerSide,
     Proof,
-    HandshakeError,
     rejection,
 )
 
--- a/embersill/tiers/links.py
+++ b/embersill/tiers/links.py
@@ -16,14 +16,14 @@
 
 from embersill.interface import Action
 from embersill.net.driver import Driver
-from embersill.tiers.carrying import RelayedConnection, ConnectionRelay
+from embersill.tiers.carrying import ConnectionRelay, RelayedConnection
 from embersill.tiers.forwarder import Forwarder
-from embersill.tiers.frames import Dialler, FrameProtocol, AcceptedProtocol
+from embersill.tiers.frames import AcceptedProtocol, Dialler, FrameProtocol
 from embersill.tiers.messages import AnyMessage, BadFrame, Batch
 from embersill.tiers.multipath import DIRECT, Multipath
 from embersill.tiers.parts import weight
 from embersill.tiers.planner import Planner, Session
-from embersill.tiers.wire import ForwarderSide, PlannerSide, Proof, Secret, HandshakeError
+from embersill.tiers.wire import ForwarderSide, HandshakeError, PlannerSide, Proof, Secret
 
 log = logging.getLogger("embersill")
 
@@ -45,6 +45,7 @@
         self.pathless_since = clock()
 
     def join(self, path: str, link: Connection) -> None:
+        """Adds a connection as a path; closes an older one of the same path."""
         older = self.links.pop(path, None)
         if older is not None:
             older.close()
@@ -69,6 +70,7 @@
         self.write()
 
     def receive(self, path: str, frame: bytes) -> list[Batch]:
+        """Takes in a frame; returns the batches that are now next in order."""
         batches = self.multipath.receive(path, frame, self.clock())
         self.write()
         return batches
@@ -96,6 +98,8 @@
 
 
 class PlannerEndpoint(SessionEndpoint):
+    """The planner's end of a session with one forwarder."""
+
     def __init__(self, endpoints: PlannerEndpoints, proof: Proof, token: int) -> None:
         super().__init__(
             endpoints.clock, Multipath(endpoints.core.terms, endpoints.most_frame, endpoints.most_unsent)
@@ -147,6 +151,7 @@
         self.due()
 
     def received(self, endpoint: PlannerEndpoint, batch: Batch) -> None:
+        """Passes a batch to the core."""
         self.core.received(endpoint.session, batch, self.clock())
 
     def lost(self, endpoint: PlannerEndpoint, path: str, link: Connection) -> None:
@@ -157,6 +162,7 @@
             self.due()
 
     def end(self, endpoint: PlannerEndpoint) -> None:
+        """Ends a session and closes its connections."""
         if self.endpoints.get(endpoint.name) is endpoint:
             del self.endpoints[endpoint.name]
             self.core.link_down(endpoint.session, self.clock())
@@ -208,6 +214,7 @@
         self.server.due()
 
     async def carry(self, proof: Proof) -> None:
+        """Relays the connection to another planner, or closes it if that can't be reached."""
         assert self.transport is not None
         made = await self.server.relay.begin(proof.name, proof.to, self.transport)
         if made is None:
@@ -275,11 +282,13 @@
         )
 
     async def start(self, address: tuple[str, int]) -> None:
+        """Starts to listen, and the timers."""
         self.server = await self.loop.create_server(lambda: PlannerLink(self), *address)
         self.tick()
 
     @property
     def port(self) -> int:
+        """The port that it listens on."""
         assert self.server is not None
         return int(self.server.sockets[0].getsockname()[1])
 
@@ -306,6 +315,7 @@
         self.sessions.flush()
 
     def timer_due(self, key: str, due: float) -> None:
+        """Passes a timer of the core on."""
         self.core.timer_due(key, due, max(self.clock(), due))
         self.due()
 
@@ -338,6 +348,7 @@
         self.side = self.side_to(line.planner if not via else via, to=line.planner if via else "")
 
     def side_to(self, planner: str, to: str = "") -> ForwarderSide:
+        """The handshake with a planner; `to` asks it to relay."""
         links = self.links
         return ForwarderSide(
             links.secret,
@@ -407,12 +418,14 @@
         self.endpoint = self.new_endpoint()
 
     def new_endpoint(self) -> SessionEndpoint:
+        """An endpoint for the next session."""
         links = self.links
         return SessionEndpoint(
             links.clock, Multipath(links.core.terms, links.most_frame, links.most_unsent, beats=True)
         )
 
     def join(self, link: Dialled, incarnation: str, token: int) -> None:
+        """Adds an authenticated connection; the first one starts the session."""
         if link.number != self.number:  # belongs to a session that has ended meanwhile
             return link.close()
         if self.token and token != self.token:  # the planner has ended the session
@@ -426,6 +439,7 @@
         return self.endpoint.join(link.via, link)
 
     def receive(self, link: Dialled, frame: bytes) -> None:
+        """Takes in a frame; an invalid one ends the session and raises BadFrame."""
         if link.number != self.number or not self.token:
             return
         try:
@@ -437,6 +451,7 @@
             self.links.heard(self.planner, batch)
 
     def leave(self, link: Dialled) -> None:
+        """Removes a connection that has ended."""
         if link.number == self.number and self.endpoint.leave(link.via, link) and not self.endpoint.links:
             self.links.perform(self.links.core.link_lost(self.planner, self.links.clock()))
 
@@ -486,6 +501,7 @@
         return sorted(others, key=lambda name: weight(0, f"{self.name} {planner} {name}"))[: self.helpers]
 
     def start(self, driver: Driver) -> None:
+        """Dials all planners, directly and over relays, and starts the timer."""
         self.driver = driver
         for planner in self.planners:
             line = self.lines[planner] = ForwarderLine(self, planner)
@@ -496,6 +512,7 @@
         self.tick()
 
     def handle(self, event: object, now: float) -> list[Action]:
+        """Handles an event of the driver."""
         actions = self.core.handle(event, now)  # type: ignore[arg-type]
         self.due()
         return actions
--- a/embersill/tiers/planner.py
+++ b/embersill/tiers/planner.py
@@ -67,7 +67,7 @@
 )
 from embersill.tiers.parts import part_of
 from embersill.tiers.reasons import limiting_factor
-from embersill.tiers.reserves import PLANNER_MIN_LEVEL, Demand, rebalance, depth_left, max_reserved
+from embersill.tiers.reserves import PLANNER_MIN_LEVEL, Demand, depth_left, max_reserved, rebalance
 from embersill.tiers.terms import MAX_CLOCK_DRIFT, Terms
 
 OUTCOMES = {outcome.value: outcome for outcome in Outcome}
@@ -103,6 +103,8 @@
 
 @dataclass(slots=True)
 class Lender:
+    """A forwarder's loan of its share of one part."""
+
     session: Session
     free_at: float  # from when its share may be spent here
     known_since: float  # from when its spends are reported, on this clock
@@ -114,11 +116,14 @@
 
     @property
     def until(self) -> float:
+        """When the loan ends."""
         return max(self.session.loan_until, self.bequest_until)
 
 
 @dataclass(slots=True)
 class Part:
+    """A planner's state of one part of the customers."""
+
     number: int
     lenders: dict[str, Lender] = field(default_factory=dict)  # by forwarder
     customers: dict[str, str] = field(default_factory=dict)  # seen by this process, with their plans
@@ -133,6 +138,8 @@
 
 @dataclass(slots=True)
 class Job:
+    """A request that this planner decides."""
+
     session: Session
     ask: int
     part: Part
@@ -280,12 +287,14 @@
     # requests
 
     def part_for(self, session: Session, customer: str) -> Part:
+        """The part of a customer; raises BadFrame if the forwarder does not lend it."""
         part = self.parts[part_of(customer, len(self.parts))]
         if session.name not in part.lenders:
             raise BadFrame("request for a part that is not lent")
         return part
 
     def asked(self, session: Session, ask: Ask) -> None:
+        """Decides a new request, or queues it just after its part was taken over."""
         session.acked = max(session.acked, ask.ask)
         part = self.part_for(session, ask.customer)
         self.counts["asks"] += 1
@@ -299,6 +308,7 @@
             self.decide(session, ask, part, self.now)
 
     def decide(self, session: Session, ask: Ask, part: Part, came: float) -> None:
+        """Passes a new request to the module; refuses it at the bound on open requests."""
         left = ask.left - (self.now - came)
         if len(self.jobs) >= self.most_open:
             longest = self.settings.max_retry_after if self.settings.retry_after else 0.0
@@ -310,6 +320,7 @@
         self.record_demand(session, part, ask)
 
     def job(self, session: Session, ask: Ask | Open, part: Part, left: float) -> Job:
+        """Registers a request under a new number of the module."""
         self.last_job += 1
         request = Request(
             self.last_job, ask.klass, ask.plan, ask.customer, self.now + left, ask.units, 1, 0, ask.repeat
@@ -319,6 +330,7 @@
         return job
 
     def opened(self, session: Session, ask: Open) -> None:
+        """Continues a request that another process has decided so far."""
         session.acked = max(session.acked, ask.ask)
         part = self.part_for(session, ask.customer)
         self.counts["opens"] += 1
@@ -338,6 +350,7 @@
         self.forget(job.request.id)
 
     def left(self, session: Session, ask: int) -> None:
+        """Drops a request that the forwarder no longer asks about."""
         number = session.asks.get(ask)
         if number is not None:
             return self.drop(number)
@@ -345,6 +358,7 @@
         return None
 
     def ended(self, session: Session, ended: Ended) -> None:
+        """Passes an attempt's outcome to the module."""
         number = session.asks.get(ended.ask)
         if number is None:
             return  # its end crossed a message about it from here
@@ -421,16 +435,19 @@
                 )
 
     def forget(self, number: int) -> None:
+        """Forgets a request that the module has finished."""
         job = self.jobs.get(number)
         if job is not None and number not in self.gateway.jobs:
             del self.jobs[number]
             job.session.asks.pop(job.ask, None)
 
     def run_module(self, event: Event) -> None:
+        """Passes an event to the module and follows its actions."""
         for action in self.gateway.handle(event, self.now):
             self.act(action)
 
     def act(self, action: Action) -> None:
+        """Sends an action of the module to the request's forwarder, or schedules its timer."""
         if isinstance(action, SetTimer):
             self.timers.append((action.delay, action.key))
             return
@@ -499,10 +516,12 @@
     # loans
 
     def spent(self, session: Session, message: Spent) -> None:
+        """Keeps reported spends until the Lend that follows them."""
         for customer, _, spends in message.customers:
             session.spends[customer] = [(self.now - age, units) for age, units in spends]
 
     def lend(self, session: Session, message: Lend) -> None:
+        """Takes loans over, with the spends and reserves reported before them."""
         if not all(0 <= number < len(self.parts) for number in message.parts):
             raise BadFrame("no such part")
         spends: dict[int, dict[str, list[tuple[float, float]]]] = {n: {} for n in message.parts}
@@ -670,6 +689,7 @@
         return part
 
     def used(self, session: Session, message: Used) -> None:
+        """Records units that a forwarder spent of its reserve."""
         part = self.reserve_left(session, message.customer, message.units)
         plan = self.plans.get(message.plan)
         if part is None or plan is None:
@@ -679,6 +699,7 @@
             self.allot(part, message.customer, plan)
 
     def yielded(self, session: Session, message: Yielded) -> None:
+        """Takes returned reserve units back into the planner's level."""
         part = self.reserve_left(session, message.customer, message.units)
         throttle = self.gateway.throttles.get(message.customer)
         if part is not None and throttle is not None:
@@ -702,6 +723,7 @@
         self.allot(part, customer, plan, cap, level)
 
     def usable(self, part: Part) -> list[Lender]:
+        """The loans of a part whose shares may be spent now."""
         return [
             lender
             for lender in part.lenders.values()
@@ -715,6 +737,7 @@
         return proven_at(lender.session) >= part.changed_at  # a stopped forwarder can't show it any more
 
     def recall(self, session: Session, message: Recall) -> None:
+        """A forwarder takes parts back, with their requests."""
         wanted = set(message.parts)
         for number in [n for n in session.asks.values() if self.jobs[n].part.number in wanted]:
             self.drop(number)
@@ -725,6 +748,7 @@
             session.outbox.append(Returned(message.token))
 
     def bequeath(self, session: Session) -> None:
+        """A forwarder stops cleanly: its shares may be spent for `bequest` after its last echo."""
         echoed = session.beats.get(session.echoed)
         if echoed is None:
             return
@@ -735,6 +759,7 @@
         self.review_at = self.now
 
     def unlend(self, part: Part, session: Session) -> None:
+        """Ends a forwarder's loan of a part."""
         self.backlog = deque(w for w in self.backlog if w[0] is not session or w[2] is not part)
         lender = part.lenders.get(session.name)
         if lender is None or lender.session is not session:
@@ -768,6 +793,7 @@
     # timers
 
     def echoed(self, session: Session, number: int) -> None:
+        """Extends a forwarder's loans from the sending time of the echoed beat."""
         sent = session.beats.get(number)
         if sent is None:
             return
@@ -784,6 +810,7 @@
                 self.confirm()
 
     def beat(self, session: Session) -> None:
+        """Sends a beat to a forwarder and remembers when."""
         session.last_beat += 1
         session.beats[session.last_beat] = self.now
         while len(session.beats) > MAX_BEATS:
@@ -857,6 +884,7 @@
             session.outbox.append(Leaving())
 
     def holds_nothing(self) -> bool:
+        """Whether no part is lent here any more."""
         return not any(part.lenders for part in self.parts)
 
     def status(self) -> dict[str, object]:
--- a/embersill/tiers/wire.py
+++ b/embersill/tiers/wire.py
@@ -31,6 +31,8 @@
 
 
 class Challenge(msgspec.Struct, array_like=True, frozen=True, tag="challenge"):
+    """The planner's first frame: who it is, and a nonce for the forwarder's proof."""
+
     magic: str
     version: int
     name: str
@@ -66,6 +68,8 @@
 
 
 class Rejected(msgspec.Struct, array_like=True, frozen=True, tag="turned"):
+    """The planner's answer to a handshake that fails."""
+
     reason: str
 
 
--- a/tests/tiers/test_takeover.py
+++ b/tests/tiers/test_takeover.py
@@ -12,7 +12,7 @@
 from embersill.tiers.forwarder import Forwarder
 from embersill.tiers.messages import Batch, Grant, Recall, Refused, Reserve
 from embersill.tiers.parts import part_of
-from embersill.tiers.reserves import Demand, rebalance, depth_left, max_reserved
+from embersill.tiers.reserves import Demand, depth_left, max_reserved, rebalance
 from tests.tiers.helpers import PARTS, TERMS, Bench, backends
 
 
