--- a/embersill/council/links.py
+++ b/embersill/council/links.py
@@ -14,7 +14,7 @@
 
 from embersill.council.messages import VERSION, Answer, Question, Reply, packed, read_question, read_reply
 from embersill.council.terms import CouncilTerms
-from embersill.tiers.frames import Dialler, FrameProtocol, AcceptedProtocol
+from embersill.tiers.frames import AcceptedProtocol, Dialler, FrameProtocol
 from embersill.tiers.messages import BadFrame
 from embersill.tiers.wire import ForwarderSide, PlannerSide, Secret, digest_of, length_prefixed
 
--- a/embersill/lab/levels/nodes.py
+++ b/embersill/lab/levels/nodes.py
@@ -33,7 +33,7 @@
 from embersill.tiers.messages import AnyMessage, BadFrame, Batch, Grant, Lend
 from embersill.tiers.planner import Planner, Session
 from embersill.tiers.terms import MAX_CLOCK_DRIFT
-from embersill.tiers.wire import FrameReader, BatchSequence, pack
+from embersill.tiers.wire import BatchSequence, FrameReader, pack
 from embersill.world.kernel import Node
 from embersill.world.network import Stream
 from embersill.world.records import Answered, Asked, Dropped, Ended, Told, Written
--- a/embersill/lab/levels/paths.py
+++ b/embersill/lab/levels/paths.py
@@ -14,7 +14,7 @@
 from embersill.tiers.links import ForwarderLine, PlannerEndpoint, PlannerEndpoints
 from embersill.tiers.messages import AnyMessage, BadFrame, Batch
 from embersill.tiers.multipath import DIRECT
-from embersill.tiers.wire import MAGIC, NONCE_BYTES, FrameReader, Proof, HandshakeError
+from embersill.tiers.wire import MAGIC, NONCE_BYTES, FrameReader, HandshakeError, Proof
 from embersill.world.kernel import Node
 from embersill.world.network import Stream
 
--- a/tests/ratelimit/test_agreement.py
+++ b/tests/ratelimit/test_agreement.py
@@ -1,4 +1,4 @@
-"""The same sequence through the gateway's throttle, a service that it asks, and a client that asks it."""
+"""The same sequence of requests through the throttle, a queried service, and a querying client."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     async def test() -> None:
         told = await compare(1500)
         assert told["asking_differs"] == told["asked_differs"] == 0, told
-        assert 0.2 * 1500 < told["passed"] < 0.8 * 1500  # limits bind, and let through
+        assert 0.2 * 1500 < told["passed"] < 0.8 * 1500  # the limits take effect, and admit requests
         assert 0.0 <= told["ceiling_lowest"] < 3.0
 
     run(test)
@@ -26,7 +26,7 @@
 
     def forgets(number: int, send: object, one: Try) -> AttemptEnded:
         nonlocal calls
-        calls += 1  # by turns the first and the second door's: only one of them forgets to settle
+        calls += 1  # alternates between the two entry points: only one of them skips settlement
         return served(number, send, Try(one.at, one.customer, one.plan, one.units, 0) if calls % 2 else one)  # type: ignore[arg-type]
 
     monkeypatch.setattr(agreement, "served", forgets)
--- a/tests/ratelimit/test_answering.py
+++ b/tests/ratelimit/test_answering.py
@@ -1,4 +1,4 @@
-"""Questions: rules, bounds, all or nothing, and one throttle for requests and questions alike."""
+"""Queries: rules, bounds, all or nothing, and one throttle shared by requests and queries."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
     Take,
     Verdict,
 )
-from embersill.rig.settings import lab_settings
 from embersill.ratelimit.answering import Answering, BadQuestion, Descriptor, Override, per_unit
 from embersill.ratelimit.settings import RateLimitTable, check_names, check_ratelimit
+from embersill.rig.settings import lab_settings
 
 CUSTOMER, OTHER = "00000000000000c1", "00000000000000c2"
 RULES: list[dict[str, Any]] = [
@@ -53,7 +53,7 @@
 
 
 class Desk:
-    """A gateway with one width, and questions put to it at chosen times."""
+    """A gateway of width one, queried at chosen times."""
 
     def __init__(self, **changes: Any) -> None:
         self.settings = replace(lab_settings(1), counter=False)
@@ -84,7 +84,7 @@
 
 def test_a_question_takes_its_units_from_the_throttle_of_requests() -> None:
     desk = Desk()
-    answer = desk.ask(of(api="report"), hits=3)  # two units a hit
+    answer = desk.ask(of(api="report"), hits=3)  # two units per hit
     assert answer.ok and desk.level() == 18.0
     status = answer.statuses[0]
     assert (status.requests_per_unit, status.unit, status.remaining) == (12, 1, 18)
@@ -100,7 +100,7 @@
     desk = Desk()
     assert not desk.ask(of(plan="pro", hits=20), of(OTHER, plan="pro", hits=25)).ok
     assert desk.level() == 24.0 and desk.level(OTHER) == 24.0
-    # the same customer twice: what the first takes is not there for the second
+    # the same customer twice: the second can't use what the first takes
     assert not desk.ask(of(plan="pro", hits=20), of(plan="pro", hits=20)).ok
     assert desk.level() == 24.0
     assert desk.ask(of(plan="pro", hits=12), of(plan="pro", hits=12)).ok and desk.level() == 0.0
@@ -124,7 +124,7 @@
     desk = Desk()
     answer = desk.ask(of(plan="pro", hits=0))
     assert answer.ok and answer.statuses[0].remaining == 24 and desk.level() == 24.0
-    assert desk.ask(of(plan="pro"), hits=0).ok and desk.level() == 23.0  # unset stands for one
+    assert desk.ask(of(plan="pro"), hits=0).ok and desk.level() == 23.0  # unset counts as one
 
 
 @pytest.mark.parametrize("hits", [25, 1000, 2**32 - 1])
--- a/tests/ratelimit/test_asking.py
+++ b/tests/ratelimit/test_asking.py
@@ -1,4 +1,4 @@
-"""Verdicts in time, late, twice, contrary and never: what each does to the request and to what is settled."""
+"""Verdicts in time, late, doubled, contradictory or missing: their effect on the request and the account."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     Send,
     Status,
 )
-from embersill.rig.settings import lab_settings
 from embersill.ratelimit.asking import Asking, Call, Ruling
 from embersill.ratelimit.settings import AskTable, RateLimitTable, check_names, check_ratelimit
+from embersill.rig.settings import lab_settings
 
 OK, OVER = Ruling(True), Ruling(False, 0.5)
 
@@ -39,7 +39,7 @@
 
 
 class Play:
-    """A gateway with services asked in front of it, whose answers a test gives by hand."""
+    """A gateway behind `Asking`, with the services' answers given by the test."""
 
     def __init__(self, backends: int = 1, **changes: Any) -> None:
         self.settings = replace(lab_settings(1), counter=False)
@@ -126,7 +126,7 @@
         play.ask(number)
         play.rule(play.calls()[0], OK)
     assert [play.of(n) for n in range(1, 6)] == [["Send"]] * 3 + [["Refuse"]] * 2
-    # the service took eight: six were used, and two are credited, as those of the fourth went off the fifth
+    # the service charged eight: six were used and two credited, since the fourth's came off the fifth
     assert play.due() == -2.0
 
 
@@ -135,17 +135,17 @@
     play.ask(1)
     (call,) = play.calls()
     play.wait(0.2)
-    assert play.of(1) == ["Send"]  # by the gateway's own share
+    assert play.of(1) == ["Send"]  # within the gateway's own share
     play.rule(call, OK)
     play.serve(1)
     assert play.of(1) == ["Send"] and play.due() == 0.0 and not play.asking.pending
     play.ask(2)
     (call,) = play.calls()
     play.wait(0.2)
-    play.rule(call, OVER)  # no refusal after the fact, but its news holds for the next
+    play.rule(call, OVER)  # too late to refuse this request, but remembered for the next
     assert play.of(2) == ["Send"]
     play.serve(2)
-    assert play.due() == 2.0  # used, and no service charged it
+    assert play.due() == 2.0  # used without a charge
     play.ask(3)
     (call,) = play.calls()
     assert call.hits == 4
@@ -173,7 +173,7 @@
     play = Play()
     play.ask(1)
     calls = play.calls()
-    play.wait(0.06)  # the first service is late: the other is asked too
+    play.wait(0.06)  # the first service is late: the other is also asked
     calls += play.calls()
     assert [c.service for c in calls] == ["a:1", "b:1"]
     play.rule(calls[first], verdicts[0])
@@ -222,7 +222,7 @@
         play.ask(number, customer=f"c{number}")
         play.rule(play.calls()[0], None)
     play.ask(4)
-    assert not play.calls() and play.of(4)  # no time is lost on it
+    assert not play.calls() and play.of(4)  # it is skipped at once
     play.wait(1.1)
     play.ask(5)
     (probe,) = play.calls()
@@ -249,7 +249,7 @@
     (call,) = play.calls()
     assert call.hits == 5 and play.due() == 0.0
     play.rule(call, OVER)
-    assert play.due() == 3.0  # nothing was taken: it is still due
+    assert play.due() == 3.0  # nothing was charged: still due
     play = Play(settle="ask")
     play.ask(1)
     play.rule(play.calls()[0], OK)
@@ -281,7 +281,7 @@
     play.asking.services[0].open_until = 0.0
     play.wait(20.0)
     play.ask(500, units=4.0)
-    assert play.calls()[0].hits <= 24  # never more than the burst: else no service could grant it
+    assert play.calls()[0].hits <= 24  # at most the burst: otherwise no service could grant it
 
 
 def test_a_client_that_leaves_while_it_waits_costs_nothing() -> None:
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -1,4 +1,4 @@
-"""Over loopback: stock and hostile clients at our listener, and our asking at services that misbehave."""
+"""Over loopback: standard and hostile clients at the listener, and queries to misbehaving services."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 from embersill.control import Gateway
 from embersill.interface import Action, Backend, BackendList, ListKind, Question, Request, Status, Verdict
-from embersill.rig.deployment import Deployment, Shape
-from embersill.rig.processes import free_ports
 from embersill.lab.limiter import Limiter
-from embersill.rig.settings import lab_settings
-from embersill.rig.standins import HOST
 from embersill.ratelimit.answering import Answering
 from embersill.ratelimit.client import AskingGateway
 from embersill.ratelimit.server import SERVICE, RateLimitServer
 from embersill.ratelimit.settings import RateLimitTable
+from embersill.rig.deployment import Deployment, Shape
+from embersill.rig.processes import free_ports
+from embersill.rig.settings import lab_settings
+from embersill.rig.standins import HOST
 from tests.peers import SOON
 
 CUSTOMER = "00000000000000c1"
@@ -58,7 +58,7 @@
 
 
 class Listener:
-    """Our service with a gateway behind it."""
+    """The rate limit service with a gateway behind it."""
 
     def __init__(self, **changes: Any) -> None:
         self.gateway = Gateway(replace(lab_settings(1), counter=False), 1, 0.0)
@@ -67,7 +67,7 @@
         assert table is not None
         self.answering = Answering(table, self.gateway.settings, self.decide)
         self.server = RateLimitServer(table, self.answering)
-        self.now = 100.0  # stands still: verdicts don't hang on how fast the test is
+        self.now = 100.0  # constant, so that verdicts don't depend on the test's speed
 
     def decide(self, asked: Question) -> Verdict:
         return next(a for a in self.gateway.handle(asked, self.now) if isinstance(a, Verdict))
@@ -136,7 +136,7 @@
                 await status_of(channel.unary_unary(f"/{SERVICE}/Nothing")(b""))
                 is grpc.StatusCode.UNIMPLEMENTED
             )
-            assert (await ask(question(1))).overall_code == CODES.OK  # others are undisturbed
+            assert (await ask(question(1))).overall_code == CODES.OK  # other clients are not affected
 
     run(test)
 
@@ -145,7 +145,7 @@
     async def test() -> None:
         async with listening(most_open=100_000) as (listener, channel):
             ask = rls_pb2_grpc.RateLimitServiceStub(channel).ShouldRateLimit
-            # more than the bound of streams at once: they wait, or are refused with a status of their own
+            # more concurrent streams than the bound: they wait, or are refused with their own status
             answers = await asyncio.gather(*(ask(question(1)) for _ in range(2000)), return_exceptions=True)
             given = [a for a in answers if not isinstance(a, BaseException)]
             refused = [a for a in answers if isinstance(a, grpc.aio.AioRpcError)]
@@ -191,7 +191,7 @@
 
 
 class Asker:
-    """A gateway that asks services, and what it does with requests."""
+    """A gateway that queries services, and its actions on requests."""
 
     def __init__(self, *addresses: str, **changes: Any) -> None:
         loop = asyncio.get_running_loop()
@@ -238,7 +238,7 @@
         return await self.answers[number]
 
     async def idle(self) -> None:
-        """Until no call is out: late answers have been heard."""
+        """Waits until no call is in flight and late answers have been handled."""
         while self.asking.tasks:
             await asyncio.wait(list(self.asking.tasks))
 
@@ -305,13 +305,13 @@
             limiter.script = [never]
             dying = asyncio.ensure_future(asker.ask(5))
             await limiter.until_asked(5)
-            await limiter.stop(0.0)  # GOAWAY, and its stream is broken off
+            await limiter.stop(0.0)  # GOAWAY, and the stream is aborted
             assert await dying == "Refuse"
             assert await asker.ask(6) == "Refuse"  # refused connections
             fresh = Limiter({"pro": (12.0, 24.0)}, lambda: 100.0)
             await fresh.start(limiter.port)
             number = 7
-            while await asker.ask(number) != "Send":  # the channel is dialled again
+            while await asker.ask(number) != "Send":  # the channel reconnects
                 number += 1
                 await asyncio.sleep(0.05)
             assert fresh.buckets.taken[CUSTOMER] >= 2.0
@@ -337,7 +337,7 @@
             await asker.idle()
             assert asker.told == [(1, "Send")]
             assert asker.asking.asking.counts["late"] == 1
-            assert asker.asking.asking.accounts[CUSTOMER].due == 0.0  # charged there, and used
+            assert asker.asking.asking.accounts[CUSTOMER].due == 0.0  # charged by the service, and used
             await asker.asking.close()
 
     run(test)
@@ -376,7 +376,7 @@
 
 
 async def until_led(deployment: Deployment, planners: int) -> None:
-    """Waits until a forwarder follows its planner in all parts: before that it asks nobody."""
+    """Waits until a forwarder follows its planner for all parts: before that it asks no planner."""
     async with asyncio.timeout(SOON):
         while planners and set(deployment.members["g0"].status.get("holders", {""})) != {"p0"}:
             await asyncio.sleep(0.01)
@@ -397,14 +397,14 @@
             async with grpc.aio.insecure_channel(f"{HOST}:{port}") as channel:
                 ask = rls_pb2_grpc.RateLimitServiceStub(channel).ShouldRateLimit
                 answer = await ask(question(20), wait_for_ready=True)
-                while answer.overall_code != CODES.OK:  # its part of the ceiling fills from its start
+                while answer.overall_code != CODES.OK:  # its part of the ceiling fills from its start on
                     answer = await ask(question(20))
                 assert (await ask(question(20))).overall_code == CODES.OVER_LIMIT
                 member = deployment.members["p0" if planners else "g0"]
                 member.send(signal.SIGTERM)
                 calls = [asyncio.ensure_future(status_of(ask(question(1)))) for _ in range(20)]
                 codes = set(await asyncio.gather(*calls))
-                # those that cross the stop are turned away by the library, in either of its words
+                # calls that arrive during the stop are refused by the library, with either of its messages
                 assert codes <= {grpc.StatusCode.OK, grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.CANCELLED}
                 assert await member.ended() == 0
                 with pytest.raises(ConnectionRefusedError), socket.socket() as probe:
--- a/tests/tiers/helpers.py
+++ b/tests/tiers/helpers.py
@@ -1,4 +1,4 @@
-"""Cores side by side with a perfect network, for tests that choose every moment themselves."""
+"""Forwarder and planner cores on a perfect network, for tests that control every step."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Bench:
-    """Forwarders and planners on one clock; what is said is brought over only when a test says so."""
+    """Forwarders and planners on one clock; messages are delivered only when a test says so."""
 
     def __init__(self, forwarders: int = 2, planners: int = 2, settings: Settings | None = None) -> None:
         self.settings = settings or lab_settings(forwarders)
@@ -92,7 +92,7 @@
         self.run(0.3)
 
     def cut(self, forwarder: str, planner: str, forwarder_sees: bool = True) -> None:
-        """The link is gone; the planner hears nothing of it unless a test tells it."""
+        """Cuts a link; the planner does not notice unless a test tells it."""
         self.sessions.pop((forwarder, planner))
         if forwarder_sees:
             self.did(forwarder, self.forwarders[forwarder].link_down(planner, self.now))
@@ -102,7 +102,7 @@
         self.timers += [(self.now + a.delay, forwarder, a.key) for a in actions if isinstance(a, SetTimer)]
 
     def fire(self, frozen: tuple[str, ...]) -> None:
-        """The timers that are due, but for those of the frozen."""
+        """Fires the timers that are due, except those of frozen processes."""
         for name, planner in self.planners.items():
             self.timers += [(self.now + delay, name, key) for delay, key in planner.timers]
             planner.timers.clear()
@@ -130,7 +130,7 @@
         )
 
     def exchange(self) -> None:
-        """Everything said so far arrives, both ways, until nothing more is said."""
+        """Delivers all messages both ways, for four rounds."""
         for _ in range(4):
             for forwarder, planner in list(self.sessions):
                 self.to_planner(forwarder, planner)
@@ -140,7 +140,7 @@
     def run(
         self, seconds: float, frozen: tuple[str, ...] = (), each: Callable[[], None] | None = None
     ) -> None:
-        """Time goes by in small steps, beats and ticks included, but for those that are frozen."""
+        """Advances the time in small steps with beats and ticks, except for frozen processes."""
         end = self.now + seconds
         while self.now < end:
             self.now += TERMS.beat_every / 2
@@ -172,7 +172,7 @@
         self.did(forwarder, self.forwarders[forwarder].handle(request, self.now))
 
     def serve(self) -> None:
-        """Every attempt that is out gets its answer."""
+        """Answers every attempt in flight."""
         for name in self.names:
             for send in [a for a in self.actions[name] if isinstance(a, Send)]:
                 attempts = [a for a in self.sends(name, send.request)]
--- a/tests/tiers/test_ledger.py
+++ b/tests/tiers/test_ledger.py
@@ -1,4 +1,4 @@
-"""What is left of a ceiling by its spends alone, and how customers are dealt out."""
+"""The ledger's lower bound of a ceiling's level, and the distribution of customers over planners."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(st.tuples(st.floats(0.0, 0.6), st.floats(0.1, 8.0)), max_size=120))
 def test_a_replay_never_tells_of_more_than_is_left(spends: list[tuple[float, float]]) -> None:
-    """A true bucket lets some of the spends through; the ledger that saw them must not claim more."""
+    """A real bucket admits some of the spends; the replay of these must not exceed the bucket's level."""
     now, level, ledger = 100.0, PRO.ceiling_depth, Ledger((PRO,), 100, 100.0)
     for wait, units in spends:
         now += wait
@@ -33,7 +33,7 @@
 
 def test_a_quiet_customer_has_all_of_its_ceiling() -> None:
     assert replay(40.0, 20.0, horizon_of(PRO), 0.0, []) == 40.0
-    assert replay(40.0, 20.0, 1.0, 0.0, []) == 20.0  # known for a second only
+    assert replay(40.0, 20.0, 1.0, 0.0, []) == 20.0  # the record covers one second only
 
 
 def test_a_ledger_at_its_bound_says_since_when_it_knows_all() -> None:
@@ -41,7 +41,7 @@
     for number in range(5):
         ledger.record(f"c{number}", "pro", 1.0, 101.0 + number / 10)
     assert len(ledger.spends) == 3
-    assert ledger.since == 101.1  # the last spend of those that were dropped
+    assert ledger.since == 101.1  # the last spend of the dropped customers
     ledger.record("x", "free", 1.0, 102.0)
     assert "x" not in ledger.spends
 
@@ -96,13 +96,13 @@
 
 
 def test_what_came_nowhere_is_taken_out_and_not_given_back() -> None:
-    """A ledger that begins late stands at nought where the true bucket held the units: it never took them."""
+    """A replay that starts late is at zero where the real bucket held the units: it never deducted them."""
     ledger = Ledger((PRO,), 100, 100.0)
     ledger.record("c", "pro", 8.0, 100.1)
     ledger.record("c", "pro", 1.0, 100.1)
     ledger.cancel_spend("c", 8.0, 100.1)
     told = replay(PRO.ceiling_depth, PRO.ceiling_rate, 0.1, 0.0, ledger.spends_of("c", 100.1))
-    assert abs(told - 1.0) < 1e-9  # 0.1 s of 20 a second, less the one; a refund would tell of 9
-    ledger.cancel_spend("c", 8.0, 100.1)  # not there any more: nothing happens
+    assert abs(told - 1.0) < 1e-9  # 0.1 s at 20 per second, less one unit; a refund would give 9
+    ledger.cancel_spend("c", 8.0, 100.1)  # already removed: no effect
     ledger.cancel_spend("c", 1.0, 100.1)
     assert ledger.spends_of("c", 100.1) == [] and ledger.report(0, 100.1) == []
--- a/tests/tiers/test_links.py
+++ b/tests/tiers/test_links.py
@@ -1,4 +1,4 @@
-"""Links over real sockets, and whole deployments of processes in trouble."""
+"""Links over real sockets, and whole deployments of processes under faults."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Linked:
-    """A forwarder's end of a link, by hand."""
+    """A forwarder's end of a link, driven by the test."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.frames = reader, writer, FrameReader(1 << 20)
@@ -125,11 +125,11 @@
     [
         (1 << 19).to_bytes(4, "big"),
         length_prefixed(b"\x00"),
-        pack(Batch(9999, 0, 0, [])),  # far too many are missing
-        pack(Batch(1, 0, 0, [], 99)),  # of which none was sent
-        pack(Batch(0, 0, 0, [Lend([1], 0.0, 0.0)])),  # out of order
+        pack(Batch(9999, 0, 0, [])),  # too far ahead of the sequence
+        pack(Batch(1, 0, 0, [], 99)),  # acknowledges batches that were never sent
+        pack(Batch(0, 0, 0, [Lend([1], 0.0, 0.0)])),  # not allowed outside the sequence
         pack(Batch(1, 0, 0, [Lend([99], 0.0, 0.0)])),
-        pack(Batch(1, 0, 0, [Ask(1, "lookup", "free", "c", 1.0, 1.0, False)])),  # of a part that is not lent
+        pack(Batch(1, 0, 0, [Ask(1, "lookup", "free", "c", 1.0, 1.0, False)])),  # for a part that is not lent
     ],
 )
 def test_a_member_that_breaks_the_form_loses_its_link_and_no_more(text: bytes) -> None:
@@ -161,7 +161,7 @@
 
 
 class NoDriver:
-    """Stands where a forwarder's driver does."""
+    """Stands in for a forwarder's driver."""
 
     def perform(self, actions: object) -> None: ...
 
@@ -232,7 +232,7 @@
         told = await played(deployment, 7.0, trouble_every=1.2, drain_every=0.7)
         assert not broken(told) and not told["bad_ends"], told
         assert deployment.books.counts["planner_kills"] and deployment.books.counts["planner_pauses"]
-        # and by the checkers that judge the worlds, over what clients and backends saw
+        # and by the simulation's checkers, on what clients and backends saw
         books = deployment.books
         rules = Rules(books.rule_terms(), lambda customer: customer)
         assert judge(sorted(books.records, key=lambda record: record[0]), rules) is None
@@ -370,10 +370,10 @@
 
         first = await carried("p0")
         assert set(end.endpoints["f0"].links) == {"p1"}
-        again = await carried("p0")  # one for each forwarder and planner
+        again = await carried("p0")  # only one per forwarder and planner
         assert await first.closed() and len(helper.relay.carried) == 1
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
-            await carried("p2")  # nobody is there
+            await carried("p2")  # no planner listens there
         assert len(helper.relay.carried) == 1
         end.close()
         assert await again.closed() and not helper.relay.carried
--- a/tests/tiers/test_multipath.py
+++ b/tests/tiers/test_multipath.py
@@ -24,14 +24,14 @@
 
 
 class Net:
-    """Two ends, and paths between them that are cut, swallow one direction or are late. As TCP, in order."""
+    """Two ends, and paths that are cut, drop one direction or delay. Each path is ordered, like TCP."""
 
     def __init__(self, names: tuple[str, ...], seed: int = 0, most_unsent: int = 1 << 20) -> None:
         self.chance = random.Random(seed)
         self.now = 0.0
         self.ends = [Multipath(TERMS, 1 << 18, most_unsent) for _ in range(2)]
         self.names, self.up = names, set[str]()
-        self.swallowed: set[tuple[str, int]] = set()  # path and the end that sends
+        self.swallowed: set[tuple[str, int]] = set()  # path and sending end
         self.late: dict[str, float] = {}
         self.queues: dict[tuple[str, int], list[tuple[float, bytes]]] = {}
         self.said, self.heard = [0, 0], [list[int](), list[int]()]
@@ -44,7 +44,7 @@
             end.join(name, self.now)
 
     def cut(self, name: str) -> None:
-        """What is on the way is lost, and both ends see it."""
+        """Loses what is in flight; both ends notice."""
         self.up.discard(name)
         for sender, end in enumerate(self.ends):
             self.queues.pop((name, sender), None)
@@ -70,7 +70,7 @@
                     self.heard[1 - sender] += [m.ask for m in batch.messages if isinstance(m, Left)]
 
     def run(self, seconds: float, every: float = 0.05, silent: tuple[int, ...] = ()) -> None:
-        """Both ends speak and look after their paths once in `every`."""
+        """Both ends send, and check their paths, once per `every`."""
         end, due = self.now + seconds, self.now
         while self.now < end:
             if self.now >= due:
@@ -95,7 +95,7 @@
     for end in net.ends:
         assert end.used is not None and end.used.name == DIRECT
         assert end.resent == end.switched == 0 and len(end.unacked) <= 2
-        assert 3 <= end.last_probe <= 5  # one a second
+        assert 3 <= end.last_probe <= 5  # one per second
 
 
 def test_a_cut_path_loses_nothing_and_the_other_takes_over_at_once() -> None:
@@ -104,7 +104,7 @@
     for sender in (0, 1):
         net.send(sender)
     net.step(0.0001)
-    net.cut(DIRECT)  # with a batch on it each way
+    net.cut(DIRECT)  # with a batch in flight each way
     net.step()
     net.step()
     assert net.whole()
@@ -123,11 +123,11 @@
     net.swallowed.add((DIRECT, 0))
     heard = len(net.heard[1])
     net.run(0.2)
-    assert len(net.heard[1]) > heard  # within two beats and the patience
+    assert len(net.heard[1]) > heard  # within two beats and `resent_after`
     net.run(2.0)
     assert net.ends[0].used is not None and net.ends[0].used.name == "p1"
     net.swallowed.clear()
-    net.run(4.0)  # its probes had become rare
+    net.run(4.0)  # its probes had become infrequent
     net.run(0.04, silent=(0, 1))
     assert net.whole() and net.ends[0].used is not None and net.ends[0].used.name == DIRECT
 
@@ -198,7 +198,7 @@
 
 
 def drawn_play(seed: int) -> Net:
-    """Paths in all kinds of trouble, then peace: what was said has to be heard once, in its order."""
+    """Random path faults, then a healthy phase: all messages must arrive exactly once and in order."""
     chance = random.Random(seed)
     net = Net((DIRECT, "p1", "p2")[: chance.randint(1, 3)], seed)
     for _ in range(chance.randint(3, 8)):
@@ -239,13 +239,13 @@
 @pytest.mark.parametrize(
     ("line", "without"),
     [
-        # a duplicate is known by its number
+        # a duplicate is recognized by its number
         ("if batch.number > self.got:", "if True:"),
-        # what overtakes waits for what it has overtaken
+        # a batch that arrives early waits for the missing ones
         ("while self.got + 1 in self.reordered:", "while self.reordered:"),
-        # what a path that is gone has taken with it goes out again
+        # batches lost with a path are resent
         ("self.out.append((best.name, kept.frame))", "pass"),
-        # only what the other end says that it has is forgotten
+        # only acknowledged batches are dropped
         ("while self.unacked and self.unacked[0].number <= batch.seen:", "while self.unacked:"),
     ],
 )
--- a/tests/tiers/test_partition.py
+++ b/tests/tiers/test_partition.py
@@ -1,4 +1,4 @@
-"""The two levels on a half-broken network: several processes, and relays between them that are in trouble."""
+"""The two tiers on a faulty network: several processes, with fault-injecting relays between them."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 def patient(seconds: float) -> dict[str, float]:
-    """Terms for plays that count what moved or was decided without its planner.
+    """Terms for tests that count moved parts or requests decided without a planner.
 
-    Both rightly happen whenever the machine itself stands still for as long as a planner may be silent. So
-    that is longer here, and still well below the trouble that is played.
+    Both also happen, correctly, when the machine itself stalls for `silent_after`. So `silent_after` is
+    longer here, and still well below the duration of the injected faults.
     """
     return {"silent_after": seconds, "patience_part": 0.5, "patience_most": seconds}
 
@@ -85,7 +85,7 @@
     async def test() -> None:
         told = await played(6.0, [FaultTable("cut", 2.0, 2.0, ways=["g0>p0"])], look=look, terms=patient(1.0))
         assert paths >= {"direct", "p1"}
-        # nothing moved, nothing was decided alone: forwarders lend 64 parts once each, some twice at first
+        # nothing moved or was decided locally: each forwarder lends 64 parts once, some twice at first
         assert of(told, "local") == 0 and of(told, "moved") <= 2 * 3 * 64
         assert sum(len(said["holders"]) == 2 for said in told["last"].values() if "holders" in said) == 3
         assert told["served_share"] > 0.93
@@ -145,7 +145,7 @@
 
 
 def test_an_owner_cut_off_with_loans_in_hand_is_not_obeyed_when_it_is_heard_again_over_a_third() -> None:
-    """p0 holds parts whole, loses all forwarders at once, and is heard by one again over another, late."""
+    """p0 holds parts whole, loses all forwarders at once, and later reaches one again over a relay."""
 
     async def test() -> None:
         everyone = ["@forwarder>p0", "@planner>p0", "p0>@planner"]
@@ -160,7 +160,7 @@
             seed=7,
         )
         assert told["served_share"] > 0.85
-        assert told["ceiling_lowest"] > -4.8  # a tenth of the depth, as the rule has it
+        assert told["ceiling_lowest"] > -4.8  # a tenth of the depth, as the rule allows
 
     run(test)
 
@@ -187,7 +187,7 @@
 
 
 def test_a_parts_owner_changes_while_what_may_run_once_is_out() -> None:
-    """Attempts that take long are out at every change: none that may run once runs twice (see `played`)."""
+    """Long attempts are in flight at every change: none that may run only once runs twice (see `played`)."""
 
     async def test() -> None:
         told = await played(
@@ -200,7 +200,7 @@
             ],
             spell=(0.05, 0.6),
         )
-        assert of(told, "opens") > 5  # were handed over with attempts out
+        assert of(told, "opens") > 5  # were handed over with attempts in flight
         assert told["served_share"] > 0.8
 
     run(test)
@@ -208,7 +208,7 @@
 
 @pytest.mark.parametrize(("late", "least"), [(0.1, 0.9), (0.2, 0.8), (0.4, 0.6)])
 def test_ways_that_are_late_all_the_time(late: float, least: float) -> None:
-    """200, 400 and 800 ms there and back: beyond `fresh` no grant is executed, forwarders decide alone."""
+    """Round trips of 200, 400 and 800 ms: beyond `fresh` no grant is executed, forwarders decide locally."""
 
     async def test() -> None:
         told = await played(8.0, [FaultTable("delay", 2.5, 5.0, ways=LINKS, late=late)])
@@ -223,7 +223,7 @@
     async def test() -> None:
         told = await played(14.0, [FaultTable("cut", 2.0, 10.0, ways=["g0>*"])])
         assert told["last"]["g0"]["local"] > 100
-        assert of(told, "whole") == 64  # and is lent to again by all
+        assert of(told, "whole") == 64  # all forwarders lend to it again
         assert told["served_share"] > 0.8 and told["ceiling_lowest"] > -4.8
 
     run(test)
@@ -236,7 +236,7 @@
             [FaultTable("swallow", 1.5 + 2 * n, 1.0, ways=["g0>p0"]) for n in range(5)],
             terms=patient(0.6),
         )
-        # it is left once, and taken back when it has been good for long enough: not followed each time
+        # the path is left once and used again after `settle`: no switch at each fault
         assert of(told, "local") == 0 and of(told, "moved") <= 2 * 3 * 64
         assert told["served_share"] > 0.9
 
--- a/tests/tiers/test_schedules.py
+++ b/tests/tiers/test_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of both levels through the cores, with the rules checked at every step."""
+"""Plays seeded schedules on the cores of both tiers and checks the rules at every step."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 import pytest
 
+from embersill.lab.hunt import hunt_all
 from embersill.lab.levels.fences import FENCES
 from embersill.lab.levels.generate import generate
-from embersill.lab.hunt import hunt_all
 from embersill.lab.levels.search import Bounds, search
 from embersill.lab.levels.shorten import breaks
 from embersill.lab.levels.world import play
@@ -39,7 +39,7 @@
     served = 0.0
     for seed in range(start, start + 40):
         served += play(generate(seed))["served"]
-    assert served > 40 * 10  # it was no standstill
+    assert served > 40 * 10  # requests were served
 
 
 def test_five_forwarders_and_three_planners_break_no_rule() -> None:
--- a/tests/tiers/test_takeover.py
+++ b/tests/tiers/test_takeover.py
@@ -1,4 +1,4 @@
-"""The hard moments of two levels, each brought about by hand on the cores."""
+"""Takeovers, partitions and other edge cases of the two tiers, reproduced step by step on the cores."""
 
 from __future__ import annotations
 
@@ -48,7 +48,9 @@
     sends, answers = bench.sends("f0", 1), bench.answers("f0", 1)
     if outcome is Outcome.SERVED:
         assert len(sends) == 1 and not answers  # the driver has answered it
-    elif outcome is Outcome.BROKEN:  # it may have run: never again, and no word that a retry is harmless
+    elif (
+        outcome is Outcome.BROKEN
+    ):  # it may have run: must not be sent again, and not be refused as safe to retry
         assert len(sends) == 1 and len(answers) == 1 and not isinstance(answers[0], Refuse)
     else:
         assert len(sends) == 2 and not answers
@@ -61,7 +63,7 @@
 def test_units_spent_under_the_old_term_are_missing_from_the_new_ceiling() -> None:
     bench = Bench()
     bench.link_all()
-    bench.run(5.0)  # long enough for a full ceiling to be known
+    bench.run(5.0)  # long enough for the whole ceiling to be known
     old = bench.holder("f0")
     for number in range(8):
         bench.ask("f0" if number % 2 else "f1", number + 1, plan="pro", units=3.0)
@@ -73,7 +75,7 @@
     bench.ask("f0", 99, plan="pro", units=1.0)
     bench.run(0.2)
     planner = bench.planners[other(old)]
-    # with what forwarders hold in reserve: the old planner handed that out, and they kept it
+    # includes the forwarders' reserves, which the old planner handed out and they kept
     held = planner.reserves_held(planner.parts[part_of("c", PARTS)], "c")
     cap = planner.gateway.throttles["c"].cap + held
     assert held > 0
@@ -88,14 +90,14 @@
     bench.run(5.0)
     old = bench.holder("f0")
     bench.ask("f0", 1, plan="pro", units=3.0)
-    bench.to_planner("f0", old)  # the ask lies at the planner, which stops right here
+    bench.to_planner("f0", old)  # the ask has reached the planner, which stalls here
     session = bench.sessions["f0", old]
     grants, basis, acked = bench.planners[old].take_outbox(session)
     assert any(isinstance(m, Grant) for m in grants)
     bench.run(TERMS.lease + 0.5, frozen=(old,))
     assert bench.holder("f0") == other(old) and len(bench.sends("f0", 1)) == 1
     before = list(bench.sends("f0", 1))
-    # it is let go on: what it had said arrives, and what it now says of the ceiling is nothing
+    # it resumes: its earlier messages arrive, and it may no longer spend any of the ceiling
     bench.did("f0", bench.forwarders["f0"].received(old, Batch(0, basis, acked, grants), bench.now))
     assert bench.sends("f0", 1) == before
     planner = bench.planners[old]
@@ -105,7 +107,7 @@
 
 
 def test_a_resumed_planner_gets_nothing_lent_by_an_echo_alone() -> None:
-    """Found in schedules: its link still stood, and the next echo would have lent it what another had."""
+    """Found by schedules: with its link still up, the next echo renewed a loan that another held."""
     bench = Bench()
     bench.link_all()
     old = bench.holder("f0")
@@ -115,7 +117,7 @@
 
 
 def test_an_old_grant_is_not_executed() -> None:
-    """A grant under way for longer than it is fresh may be for a backend that drains since."""
+    """A grant older than its freshness may name a backend that is draining by now."""
     bench = Bench()
     bench.link_all()
     holder = bench.holder("f0")
@@ -127,19 +129,21 @@
     assert not bench.sends("f0", 1)
     assert bench.forwarders["f0"].counts["stale"] == 1
     bench.planners[holder].tick(bench.now)
-    bench.to_forwarder("f0", holder)  # a beat, whose echo goes with the word that it was not sent
+    bench.to_forwarder(
+        "f0", holder
+    )  # a beat; its echo is sent with the report that the attempt was not started
     bench.exchange()
     bench.run(0.1)
-    assert len(bench.sends("f0", 1)) == 1  # the planner heard that it was not sent, and grants again
+    assert len(bench.sends("f0", 1)) == 1  # the planner learns that it was not started, and grants again
 
 
 def test_a_share_is_not_lent_twice_at_once() -> None:
-    """A partition: each planner keeps one forwarder. Together they have one ceiling, at no time more."""
+    """A partition: each planner keeps one forwarder. Together they never have more than one ceiling."""
     bench = Bench()
     bench.link_all()
     bench.run(TERMS.bequest)
     old = bench.holder("f0")
-    # f1 loses the leader, which hears nothing of it
+    # f1 loses the leader, which does not notice
     bench.cut("f1", old)
     bench.exchange()
     assert bench.holder("f0") == old and bench.holder("f1") == other(old)
@@ -204,7 +208,7 @@
     began = bench.now
     while not bench.sends("f0", 1):
         bench.now += 0.01
-        # beats still come, so it is not silent, but it takes nothing
+        # beats still arrive, so it is not silent, but it receives nothing
         bench.did("f0", bench.forwarders["f0"].received("p0", Batch(0, 0, 0, []), bench.now))
         bench.did("f0", bench.forwarders["f0"].tick(bench.now))
         assert bench.now < began + 0.5
@@ -236,7 +240,7 @@
     assert not any(bench.sends(f, n) for f in bench.names for n in range(number + 1))  # still lent
     bench.run(10.0, each=pour)
     alone = sum(bool(bench.sends(f, n)) for f in bench.names for n in range(number + 1))
-    assert 30 <= alone <= 5.0 * (bench.now - began) + 1e-6  # the whole rate, by shares, and no burst
+    assert 30 <= alone <= 5.0 * (bench.now - began) + 1e-6  # the whole rate, from the shares, and no burst
     bench.start_planner("p0")
     for forwarder in bench.names:
         bench.link(forwarder, "p0")
@@ -247,7 +251,7 @@
 
     bench.run(4.0, each=pour_both)
     after = sum(bool(bench.sends(f, n)) for f in bench.names for n in range(number + 1)) - alone
-    assert 10 <= after <= 5.0 * 4.0 + 10.0 / 2 + 1.0  # no second burst: shares had spent what there was
+    assert 10 <= after <= 5.0 * 4.0 + 10.0 / 2 + 1.0  # no second burst: the shares had spent the tokens
 
 
 def test_a_forwarder_that_starts_with_no_planner_serves() -> None:
@@ -255,7 +259,7 @@
     bench.ask("f0", 1)
     bench.ask("f0", 2, plan="pro", customer="d")
     assert len(bench.sends("f0", 1)) == 1
-    assert not bench.sends("f0", 2)  # an earlier life's bequest may still be spent elsewhere
+    assert not bench.sends("f0", 2)  # the bequest of an earlier process may still be spent elsewhere
     bench.run(TERMS.bequest + 1.0)
     bench.ask("f0", 3, plan="pro", customer="d")
     assert len(bench.sends("f0", 3)) == 1
@@ -318,7 +322,7 @@
 
 
 def test_a_cold_backend_gets_its_part_from_two_planners_together() -> None:
-    """Each planner draws by itself; the part kept of draws on a cold one is the same at both."""
+    """Each planner draws independently and keeps the same fraction of draws on a cold backend."""
     bench = Bench(planners=2)
     bench.link_all()
     listed = backends("cold", "b0", "b1", "b2", "b3", "b4")
@@ -338,7 +342,7 @@
             ended(bench, "f0", n, Outcome.SERVED)
         bench.exchange()
     assert {bench.holder("f0", c) for c in ("c", "d", "e", "f")} == {"p0", "p1"}
-    assert 10 <= to_cold <= 76  # a warm one gets 200; 3 x 19 % of it is what it can carry: 114
+    assert 10 <= to_cold <= 76  # a warm one gets 200; a cold one can carry 3 x 19 % of that: 114
 
 
 def test_a_planner_that_is_added_moves_only_its_part() -> None:
@@ -365,14 +369,14 @@
 
 
 def test_a_part_is_whole_only_when_all_have_lent_it_at_one_moment() -> None:
-    """Found by schedule 5863: one had turned to another planner, and its word of that was still under way."""
+    """Found by schedule 5863: one had moved to another planner, with its Recall still in flight."""
     bench = Bench(forwarders=3)
     bench.link_all()
     bench.run(TERMS.bequest)
     old = bench.holder("f0")
     planner, part = bench.planners[old], bench.planners[old].parts[part_of("c", PARTS)]
     assert part.whole
-    # f2 hears nothing of its planner and turns away; what it says of that does not arrive
+    # f2 hears nothing from its planner and leaves it; its Recall does not arrive
     for _ in range(8):
         bench.now += TERMS.beat_every
         for name in bench.names:
@@ -386,11 +390,11 @@
             bench.planners[other(old)].tick(bench.now)
             bench.to_forwarder(name, other(old))
     assert bench.holder("f2") == other(old) and "f2" in part.lenders
-    # f0 leaves and comes back: all three stand there as lenders, but f2 is none
+    # f0 leaves and comes back: all three are listed as lenders, but f2 no longer is one
     bench.cut("f0", old)
     planner.link_down(planner.sessions["f0"], bench.now)
     bench.link("f0", old)
-    bench.cut("f0", other(old))  # else it would not come back at once
+    bench.cut("f0", other(old))  # otherwise it would not come back at once
     for _ in range(3):
         bench.now += TERMS.beat_every
         planner.tick(bench.now)
@@ -418,11 +422,11 @@
     assert number == 800
     assert sum(len(part.customers) for part in planner.parts) == len(planner.gateway.throttles) < 200
     assert not planner.jobs and not bench.forwarders["f0"].tasks and not bench.forwarders["f0"].asks
-    assert len(bench.forwarders["f0"].ledger.spends) == 0  # of an unlimited plan nothing is remembered
+    assert len(bench.forwarders["f0"].ledger.spends) == 0  # nothing is recorded for an unlimited plan
 
 
 def test_very_many_customers_are_lent_part_by_part() -> None:
-    """All at once would stop the forwarder for over a second, and the planner as long."""
+    """Lending all at once would stall the forwarder for over a second, and the planner as long."""
     bench = Bench(forwarders=1, planners=1)
     forwarder = bench.forwarders["f0"]
     for number in range(12_000):
@@ -432,7 +436,7 @@
     while held[-1] < PARTS:
         bench.run(TERMS.beat_every / 2)
         held.append(sum(part.holder is not None for part in forwarder.parts))
-    assert held[0] == 1 and held[1] < PARTS  # 3,000 customers in each: a part a time, by ticks and beats
+    assert held[0] == 1 and held[1] < PARTS  # 3,000 customers in each: one part at a time, by ticks and beats
     bench.run(0.2)
     assert all(part.whole for part in bench.planners["p0"].parts)
 
@@ -483,7 +487,7 @@
     core, part = bench.planners[planner], bench.planners[planner].parts[part_of("c", PARTS)]
     held = forwarder.reserves["c"].units
     bench.ask("f0", 1, plan="pro", units=3.0)
-    forwarder.outbox[planner].clear()  # the planner does not get it: its patience ends
+    forwarder.outbox[planner].clear()  # the planner does not receive it: the forwarder's wait ends
     for _ in range(10):
         bench.now += 0.05
         forwarder.links[planner].heard = bench.now
@@ -541,7 +545,7 @@
     for name in bench.names:
         for planner in bench.planner_names:
             bench.did(name, bench.forwarders[name].link_lost(planner, bench.now))
-        assert bench.holder(name) == ""  # known at once: no patience is spent to find it out
+        assert bench.holder(name) == ""  # known at once, without a wait for the planner
     bench.run(3 * TERMS.beat_every)
     assert {bench.holder(name) for name in bench.names} == before
 
@@ -602,7 +606,7 @@
 
 @pytest.mark.parametrize("forwarders", [1, 2, 3, 5, 200])
 def test_depths_add_up_to_no_more_than_the_ceilings(forwarders: int) -> None:
-    """Of a planner that some lend to, and of the others on their own, whatever each of them holds."""
+    """Holds for a planner with some lenders and for the other forwarders, whatever each of them holds."""
     plan, chance = lab_settings(1).plans[1], random.Random(forwarders)
     most = max_reserved(plan, 8.0)
     for _ in range(2000):
--- a/tests/tiers/test_wire.py
+++ b/tests/tiers/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames and the handshake: whoever does not belong here is told so at once."""
+"""Frames and the handshake: an unknown or unauthenticated peer is rejected at once."""
 
 from __future__ import annotations
 
