--- a/embersill/adapter.py
+++ b/embersill/adapter.py
@@ -16,7 +16,7 @@
     Cancel,
     ClientLeft,
     Count,
-    Counted,
+    CounterResult,
     Event,
     Fail,
     ListKind,
@@ -118,7 +118,7 @@
         return TimerDue(parts[1])
     if what == "counted":
         total = float(value(parts, 3, "0"))
-        return Counted(parts[1], lookup(OUTCOMES, parts[4]), float(parts[2]) / 1000.0, total)
+        return CounterResult(parts[1], lookup(OUTCOMES, parts[4]), float(parts[2]) / 1000.0, total)
     if what == "discovery":
         kind = lookup(KINDS, parts[2])
         if kind is ListKind.FAILED:
--- a/embersill/control.py
+++ b/embersill/control.py
@@ -9,8 +9,8 @@
 from embersill.backends import Backends
 from embersill.fleet import Fleet
 from embersill.interface import (
-    Action, Allotted, AttemptEnded, BackendList, ClientLeft, Counted, Event, BackendHold, Inherited, Question,
-    Refuse, Request, RequestClass, Ruled, Settings, Shared, StreamBegun, Subscribe, TimerDue,
+    Action, Allotted, AttemptEnded, BackendHold, BackendList, ClientLeft, CounterResult, Event, Inherited,
+    Question, Refuse, Request, RequestClass, Ruled, Settings, Shared, StreamBegun, Subscribe, TimerDue,
 )
 from embersill.throttle import PERIOD, Throttle
 from embersill.totals import Totals
@@ -31,7 +31,7 @@
         self.jobs = self.attempts.jobs
         self.handlers: dict[type, Callable[..., None]] = {
             Request: self.arrive, AttemptEnded: self.attempts.attempt_ended, TimerDue: self.timer_due,
-            Counted: self.totals.counted, BackendList: self.backends.list_changed,
+            CounterResult: self.totals.counted, BackendList: self.backends.list_changed,
             ClientLeft: self.attempts.client_left, StreamBegun: self.attempts.stream_begun,
             Allotted: self.admission.allotted, Inherited: self.attempts.inherited,
             Question: self.admission.question, Ruled: self.ruled, BackendHold: self.backends.take_out,
--- a/embersill/counting/keeper.py
+++ b/embersill/counting/keeper.py
@@ -11,13 +11,13 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from embersill.totals import EPOCH
 from embersill.counting import presence
 from embersill.counting.accounts import Account
 from embersill.counting.placement import place_of
 from embersill.counting.presence import Presence, group_of, mark_of
 from embersill.counting.terms import BEAT, MARK_LIFE, Terms
-from embersill.interface import Count, Counted, Outcome
+from embersill.interface import Count, CounterResult, Outcome
+from embersill.totals import EPOCH
 
 MARKS_KEPT = MARK_LIFE - 5.0  # seconds: an older one may be forgotten by a counter that lost nothing
 LOOK_LIFE = 1.0  # seconds of a name that is made by looking for it
@@ -36,7 +36,7 @@
     forget_after: float
 
 
-Step = Call | Counted
+Step = Call | CounterResult
 
 
 class Out:
@@ -168,7 +168,7 @@
         place = self.place_for(action.name)
         place.presence.want(action.first, action.width, now + WANTED_FOR)
         if now < place.quiet_until or len(self.out) >= self.terms.most_calls:
-            return [Counted(action.name, Outcome.NO_CONNECTION, 0.0, 0.0, True, action.call)]
+            return [CounterResult(action.name, Outcome.NO_CONNECTION, 0.0, 0.0, True, action.call)]
         if action.corrects > 0:
             # the sum is too low to be true, or the name is new: a counter that lost its sums looks the same
             account = self.account_at(place, action.name)
@@ -376,7 +376,7 @@
             if action is None:
                 return []
             believed = self.believe(place, account, action, total, now)
-            return [Counted(action.name, outcome, elapsed, believed, False, action.call)]
+            return [CounterResult(action.name, outcome, elapsed, believed, False, action.call)]
         if account is not None:
             if outcome is Outcome.TIMED_OUT:
                 account.maybe[number] = out.amount - out.corrects
@@ -387,7 +387,7 @@
                 account.owed_right += out.owed_right
         if action is None:
             return []
-        return [Counted(action.name, outcome, elapsed, 0.0, self.is_alone(outcome), action.call)]
+        return [CounterResult(action.name, outcome, elapsed, 0.0, self.is_alone(outcome), action.call)]
 
     def right(self, out: Out, total: float, now: float) -> list[Step]:
         """A sum that lost corrections is read: what it still wants of them is told anew."""
@@ -415,7 +415,7 @@
         if out.action is None:
             return []
         told = Outcome.NO_CONNECTION if proven else Outcome.TIMED_OUT
-        return [Counted(out.action.name, told, elapsed, 0.0, True, out.action.call)]
+        return [CounterResult(out.action.name, told, elapsed, 0.0, True, out.action.call)]
 
     def believe(
         self, place: Place, account: Account | None, action: Count, total: float, now: float
@@ -530,6 +530,6 @@
         return [dropped(action) for action in waiting]
 
 
-def dropped(action: Count) -> Counted:
+def dropped(action: Count) -> CounterResult:
     """What a correction that was not made is told as: its units stay with the module."""
-    return Counted(action.name, Outcome.TURNED_AWAY, 0.0, 0.0, True, action.call)
+    return CounterResult(action.name, Outcome.TURNED_AWAY, 0.0, 0.0, True, action.call)
--- a/embersill/counting/lines.py
+++ b/embersill/counting/lines.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from embersill.counting.keeper import Call, Keeper, Step
-from embersill.interface import Count, Counted, Outcome
+from embersill.interface import Count, CounterResult, Outcome
 from embersill.net.counter import Counter, CounterCall
 from embersill.net.discovery import read_address
 
@@ -38,7 +38,7 @@
         clock: Callable[[], float],
         patience: float,
         dial_timeout: float,
-        told: Callable[[Counted], None],
+        told: Callable[[CounterResult], None],
     ) -> None:
         self.keeper, self.clock, self.told = keeper, clock, told
         self.patience, self.dial_timeout = patience, dial_timeout
--- a/embersill/emulator/fleet.py
+++ b/embersill/emulator/fleet.py
@@ -17,7 +17,7 @@
     BackendList,
     Cancel,
     Count,
-    Counted,
+    CounterResult,
     Event,
     Fail,
     ListKind,
@@ -100,7 +100,7 @@
 
         def ended(outcome: Outcome, total: float, took: float) -> None:
             if self.alive and self.life == life:
-                self.tell(Counted(action.name, outcome, took, total))
+                self.tell(CounterResult(action.name, outcome, took, total))
 
         self.fleet.counter.call(action.name, action.amount, action.forget_after, ended)
 
--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -216,7 +216,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class CounterResult:
     """How a call of the counter service ended.
 
     With `alone` set, the outcome says nothing about calls for other names. `call` is the number of the Count
@@ -363,7 +363,7 @@
     | ClientLeft
     | StreamBegun
     | AttemptEnded
-    | Counted
+    | CounterResult
     | Probed
     | TimerDue
     | Allotted
--- a/embersill/lab/counting/world.py
+++ b/embersill/lab/counting/world.py
@@ -15,7 +15,6 @@
 from typing import Any
 
 from embersill.control import Gateway
-from embersill.totals import EPOCH
 from embersill.counting.bound import FRESH, Case, case_of, excess
 from embersill.counting.keeper import Call, Keeper
 from embersill.counting.keeper import Step as Asked
@@ -26,7 +25,7 @@
     Backend,
     BackendList,
     Count,
-    Counted,
+    CounterResult,
     Event,
     Fail,
     ListKind,
@@ -42,6 +41,7 @@
 from embersill.lab.counting.judge import Customer, Judge
 from embersill.lab.counting.model import ModelCounter
 from embersill.rig.settings import lab_settings
+from embersill.totals import EPOCH
 from embersill.world.kernel import Kernel, Node
 from embersill.world.oracles import Broken
 from embersill.world.records import Fault, Written
@@ -130,7 +130,7 @@
         """The code before: one counter, each call told once, at its patience's end at the latest."""
 
         def ended(outcome: Outcome, total: float, took: float) -> None:
-            self.tell(Counted(action.name, outcome, took, total))
+            self.tell(CounterResult(action.name, outcome, took, total))
 
         self.make_call(self.world.counters[0], action.name, action.amount, action.forget_after, ended, None)
 
--- a/embersill/lab/tracing.py
+++ b/embersill/lab/tracing.py
@@ -20,7 +20,7 @@
     AttemptEnded,
     BackendList,
     Cancel,
-    Counted,
+    CounterResult,
     Event,
     Fail,
     Outcome,
@@ -106,7 +106,7 @@
                 event.outcome.name,
                 f"{event.elapsed:.4f}",
             )
-        elif isinstance(event, Counted) and event.outcome is not Outcome.SERVED:
+        elif isinstance(event, CounterResult) and event.outcome is not Outcome.SERVED:
             self.note(now, "uncounted", event.outcome.name, f"{event.elapsed:.4f}")
         elif isinstance(event, BackendList):
             serving = sum(len(f.order) for f in self.gateway.backends.fleets.values())
--- a/embersill/net/counter.py
+++ b/embersill/net/counter.py
@@ -11,7 +11,7 @@
 
 import hiredis
 
-from embersill.interface import Count, Counted, Outcome
+from embersill.interface import Count, CounterResult, Outcome
 
 CONNECTIONS = 4  # names are spread over these, so that one slow counter partition delays fewer others
 SILENT_TIMEOUTS = 10.0  # call timeouts that the oldest call may wait before its connection is abandoned
@@ -171,7 +171,7 @@
         address: tuple[str, int],
         call_timeout: float,
         dial_timeout: float,
-        on_counted: Callable[[Counted], None],
+        on_counted: Callable[[CounterResult], None],
     ) -> None:
         self.clock, self.address, self.call_timeout, self.on_counted = (
             clock,
@@ -245,7 +245,7 @@
         call.reported = True
         if call.timer is not None:
             call.timer.cancel()
-        self.on_counted(Counted(call.name, outcome, self.clock() - call.started, total))
+        self.on_counted(CounterResult(call.name, outcome, self.clock() - call.started, total))
 
     def close(self) -> None:
         """Closes all connections and stops dialling."""
--- a/embersill/net/driver.py
+++ b/embersill/net/driver.py
@@ -24,7 +24,7 @@
     Cancel,
     ClientLeft,
     Count,
-    Counted,
+    CounterResult,
     Event,
     Fail,
     Outcome,
@@ -269,7 +269,7 @@
         self.post(held)
         self.pool.suspend(held.backend)
 
-    def on_counted(self, counted: Counted) -> None:
+    def on_counted(self, counted: CounterResult) -> None:
         """Posts the outcome of a counter call."""
         self.post(counted)
 
@@ -419,7 +419,7 @@
     def count(self, action: Count) -> None:
         """Starts a counter call; without a counter it fails at once."""
         if self.counter is None:
-            return self.post(Counted(action.name, Outcome.NO_CONNECTION, 0.0, 0.0))
+            return self.post(CounterResult(action.name, Outcome.NO_CONNECTION, 0.0, 0.0))
         return self.counter.count(action)
 
     def borrow(self, action: Borrow) -> None:
--- a/embersill/totals.py
+++ b/embersill/totals.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from embersill.fleet import BLEND
-from embersill.interface import Count, Counted, Outcome, Plan, SetTimer
+from embersill.interface import Count, CounterResult, Outcome, Plan, SetTimer
 from embersill.throttle import PERIOD, Throttle, slice_of
 from embersill.turn import Turn
 from embersill.work import EPS, Job
@@ -78,7 +78,7 @@
             self.turn.actions.append(SetTimer(wait, f"d{second} {throttle.customer}"))
         self.release(throttle)
 
-    def counted(self, event: Counted) -> None:
+    def counted(self, event: CounterResult) -> None:
         throttle = self.throttles.get(event.name.rpartition(".")[0])
         if event.alone:
             pass  # the keeper of the counts backs off for that name alone; calls for others go on
@@ -182,7 +182,7 @@
             wait = min(wait, PERIOD) if self.repays else wait  # the stated error holds under load too
             self.turn.actions.append(SetTimer(wait, "c" + throttle.customer))
 
-    def level_read(self, throttle: Throttle, event: Counted) -> None:
+    def level_read(self, throttle: Throttle, event: CounterResult) -> None:
         """Sets the level by the units admitted since the epoch began; keeps the sum within a burst of it."""
         number, name = event.call, event.name
         call = next((c for c in throttle.calls if (c[3] == number if number else c[0] == name)), None)
--- a/tests/counting/helpers.py
+++ b/tests/counting/helpers.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from embersill.totals import EPOCH
 from embersill.counting.keeper import Call, Keeper, Step
 from embersill.counting.terms import Terms
-from embersill.interface import Count, Counted, Outcome
+from embersill.interface import Count, CounterResult, Outcome
+from embersill.totals import EPOCH
 
 A, B = "127.0.0.1:9001", "127.0.0.1:9002"
 BEGIN = 6000.0  # an epoch's first second
@@ -37,7 +37,7 @@
         self.stores = stores if stores is not None else {A: Store(), B: Store()}
         self.how = Outcome.SERVED
         self.now = BEGIN + 1.0
-        self.told: list[Counted] = []
+        self.told: list[CounterResult] = []
         self.calls: list[Call] = []
         self.held: list[Call] = []
         self.crowded = ""  # names that begin so are turned away
@@ -45,7 +45,7 @@
 
     def perform(self, steps: list[Step]) -> None:
         for step in steps:
-            if isinstance(step, Counted):
+            if isinstance(step, CounterResult):
                 self.told.append(step)
                 continue
             self.calls.append(step)
@@ -80,7 +80,7 @@
         rate: float = 4.0,
         running: bool = True,
         number: int = 1,
-    ) -> Counted | None:
+    ) -> CounterResult | None:
         """The module's call; what it was told of it, if it was told at once."""
         before, width = len(self.told), width or self.keeper.gateways
         action = Count(
--- a/tests/counting/test_keeper.py
+++ b/tests/counting/test_keeper.py
@@ -10,7 +10,7 @@
 from embersill.counting.keeper import Keeper
 from embersill.counting.placement import place_of
 from embersill.counting.terms import Terms, check_terms
-from embersill.interface import Count, Counted, Outcome, SetTimer, TimerDue
+from embersill.interface import Count, CounterResult, Outcome, SetTimer, TimerDue
 from tests.counting.helpers import BEGIN, A, B, Bench, Store, together
 
 
@@ -294,10 +294,10 @@
 
     made = gateway()
     for number in range(5):
-        made.handle(Counted(f"x{number}.1", Outcome.NO_CONNECTION, 0.0, 0.0, True), 100.0 + number)
+        made.handle(CounterResult(f"x{number}.1", Outcome.NO_CONNECTION, 0.0, 0.0, True), 100.0 + number)
     totals = made.totals
     assert totals.quiet_until == 100.0 and totals.counted_part == 1.0 and totals.count_fails == 0
-    made.handle(Counted("x.1", Outcome.NO_CONNECTION, 0.0, 0.0), 106.0)
+    made.handle(CounterResult("x.1", Outcome.NO_CONNECTION, 0.0, 0.0), 106.0)
     assert made.totals.quiet_until > 106.0
 
 
@@ -358,11 +358,13 @@
 def test_after_a_call_without_an_answer_no_more_than_the_even_part_is_left() -> None:
     clocked = Clocked()
     asked = counts(clocked.ask(6001.0))[0]
-    clocked.gateway.handle(Counted(asked.name, Outcome.SERVED, 0.001, 1.0, False, asked.call), 6001.01)
+    clocked.gateway.handle(CounterResult(asked.name, Outcome.SERVED, 0.001, 1.0, False, asked.call), 6001.01)
     throttle = clocked.gateway.throttles["c"]
     assert throttle.share == 1.0 and throttle.level > 6.0
     asked = counts(clocked.ask(6001.5))[0]
-    clocked.gateway.handle(Counted(asked.name, Outcome.TIMED_OUT, 0.05, 0.0, False, asked.call), 6001.55)
+    clocked.gateway.handle(
+        CounterResult(asked.name, Outcome.TIMED_OUT, 0.05, 0.0, False, asked.call), 6001.55
+    )
     assert throttle.share == 0.5 and throttle.level <= 4.0
 
 
@@ -370,7 +372,7 @@
     clocked = Clocked()
     asked = counts(clocked.ask(6001.0))[0]
     actions = clocked.gateway.handle(
-        Counted(asked.name, Outcome.NO_CONNECTION, 0.0, 0.0, True, asked.call), 6001.0
+        CounterResult(asked.name, Outcome.NO_CONNECTION, 0.0, 0.0, True, asked.call), 6001.0
     )
     due = [a for a in actions if isinstance(a, SetTimer) and a.key == "cc"]
     assert due and clocked.gateway.throttles["c"].uncounted == 1.0
@@ -381,7 +383,9 @@
 def test_an_epoch_is_not_charged_for_what_the_one_before_was_not_told() -> None:
     clocked = Clocked()
     asked = counts(clocked.ask(6058.0))[0]
-    clocked.gateway.handle(Counted(asked.name, Outcome.NO_CONNECTION, 0.0, 0.0, True, asked.call), 6058.0)
+    clocked.gateway.handle(
+        CounterResult(asked.name, Outcome.NO_CONNECTION, 0.0, 0.0, True, asked.call), 6058.0
+    )
     told = counts(clocked.gateway.handle(TimerDue("cc"), 6061.0))
     assert all(count.name.endswith(".101") and count.amount == 0.0 for count in told)
 
--- a/tests/counting/test_operator.py
+++ b/tests/counting/test_operator.py
@@ -16,7 +16,7 @@
 from embersill.counting.lines import Counting
 from embersill.counting.placement import place_of
 from embersill.counting.terms import Terms
-from embersill.interface import Count, Counted, Outcome
+from embersill.interface import Count, CounterResult, Outcome
 from embersill.lab.counting.standin import TroubledCounter
 from embersill.rig.settings import settings_object
 from tests.bed import run
@@ -83,11 +83,11 @@
 
     def __init__(self, places: list[str]) -> None:
         self.now = asyncio.get_running_loop().time
-        self.told: asyncio.Queue[Counted] = asyncio.Queue()
+        self.told: asyncio.Queue[CounterResult] = asyncio.Queue()
         self.keeper = Keeper(Terms(), 0, 1, places)
         self.counting = Counting(self.keeper, self.now, 0.2, 0.2, self.told.put_nowait)
 
-    async def ask(self, customer: str, units: float, number: int) -> Counted:
+    async def ask(self, customer: str, units: float, number: int) -> CounterResult:
         epoch = int(self.now() // 60.0)
         self.counting.count(Count(f"{customer}.{epoch}", units, 60.0, 0, 1, 4.0, True, 0.0, number))
         return await self.told.get()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,7 +12,7 @@
     BackendList,
     ClientLeft,
     Count,
-    Counted,
+    CounterResult,
     Event,
     Fail,
     ListKind,
@@ -201,4 +201,4 @@
     def answer_counts(self, total: float, outcome: Outcome = Outcome.SERVED) -> None:
         names, self.counts = self.counts, []
         for name in names:
-            self.tell(Counted(name, outcome, 0.001, total))
+            self.tell(CounterResult(name, outcome, 0.001, total))
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from embersill.interface import Counted, Outcome
+from embersill.interface import CounterResult, Outcome
 from embersill.net.counter import IDLE_LIMIT_S, SILENT_TIMEOUTS, Counter
 from embersill.net.discovery import read_address
 from tests.bed import run
@@ -19,7 +19,7 @@
     """The reported ends of calls, in order, and a clock that the test moves."""
 
     def __init__(self) -> None:
-        self.events: asyncio.Queue[Counted] = asyncio.Queue()
+        self.events: asyncio.Queue[CounterResult] = asyncio.Queue()
         self.now = 100.0
 
     async def next(self) -> tuple[str, Outcome, float]:
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -8,7 +8,7 @@
 
 from embersill.control import Gateway
 from embersill.fleet import COLD_LIFT
-from embersill.interface import Count, Counted, Outcome, Refuse, Send, SetTimer, TimerDue
+from embersill.interface import Count, CounterResult, Outcome, Refuse, Send, SetTimer, TimerDue
 from embersill.throttle import Throttle
 from embersill.work import EPS
 from tests.helpers import CAPPED, PLAN, SETTINGS, Watch, backend, backends, ended, gateway, request
@@ -87,7 +87,7 @@
     made = gateway()
     for number in range(4):
         made.handle(request(number), 100.0)
-    made.handle(Counted("c.100", Outcome.NO_CONNECTION, 0.0, 0.0), 101.0)
+    made.handle(CounterResult("c.100", Outcome.NO_CONNECTION, 0.0, 0.0), 101.0)
     assert not any(isinstance(a, Count) for a in made.handle(TimerDue("cc"), 101.1))
 
 
--- a/tests/test_together.py
+++ b/tests/test_together.py
@@ -13,7 +13,7 @@
     Action,
     BackendList,
     Count,
-    Counted,
+    CounterResult,
     ListKind,
     Outcome,
     Plan,
@@ -53,7 +53,7 @@
             elif isinstance(action, Count):
                 self.calls += 1
                 self.sums[action.name] = self.sums.get(action.name, 0.0) + action.amount
-                told = Counted(action.name, Outcome.SERVED, 0.001, self.sums[action.name])
+                told = CounterResult(action.name, Outcome.SERVED, 0.001, self.sums[action.name])
                 self.take(me, self.gateways[me].handle(told, self.now))
             elif isinstance(action, Send):
                 job = self.gateways[me].jobs[action.request]
@@ -124,7 +124,7 @@
         actions = made.handle(request(number, width=100), 100.0 + number)
         for action in actions:
             if isinstance(action, Count):
-                made.handle(Counted(action.name, Outcome.TIMED_OUT, 0.05, 0.0), 100.05 + number)
+                made.handle(CounterResult(action.name, Outcome.TIMED_OUT, 0.05, 0.0), 100.05 + number)
     throttle = made.throttles["c"]
     assert throttle.share == 1 / 100 and throttle.bank == PLAN.burst / 100
 
