--- a/tests/edge/test_deploy.py
+++ b/tests/edge/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file of the whole gateway: what a machine needs besides Python to build it."""
+"""The gateway's deploy file lists the system packages that are needed to build its requirements."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def pinned(name: str) -> Iterator[Requirement]:
-    """The requirements of a file, and of the files that it names."""
+    """The requirements of a file and of the files it includes."""
     for line in (ROOT / name).read_text().splitlines():
         if line.startswith("-r "):
             yield from pinned(line.removeprefix("-r "))
@@ -23,7 +23,7 @@
 
 
 def with_dependencies(name: str, found: set[str]) -> None:
-    """Adds a distribution and all that it needs here."""
+    """Adds a distribution and its dependencies on this platform."""
     if name.lower() in found:
         return
     found.add(name.lower())
--- a/tests/edge/test_listening.py
+++ b/tests/edge/test_listening.py
@@ -1,4 +1,4 @@
-"""A gateway that starts while another process still holds one of its addresses."""
+"""A gateway that starts while another process still listens at one of its addresses."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 def listener(address: tuple[str, int]) -> socket.socket:
-    made = socket.socket()
+    bound = socket.socket()
     try:
-        made.bind(address)
-        made.listen()
+        bound.bind(address)
+        bound.listen()
     except OSError:
-        made.close()
+        bound.close()
         raise
-    return made
+    return bound
 
 
 def test_it_waits_for_an_address_that_is_still_held() -> None:
-    async def played() -> None:
+    async def scenario() -> None:
         held = listener(("127.0.0.1", 0))
         address, tries = held.getsockname(), []
 
@@ -36,11 +36,11 @@
         await listen_when_free(listen, 5.0)
         assert len(tries) == 3
 
-    asyncio.run(played())
+    asyncio.run(scenario())
 
 
 def test_it_says_what_is_wrong_with_an_address_that_stays_held_or_is_none_of_its_own() -> None:
-    async def played(error: int, tries: int) -> None:
+    async def scenario(error: int, tries: int) -> None:
         asked = []
 
         async def listen() -> None:
@@ -51,5 +51,5 @@
             await listen_when_free(listen, 0.0)
         assert raised.value.errno == error and len(asked) == tries
 
-    asyncio.run(played(errno.EADDRINUSE, 1))
-    asyncio.run(played(errno.EADDRNOTAVAIL, 1))
+    asyncio.run(scenario(errno.EADDRINUSE, 1))
+    asyncio.run(scenario(errno.EADDRNOTAVAIL, 1))
--- a/tests/edge/test_loads.py
+++ b/tests/edge/test_loads.py
@@ -1,4 +1,4 @@
-"""What is out at backends: keepers' sums are what all gateways have out, once nothing is under way."""
+"""In-flight counts: keepers' sums equal the gateways' counts once no message is in transit."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 
 class Zone:
-    """Gateways whose links carry mail in order, late by a seed."""
+    """Gateways in two zones, whose links deliver messages in order, with delays drawn from a seed."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
         self.effects = {name: Effects() for name in ZONES}
-        self.rolls = {name: PeerSet(hello(name), [], self.effects[name], 0.0) for name in ZONES}
-        self.loads = {name: Loads(hello(name), self.rolls[name], self.effects[name]) for name in ZONES}
+        self.peers = {name: PeerSet(hello(name), [], self.effects[name], 0.0) for name in ZONES}
+        self.loads = {name: Loads(hello(name), self.peers[name], self.effects[name]) for name in ZONES}
         self.others: dict[str, dict[str, int]] = {name: {} for name in ZONES}
         self.due: set[str] = set()
         for name, loads in self.loads.items():
-            self.rolls[name].roster = Roster(1, {"k1": Seat("k1", "s"), "k2": Seat("k2", "s")})
+            self.peers[name].roster = Roster(1, {"k1": Seat("k1", "s"), "k2": Seat("k2", "s")})
             loads.on_due = lambda delay, name=name: self.due.add(name)  # type: ignore[misc]
             loads.on_others = self.others[name].update
-        for one in ZONES:
+        for source in ZONES:
             for other in ZONES:
-                if one != other and "k" in one[0] + other[0]:
-                    self.rolls[one].link(hello(other), 0.0)
+                if source != other and "k" in source[0] + other[0]:
+                    self.peers[source].link(hello(other), 0.0)
 
-    def carry(self, least: int = 0) -> None:
-        """Brings some of what is under way, the oldest of a sender first."""
+    def deliver(self, least: int = 0) -> None:
+        """Delivers some of the messages in transit, the oldest of each sender first."""
         for _ in range(10000):
             ready = [name for name, effects in self.effects.items() if effects.mail]
             if not ready and not self.due or least and self.chance.random() < 0.1:
@@ -47,7 +47,7 @@
                 continue
             sender = self.chance.choice(ready)
             to, message = self.effects[sender].mail.pop(0)
-            if to not in self.rolls[sender].linked:
+            if to not in self.peers[sender].linked:
                 continue
             if message["kind"] == "out":
                 self.loads[to].record_report(sender, message["out"])
@@ -63,17 +63,17 @@
         name, backend = zone.chance.choice(sorted(ZONES)), zone.chance.choice(["x1", "x2", "y1"])
         out[name][backend] = {"x": "a", "y": "b"}[backend[0]], zone.chance.randrange(4)
         zone.loads[name].report(out[name])
-        zone.carry(least=1)
+        zone.deliver(least=1)
         if zone.chance.random() < 0.05:
             keeper, gateway = zone.chance.choice(["k1", "k2"]), zone.chance.choice(["g1", "g2", "g3"])
-            zone.carry()
+            zone.deliver()
             for one, other in ((keeper, gateway), (gateway, keeper)):
-                zone.rolls[one].unlink(other, 0.0)
+                zone.peers[one].unlink(other, 0.0)
                 zone.loads[one].unlinked(other)
             for one, other in ((keeper, gateway), (gateway, keeper)):
-                zone.rolls[one].link(hello(other), 0.0)
+                zone.peers[one].link(hello(other), 0.0)
                 zone.loads[one].linked(other)
-    zone.carry()
+    zone.deliver()
     for keeper, names in (("k1", ("x1", "x2")), ("k2", ("y1",))):
         for backend in names:
             whole = sum(told.get(backend, ("", 0))[1] for told in out.values())
@@ -88,12 +88,12 @@
     zone = Zone(1)
     zone.loads["g1"].report({"x1": ("a", 2)})
     zone.loads["g3"].report({"x1": ("a", 1)})
-    zone.carry()
+    zone.deliver()
     assert zone.others["g1"] == {"x1": 1} and zone.others["g2"] == {"x1": 3} and zone.others["g3"] == {}
-    zone.rolls["g1"].unlink("k1", 0.0)
+    zone.peers["g1"].unlink("k1", 0.0)
     zone.loads["g1"].unlinked("k1")
-    assert zone.others["g1"] == {"x1": -1}  # the keeper is away: nobody knows
-    zone.rolls["k1"].unlink("g1", 0.0)
+    assert zone.others["g1"] == {"x1": -1}  # without the keeper the count is unknown
+    zone.peers["k1"].unlink("g1", 0.0)
     zone.loads["k1"].unlinked("g1")
-    zone.carry()
-    assert zone.others["g2"] == {"x1": 1}  # what a lost gateway had out is over
+    zone.deliver()
+    assert zone.others["g2"] == {"x1": 1}  # a lost gateway's attempts no longer count
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -1,6 +1,6 @@
-"""Quotas over all gateways at their worst: tenants that wake, press and move, while gateways fail.
+"""Quotas over all gateways under stress: tenants get active, overload and move between failing gateways.
 
-Every run holds what a tenant's requests ran against the quota's bound after each send (`Town.ran`).
+After each send, every run checks what a tenant's requests used against the quota's bound (`Town.ran`).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def press(town: Town, per_s: float, seconds: float, at: Sequence[Machine]) -> None:
-    """Callers come to these machines, as far as they are up."""
+    """Sends a tenant's requests to those of these machines that are up."""
     chance = town.kernel.stream(f"where {town.kernel.now}")
 
     def where() -> Machine:
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 2, 5, 14])
 def test_a_tenant_that_was_idle_and_presses_has_one_burst_and_not_two(gateways: int) -> None:
-    # a part of the burst lies in the gateways' own banks: the reserve is short of just that
+    # part of the burst is in the gateways' own buckets, and the reserve has to hold exactly that much less
     town = with_quota(1, gateways, 60.0, 60.0)
     press(town, 5.0, 2.0, town.machines)
     town.run(12.0)
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("rate", [2.0, 5.0])
 def test_a_thin_tenant_that_presses_at_many_gateways_has_no_request_from_each(rate: float) -> None:
-    # a bank of less than a token, full, would let one go at each of forty gateways at once
+    # a full bucket of less than a token would admit one request at each of forty gateways at once
     town = with_quota(6, 40, rate, rate)
     press(town, 80.0, 6.0, town.machines)
     town.run(6.0)
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_the_member_that_sums_is_cut_off_with_callers_of_its_own(seed: int) -> None:
-    # the others go on by the even slice, unheard: it may not take them for idle
+    # the others use the even slice without being heard: the member must not count them as idle
     town = with_quota(seed, 5, 200.0, 200.0)
     node = town.machines[0].node
     assert node is not None
--- a/tests/edge/test_slowed.py
+++ b/tests/edge/test_slowed.py
@@ -1,4 +1,4 @@
-"""What a slowed tenant's requests may cost others, and the experiment of lapses: even wherever they land."""
+"""A slowed tenant costs others nothing, and is slowed evenly over gateways, zones, callers and routes."""
 
 from __future__ import annotations
 
@@ -17,9 +17,11 @@
     made.slow(HALF, None)
     where = of(made.handle(ask(1, "r0"), 100.0), Send)[0].backend
     failed = made.handle(ended(1, 0, where, Outcome.ERROR), 100.0)
-    assert not of(failed, Send) and of(failed, Refuse)[0].retry_after > 0  # "r0" may be repeated
+    assert not of(failed, Send) and of(failed, Refuse)[0].retry_after > 0  # requests on "r0" may be retried
     where = of(made.handle(ask(2, "r0"), 100.0), Send)[0].backend
-    assert of(made.handle(ended(2, 0, where, Outcome.NO_CONNECTION), 100.0), Send)  # this one costs none
+    assert of(
+        made.handle(ended(2, 0, where, Outcome.NO_CONNECTION), 100.0), Send
+    )  # undelivered: this retry costs no budget
     made.slow({}, None)
     where = of(made.handle(ask(3, "r0"), 100.0), Send)[0].backend
     assert of(made.handle(ended(3, 0, where, Outcome.ERROR), 100.0), Send)
@@ -28,28 +30,30 @@
 def test_a_slowed_tenant_waits_at_no_backend_before_others_and_is_given_its_token_back() -> None:
     made = edge(rate=200.0)
     names = list(made.servers)
-    made.handle(PeerLoad(dict.fromkeys(names, 3)), 100.0)  # two slots each, and one that waits
+    made.handle(PeerLoad(dict.fromkeys(names, 3)), 100.0)  # two slots each, and one request that waits
     assert of(made.handle(ask(1), 100.0), Send)
     made.slow(HALF, None)
     before = made.throttles["t"].level
     refused = of(made.handle(ask(2), 100.0), Refuse)
     assert refused and not refused[0].over_quota and refused[0].retry_after > 0
     assert made.throttles["t"].level == pytest.approx(before)
-    assert of(made.handle(ask(3, tenant=""), 100.0), Send)  # whoever is not slowed waits there
+    assert of(made.handle(ask(3, tenant=""), 100.0), Send)  # a tenant that is not slowed may queue there
     made.handle(PeerLoad(dict.fromkeys(names, 1)), 100.0)
     assert of(made.handle(ask(4), 100.0), Send)
 
 
 def test_a_slowed_tenant_is_held_for_a_moment_and_what_was_held_before_keeps_its_bound() -> None:
-    made = edge(rate=40.0)  # four gateways: ten a second, a bank of ten
+    made = edge(rate=40.0)  # four gateways: ten requests/s and a bucket of ten at each
     for number in range(11):
         made.handle(ask(number), 100.0)
     made.handle(BorrowResult("t", 0.0), 100.0)
     throttle = made.throttles["t"]
-    assert [job.request.id for job in throttle.queue] == [10]  # 0.1 s of the 0.11 that the bound has
+    assert [job.request.id for job in throttle.queue] == [10]  # a wait of 0.1 s, with a bound of 0.11 s
     made.slow({"t": Slowed(40.0, 40.0, 1.0)}, None)
     assert [sent.request for sent in of(made.handle(TimerDue("rt"), 100.1001), Send)] == [10]
-    assert of(made.handle(ask(21), 100.1001), Refuse)  # 0.1 s again, where a slowed one has 0.011
+    assert of(
+        made.handle(ask(21), 100.1001), Refuse
+    )  # 0.1 s again, but the bound of a slowed tenant is 0.011 s
     made.slow({}, None)
     made.handle(ask(22), 100.1001)
     assert [job.request.id for job in throttle.queue] == [22]
