--- a/embersill/configuration/__init__.py
+++ b/embersill/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""What a process is told: by the platform, and by the operator's own file."""
+"""Configuration of a process: from the platform, and from the operator's own file."""
--- a/embersill/configuration/operator.py
+++ b/embersill/configuration/operator.py
@@ -1,6 +1,6 @@
-"""The operator's own file: what the platform has no word for. TOML, typed, and nothing in it is guessed.
+"""The operator's own file: settings that the platform's configuration lacks, as strictly validated TOML.
 
-It is read only where it is named (`--operator FILE` or EMBERSILL_OPERATOR); without it a process is the
+It is read only if it is named (`--operator FILE` or EMBERSILL_OPERATOR); without it a process is the
 platform's one-level gateway. `deploy/operator.example.toml` shows every key.
 """
 
@@ -20,14 +20,14 @@
 from embersill.ratelimit.settings import RateLimitTable, check_ratelimit
 from embersill.tiers.terms import Terms, check_terms
 
-LEAST_SECRET = 16  # bytes
-MOST_MEMBERS = 256
-MOST_COUNTERS = 16
-REPORT_BYTES = 400  # of one customer in a forwarder's report, at most: 16 spends of 18 bytes, and its names
+MIN_SECRET_BYTES = 16
+MAX_MEMBERS = 256
+MAX_COUNTERS = 16
+REPORT_BYTES = 400  # at most, per customer in a forwarder's report: 16 spends of 18 bytes, and the names
 
 
 class TiersTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """[tiers]: who belongs to the deployment, and its bounds."""
+    """[tiers]: the members of the deployment, and its limits."""
 
     planners: dict[str, str]  # name: address
     forwarders: list[str]
@@ -37,20 +37,22 @@
     most_unsent_bytes: int = 64 << 20
     most_customers: int = 100_000
     most_open: int = 50_000
-    status_every: float = 0.0  # seconds between lines on the state, on standard output; nought: none
-    helpers: int = 0  # further planners at most over which a forwarder reaches each one
-    tell_refusals: bool = False  # a forwarder writes a line on each refusal, for whoever looks for causes
+    status_every: float = 0.0  # seconds between status lines on standard output; 0: none
+    helpers: int = 0  # at most so many other planners relay a forwarder's messages to each planner
+    tell_refusals: bool = False  # a forwarder writes a line for each refusal, for diagnosis
     terms: Terms = Terms()
 
 
 class CountingTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """[counting]: the shared counters, and how far they are believed."""
+    """[counting]: the shared counters, and how far they are trusted."""
 
-    counters: list[str] = []  # addresses; none: the platform's one. The same at all gateways, in any order
+    counters: list[str] = []  # addresses, the same at all gateways in any order; none: the platform's counter
     terms: CountingTerms = CountingTerms()
 
 
 class OperatorTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+    """The whole file, as it is written."""
+
     role: Literal["gateway", "forwarder", "planner"] = "gateway"
     tiers: TiersTable | None = None
     ratelimit: RateLimitTable | None = None
@@ -59,7 +61,7 @@
 
 
 class Tiers(msgspec.Struct, frozen=True):
-    """The tiers table, checked: what both roles are built from."""
+    """The validated tiers table, from which both roles are built."""
 
     planners: dict[str, tuple[str, int]]
     forwarders: tuple[str, ...]
@@ -76,6 +78,8 @@
 
 
 class Operator(msgspec.Struct, frozen=True):
+    """The whole file, validated."""
+
     role: Literal["gateway", "forwarder", "planner"]
     tiers: Tiers | None
     ratelimit: RateLimitTable | None
@@ -84,7 +88,7 @@
 
 
 def read_operator(path: str) -> Operator:
-    """The file, checked whole; BadConfiguration names the file, the key and the reason."""
+    """Reads and validates the file; BadConfiguration names the file, the key and the reason."""
     try:
         table = msgspec.convert(tomllib.loads(Path(path).read_text(encoding="utf-8")), OperatorTable)
         tiers = None if table.tiers is None else check_tiers(table.tiers, Path(path).parent)
@@ -101,16 +105,17 @@
             council = check_council(table.role, table.council, planners, Path(path).parent)
     except OSError as error:
         raise BadConfiguration(f"{error.filename or path}: {error.strerror}") from error
-    except (msgspec.ValidationError, ValueError) as error:  # a TOML error is a ValueError too
+    except (msgspec.ValidationError, ValueError) as error:  # TOML errors are ValueErrors
         raise BadConfiguration(f"{path}: {' '.join(str(error).split())}") from error
     return Operator(table.role, tiers, table.ratelimit, table.counting, council)
 
 
 def check_counting(role: str, table: CountingTable) -> None:
+    """Raises ValueError for an invalid counting table."""
     if role != "gateway":
         raise ValueError(f"counting: a {role} has no counter; it belongs to gateways")
-    if len(table.counters) > MOST_COUNTERS:
-        raise ValueError(f"counting.counters: more than {MOST_COUNTERS}")
+    if len(table.counters) > MAX_COUNTERS:
+        raise ValueError(f"counting.counters: more than {MAX_COUNTERS}")
     for number, address in enumerate(table.counters):
         try:
             read_address(address)
@@ -125,25 +130,27 @@
 
 
 def check_role(role: str, table: RateLimitTable) -> None:
+    """Raises ValueError for rate limit settings that a role does not support."""
     if role == "forwarder":
         raise ValueError("ratelimit: a forwarder decides nothing; it belongs to gateways and planners")
     if role == "planner" and table.answer is not None:
         for number, rule in enumerate(table.answer.rules):
-            if rule.override == "apply":  # its throttles are no customer's, so no part's either
+            if rule.override == "apply":  # its throttles belong to no customer and so to no partition
                 raise ValueError(f"ratelimit.answer.rules[{number}].override: not at a planner")
             if rule.spread not in (0, 1):
                 raise ValueError(f"ratelimit.answer.rules[{number}].spread: not at a planner")
 
 
 def check_tiers(table: TiersTable, folder: Path) -> Tiers:
+    """Validates the tiers table and reads its secret file; paths are relative to `folder`."""
     members = len(table.planners), len(table.forwarders)
-    if not (0 < members[0] <= MOST_MEMBERS and 0 < members[1] <= MOST_MEMBERS):
-        raise ValueError(f"tiers: planners and forwarders must be 1 to {MOST_MEMBERS}")
+    if not (0 < members[0] <= MAX_MEMBERS and 0 < members[1] <= MAX_MEMBERS):
+        raise ValueError(f"tiers: planners and forwarders must be 1 to {MAX_MEMBERS}")
     if len(set(table.forwarders)) != members[1]:
         raise ValueError("tiers.forwarders: a name stands twice")
     for name in (*table.planners, *table.forwarders):
         if not 0 < len(name) <= 64 or not name.isprintable():
-            raise ValueError(f"tiers: {name!r} is no name: 1 to 64 printable characters")
+            raise ValueError(f"tiers: {name!r} is not a valid name: 1 to 64 printable characters")
     planners = {}
     for name, address in table.planners.items():
         try:
@@ -160,9 +167,9 @@
         "most_open": (table.most_open, 1, 10_000_000),
         "helpers": (table.helpers, 0, 8),
     }
-    for key, (value, least, most) in bounds.items():
-        if not least <= value <= most:
-            raise ValueError(f"tiers.{key}: {value} is not from {least} to {most}")
+    for key, (value, low, high) in bounds.items():
+        if not low <= value <= high:
+            raise ValueError(f"tiers.{key}: {value} is not from {low} to {high}")
     if table.most_unsent_bytes < REPORT_BYTES * table.most_customers:
         raise ValueError(
             f"tiers.most_unsent_bytes: a report on most_customers takes up to {REPORT_BYTES} bytes each"
@@ -174,8 +181,8 @@
     except ValueError as error:
         raise ValueError(f"tiers.terms: {error}") from error
     secret = (folder / table.secret_file).read_bytes().strip()
-    if len(secret) < LEAST_SECRET:
-        raise ValueError(f"tiers.secret_file: {table.secret_file} has fewer than {LEAST_SECRET} bytes")
+    if len(secret) < MIN_SECRET_BYTES:
+        raise ValueError(f"tiers.secret_file: {table.secret_file} has fewer than {MIN_SECRET_BYTES} bytes")
     return Tiers(
         planners,
         tuple(table.forwarders),
--- a/embersill/roles.py
+++ b/embersill/roles.py
@@ -118,7 +118,7 @@
         )
         self.front = Front(self.driver, config.settings, clock, clients, self.serves)
         self.listen, self.settings = config.listen, config.settings
-        self.file_addresses = config.discovery_filed, config.counter
+        self.file_addresses = config.discovery_in_file, config.counter
         self.settled = False  # discovery has answered, or the wait for it is over
         self.operator = config.operator
         self.operations: Operations | None = None
@@ -159,9 +159,9 @@
         except BadConfiguration as error:
             return log.warning("the configuration stays as it was: %s", error)
         # an address from the environment holds until the one in the file changes, which is then the newer
-        before, self.file_addresses = self.file_addresses, (fresh.discovery_filed, fresh.counter)
-        if fresh.discovery_filed is not None and fresh.discovery_filed != before[0]:
-            self.discovery.move(fresh.discovery_filed)
+        before, self.file_addresses = self.file_addresses, (fresh.discovery_in_file, fresh.counter)
+        if fresh.discovery_in_file is not None and fresh.discovery_in_file != before[0]:
+            self.discovery.move(fresh.discovery_in_file)
         counter = self.driver.counter
         if counter is not None and fresh.counter is not None and fresh.counter != before[1]:
             counter.move(fresh.counter)
--- a/embersill/tiers/roles.py
+++ b/embersill/tiers/roles.py
@@ -137,7 +137,7 @@
         self.status_every = tiers.status_every
         self.settings = configuration.settings
         self.places: dict[str, tuple[str, int]] = {}
-        self.filed = configuration.discovery_filed
+        self.filed = configuration.discovery_in_file
         self.chair: CouncilSeat | None = None
         self.list_told(configuration.known)
         self.discovery = Discovery(configuration.discovery, configuration.limits.dial_timeout, self.list_told)
@@ -168,9 +168,9 @@
             fresh = read_configuration(dict(os.environ))
         except BadConfiguration as error:
             return log.warning("the configuration stays as it was: %s", error)
-        before, self.filed = self.filed, fresh.discovery_filed
-        if fresh.discovery_filed is not None and fresh.discovery_filed != before:
-            self.discovery.move(fresh.discovery_filed)
+        before, self.filed = self.filed, fresh.discovery_in_file
+        if fresh.discovery_in_file is not None and fresh.discovery_in_file != before:
+            self.discovery.move(fresh.discovery_in_file)
         return None
 
     async def start(self) -> None:
--- a/tests/configuration/test_operator.py
+++ b/tests/configuration/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's file: typed, checked whole, and every refusal names file, key and reason."""
+"""The operator's file is validated completely, and every error names the file, the key and the reason."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 EXAMPLE = (ROOT / "deploy" / "operator.example.toml").read_text()
 
 
-def written(folder: pathlib.Path, text: str, secret: str = "s" * 32) -> str:
+def write_operator_file(folder: pathlib.Path, text: str, secret: str = "s" * 32) -> str:
     (folder / "tiers.secret").write_text(secret)
     path = folder / "operator.toml"
     path.write_text(text)
@@ -27,7 +27,7 @@
 
 
 def test_the_example_is_the_defaults(tmp_path: pathlib.Path) -> None:
-    operator = read_operator(written(tmp_path, EXAMPLE))
+    operator = read_operator(write_operator_file(tmp_path, EXAMPLE))
     assert operator.role == "forwarder" and operator.tiers is not None
     assert operator.tiers.terms == Terms() and operator.tiers.secret == b"s" * 32
     assert operator.tiers.planners == {"p1": ("127.0.0.1", 7101), "p2": ("127.0.0.1", 7102)}
@@ -36,7 +36,7 @@
 def test_the_examples_rate_limits_are_the_defaults(tmp_path: pathlib.Path) -> None:
     _, _, commented = EXAMPLE.partition("# [ratelimit.answer]")
     text = "[ratelimit.answer]" + commented.replace("\n# ", "\n").replace("\n#\n", "\n")
-    told = read_operator(written(tmp_path, text)).ratelimit
+    told = read_operator(write_operator_file(tmp_path, text)).ratelimit
     assert told is not None and told.answer is not None and told.ask is not None
     assert told.answer == AnswerTable(
         "127.0.0.1:8081", [RuleTable("lookup", {"api": "report"}, "account", plan="pro")]
@@ -44,9 +44,9 @@
     assert told.ask == AskTable(["127.0.0.1:9001"], "lookup", ["pro"])
     planner = EXAMPLE.replace('role = "forwarder"', 'role = "planner"')
     with pytest.raises(BadConfiguration, match="a forwarder decides nothing"):
-        read_operator(written(tmp_path, EXAMPLE + text))
+        read_operator(write_operator_file(tmp_path, EXAMPLE + text))
     with pytest.raises(BadConfiguration, match="override: not at a planner"):
-        read_operator(written(tmp_path, planner + text.replace('"ignore"', '"apply"')))
+        read_operator(write_operator_file(tmp_path, planner + text.replace('"ignore"', '"apply"')))
 
 
 @pytest.mark.parametrize(
@@ -70,22 +70,22 @@
         ("tiers.secret", "none.secret", "No such file"),
     ],
 )
-def test_what_does_not_fit_is_refused_with_its_reason(
+def test_invalid_settings_are_refused_with_their_reason(
     tmp_path: pathlib.Path, old: str, new: str, reason: str
 ) -> None:
     assert old in EXAMPLE
-    with pytest.raises(BadConfiguration) as refused:
-        read_operator(written(tmp_path, EXAMPLE.replace(old, new)))
-    assert reason in str(refused.value) and str(tmp_path) in str(refused.value)
-    assert "\n" not in str(refused.value)
+    with pytest.raises(BadConfiguration) as error:
+        read_operator(write_operator_file(tmp_path, EXAMPLE.replace(old, new)))
+    assert reason in str(error.value) and str(tmp_path) in str(error.value)
+    assert "\n" not in str(error.value)
 
 
 def test_a_short_secret_and_a_role_without_its_table_are_refused(tmp_path: pathlib.Path) -> None:
     with pytest.raises(BadConfiguration, match="fewer than 16 bytes"):
-        read_operator(written(tmp_path, EXAMPLE, "short"))
+        read_operator(write_operator_file(tmp_path, EXAMPLE, "short"))
     with pytest.raises(BadConfiguration, match="needs the table tiers"):
-        read_operator(written(tmp_path, 'role = "planner"'))
-    assert read_operator(written(tmp_path, "")).role == "gateway"
+        read_operator(write_operator_file(tmp_path, 'role = "planner"'))
+    assert read_operator(write_operator_file(tmp_path, "")).role == "gateway"
 
 
 def run(folder: pathlib.Path, *arguments: str, **environ: str) -> subprocess.CompletedProcess[str]:
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("role", ["forwarder", "planner"])
 def test_a_process_that_is_no_member_says_so_in_one_line(tmp_path: pathlib.Path, role: str) -> None:
-    path = written(tmp_path, EXAMPLE.replace('"forwarder"', f'"{role}"'))
+    path = write_operator_file(tmp_path, EXAMPLE.replace('"forwarder"', f'"{role}"'))
     by_flag, by_variable = run(tmp_path, "--operator", path), run(tmp_path, EMBERSILL_OPERATOR=path)
     for done in (by_flag, by_variable):
         assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
--- a/tests/council/test_settings.py
+++ b/tests/council/test_settings.py
@@ -10,7 +10,7 @@
 from embersill.configuration.platform import BadConfiguration
 from embersill.council.probes import ProbeSettings
 from embersill.council.terms import CouncilTerms
-from tests.configuration.test_operator import EXAMPLE, written
+from tests.configuration.test_operator import EXAMPLE, write_operator_file
 
 PLANNER = EXAMPLE.replace('role = "forwarder"', 'role = "planner"')
 COUNCIL = "[council]" + EXAMPLE.partition("# [council]")[2].partition("# What a gateway")[0].replace(
@@ -19,11 +19,11 @@
 
 
 def test_the_example_is_the_defaults(tmp_path: pathlib.Path) -> None:
-    council = read_operator(written(tmp_path, PLANNER + COUNCIL)).council
+    council = read_operator(write_operator_file(tmp_path, PLANNER + COUNCIL)).council
     assert council is not None and council.terms == CouncilTerms() and council.probes == ProbeSettings()
     assert council.state == tmp_path / "council" and council.prefer == {"export": ["p2"]}
     assert council.export is not None and council.export.period == 3600.0
-    assert read_operator(written(tmp_path, PLANNER)).council is None
+    assert read_operator(write_operator_file(tmp_path, PLANNER)).council is None
 
 
 @pytest.mark.parametrize(
@@ -54,9 +54,9 @@
 ) -> None:
     assert old in COUNCIL
     with pytest.raises(BadConfiguration, match=reason):
-        read_operator(written(tmp_path, PLANNER + COUNCIL.replace(old, new, 1)))
+        read_operator(write_operator_file(tmp_path, PLANNER + COUNCIL.replace(old, new, 1)))
 
 
 def test_it_is_for_planners(tmp_path: pathlib.Path) -> None:
     with pytest.raises(BadConfiguration, match="a forwarder has no seat"):
-        read_operator(written(tmp_path, EXAMPLE + COUNCIL))
+        read_operator(write_operator_file(tmp_path, EXAMPLE + COUNCIL))
