--- a/embersill/tiers/carrying.py
+++ b/embersill/tiers/carrying.py
@@ -27,6 +27,7 @@
         self.early: bytearray | None = bytearray()  # received before the forwarder has its welcome
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Limits the buffers of both connections."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=RELAY_BUFFER_BYTES)
         self.back.set_write_buffer_limits(high=RELAY_BUFFER_BYTES)
@@ -38,6 +39,7 @@
             self.back.write(bytes(early))
 
     def data_received(self, data: bytes) -> None:
+        """Passes bytes of the planner on, or keeps them until `start`."""
         if self.early is not None:
             self.early += data
             if len(self.early) > MAX_HANDSHAKE_BYTES:
@@ -51,10 +53,12 @@
             self.transport.write(data)
 
     def pause_writing(self) -> None:
+        """Stops reading from the forwarder while the planner's buffer is full."""
         if not self.back.is_closing():
             self.back.pause_reading()
 
     def resume_writing(self) -> None:
+        """Reads from the forwarder again."""
         if not self.back.is_closing():
             self.back.resume_reading()
 
@@ -64,6 +68,7 @@
             (self.transport.pause_reading if full else self.transport.resume_reading)()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Ends the forwarder's connection, too."""
         self.transport = None
         self.back.close()
         self.over(self)
--- a/embersill/tiers/frames.py
+++ b/embersill/tiers/frames.py
@@ -42,11 +42,13 @@
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Sets TCP_NODELAY and starts the handshake's time-out."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.handshake = asyncio.get_running_loop().call_later(HANDSHAKE_TIMEOUT_S, self.close)
 
     def data_received(self, data: bytes) -> None:
+        """Handles the complete frames; closes the link on a protocol error."""
         try:
             for frame in self.reader.feed(data):
                 if self.transport is None or self.transport.is_closing():
@@ -82,9 +84,11 @@
             self.transport.abort()
 
     def eof_received(self) -> bool:
+        """Closes the connection when the other end does."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Completes `ended` and calls `lost`."""
         self.transport = None
         if self.handshake is not None:
             self.handshake.cancel()
@@ -119,6 +123,7 @@
         self.unauthenticated, self.side = unauthenticated, side
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Sends the challenge; closes the connection if too many are unauthenticated."""
         super().connection_made(transport)
         if len(self.unauthenticated) >= MAX_UNAUTHENTICATED:
             return self.close()
@@ -140,12 +145,14 @@
         self.transport.write(self.side.welcome(proof, token))
 
     def reject(self, reason: str) -> None:
+        """Sends the reason and closes the connection."""
         log.warning("a link is rejected: %s", reason)
         if self.transport is not None:
             self.transport.write(rejection(reason))
             self.transport.close()
 
     def lost(self) -> None:
+        """Frees the place among the unauthenticated connections."""
         self.unauthenticated.discard(self)
 
 
--- a/embersill/tiers/links.py
+++ b/embersill/tiers/links.py
@@ -31,9 +31,13 @@
 class Connection(Protocol):
     """The interface of a connection that a session uses as a path."""
 
-    def write(self, framed: bytes) -> None: ...
+    def write(self, framed: bytes) -> None:
+        """Sends a length-prefixed frame."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the connection."""
+        ...
 
 
 class SessionEndpoint:
@@ -66,6 +70,7 @@
         return True
 
     def send(self, messages: list[AnyMessage], basis: int = 0, acked: int = 0) -> None:
+        """Sends messages as batches of the session."""
         self.multipath.send(messages, basis, acked, self.clock())
         self.write()
 
@@ -76,6 +81,7 @@
         return batches
 
     def write(self) -> None:
+        """Writes what the session has to send to its connections."""
         out, self.multipath.out = self.multipath.out, []
         for path, frame in out:
             link = self.links.get(path)
@@ -92,6 +98,7 @@
         return not self.links and self.clock() - self.pathless_since > silent_after
 
     def close(self) -> None:
+        """Closes all connections."""
         links, self.links = self.links, {}
         for link in links.values():
             link.close()
@@ -177,12 +184,14 @@
                 self.end(endpoint)
 
     def flush(self) -> None:
+        """Sends the pending messages of all sessions."""
         for endpoint in list(self.endpoints.values()):
             session = endpoint.session
             if session.outbox or session.acked > session.acked_told:
                 self.send(endpoint, *self.core.take_outbox(session))
 
     def send(self, endpoint: PlannerEndpoint, messages: list[AnyMessage], basis: int, acked: int) -> None:
+        """Sends messages on one session."""
         endpoint.send(messages, basis, acked)
 
 
@@ -199,6 +208,7 @@
         self.dialling: asyncio.Task[None] | None = None
 
     def handshake_received(self, frame: bytes) -> None:
+        """Verifies the proof, then joins the session or starts to relay."""
         if self.dialling is not None:
             raise BadFrame("frame received before the welcome")
         proof = self.side.check(frame, self.server.core.forwarders)
@@ -225,23 +235,28 @@
         return None
 
     def data_received(self, data: bytes) -> None:
+        """Passes bytes on if the connection is relayed."""
         if self.carried is not None:
             return self.carried.send_onward(data)
         return super().data_received(data)
 
     def pause_writing(self) -> None:
+        """Applies backpressure to a relayed connection."""
         if self.carried is not None:
             self.carried.set_backpressure(True)
 
     def resume_writing(self) -> None:
+        """Lifts the backpressure again."""
         if self.carried is not None:
             self.carried.set_backpressure(False)
 
     def frame_received(self, frame: bytes) -> None:
+        """Passes a frame to its session."""
         assert self.endpoint is not None
         self.server.sessions.receive(self.endpoint, self.path, frame)
 
     def lost(self) -> None:
+        """Leaves the session, and ends what is relayed."""
         super().lost()
         if self.dialling is not None:
             self.dialling.cancel()
@@ -293,6 +308,7 @@
         return int(self.server.sockets[0].getsockname()[1])
 
     def tick(self) -> None:
+        """Runs the timers of the core and the sessions, once per beat."""
         self.core.tick(self.clock())
         self.sessions.check_sessions()
         self.due()
@@ -305,6 +321,7 @@
             self.loop.call_soon(self.flush)
 
     def flush(self) -> None:
+        """Schedules the core's timers and sends the pending messages."""
         self.flushing = False
         timers, self.core.timers = self.core.timers, []
         now = self.clock()
@@ -327,6 +344,7 @@
         }
 
     def close(self) -> None:
+        """Closes the listener and all connections."""
         if self.ticker is not None:
             self.ticker.cancel()
         if self.server is not None:
@@ -362,6 +380,7 @@
         )
 
     def handshake_received(self, frame: bytes) -> None:
+        """Answers the challenge, of the relay first if there is one; joins the session after the welcome."""
         answer = self.side.read(frame)
         if answer is not None:
             assert self.transport is not None
@@ -374,15 +393,18 @@
         return self.line.join(self, self.side.challenge.incarnation, self.side.token)
 
     def frame_received(self, frame: bytes) -> None:
+        """Passes a frame to its session."""
         self.line.receive(self, frame)
 
     def reject(self, reason: str) -> None:
+        """Logs the reason once, and closes the connection."""
         if reason != self.line.last_reason:
             log.warning("planner %s: %s", self.via or self.line.planner, reason)
         self.line.last_reason = reason
         self.close()
 
     def lost(self) -> None:
+        """Leaves the session."""
         if self.authenticated:
             self.line.leave(self)
 
@@ -395,9 +417,13 @@
     most_frame: int
     most_unsent: int
 
-    def perform(self, actions: Iterable[Action]) -> None: ...
+    def perform(self, actions: Iterable[Action]) -> None:
+        """Performs actions of the core."""
+        ...
 
-    def heard(self, planner: str, batch: Batch) -> None: ...
+    def heard(self, planner: str, batch: Batch) -> None:
+        """Handles a batch of a planner."""
+        ...
 
 
 class Dialled(Connection, Protocol):
@@ -456,6 +482,7 @@
             self.links.perform(self.links.core.link_lost(self.planner, self.links.clock()))
 
     def tick(self) -> None:
+        """Ends the session if it has timed out."""
         if self.token and self.endpoint.over(self.links.core.terms.silent_after):
             self.end()
 
@@ -518,6 +545,7 @@
         return actions
 
     def heard(self, planner: str, batch: Batch) -> None:
+        """Passes a batch to the core, and withdraws backends that are draining."""
         self.perform(self.core.received(planner, batch, self.clock()))
         if self.core.withdrawn:
             assert self.driver is not None
@@ -526,11 +554,13 @@
             self.core.withdrawn.clear()
 
     def perform(self, actions: Iterable[Action]) -> None:
+        """Passes actions to the driver."""
         assert self.driver is not None
         self.driver.perform(actions)
         self.due()
 
     def tick(self) -> None:
+        """Runs the timers of the core and the sessions, four times per beat."""
         self.perform(self.core.tick(self.clock()))
         dead, self.core.dead = self.core.dead, []
         for planner, line in self.lines.items():
@@ -541,11 +571,13 @@
         self.ticker = self.loop.call_later(self.core.terms.beat_every / 4, self.tick)
 
     def due(self) -> None:
+        """Schedules a flush, at most once per iteration of the event loop."""
         if not self.flushing:
             self.flushing = True
             self.loop.call_soon(self.flush)
 
     def flush(self) -> None:
+        """Sends the pending messages of all planners."""
         self.flushing = False
         for planner, line in self.lines.items():
             messages = self.core.outbox[planner]
@@ -566,6 +598,7 @@
         }
 
     def close(self) -> None:
+        """Sends the last messages and closes all connections."""
         if self.ticker is not None:
             self.ticker.cancel()
         self.core.stop(self.clock())
--- a/embersill/tiers/roles.py
+++ b/embersill/tiers/roles.py
@@ -80,6 +80,7 @@
         super().__init__(configuration, clock, self.links)
 
     async def start(self) -> None:
+        """Starts the links, and waits up to LINK_WAIT_S for a planner."""
         self.links.start(self.driver)
         await super().start()
         self.settled = False
@@ -90,6 +91,7 @@
         report_every(self.status_every, "forwarder", self.links.name, self.links.status)
 
     async def stop(self, still_coming: float | None = None, all_answered: float | None = None) -> None:
+        """Stops the gateway, then closes the links."""
         given = [x for x in (still_coming, all_answered) if x is not None]
         await super().stop(*given)
         self.links.close()
@@ -99,11 +101,17 @@
 class CouncilSeat(Protocol):
     """The interface of a planner's membership in the council."""
 
-    async def start(self) -> None: ...
+    async def start(self) -> None:
+        """Joins the council."""
+        ...
 
-    async def stop(self) -> None: ...
+    async def stop(self) -> None:
+        """Leaves the council."""
+        ...
 
-    def status(self) -> dict[str, object]: ...
+    def status(self) -> dict[str, object]:
+        """The council's figures for the status line."""
+        ...
 
 
 class PlannerProgram:
@@ -174,6 +182,7 @@
         return None
 
     async def start(self) -> None:
+        """Waits for the first backend list, then starts to listen."""
         self.discovery.start()
         await wait_first_list(self.discovery)
         await self.server.start(self.address)
@@ -195,4 +204,5 @@
         self.discovery.stop()
 
     async def run(self) -> None:
+        """Runs the planner until it is told to stop."""
         await run_until_signal(self)
