--- a/embersill/edge/configuration/routes.py
+++ b/embersill/edge/configuration/routes.py
@@ -156,7 +156,7 @@
         late_at=LATE_AT,
         max_saved_retries=slack * SLACK_PART * budget / gateways,
         retry_share=ratio * RATIO_PART * budget,
-        counts_all=True,
+        count_all_customers=True,
         initial_fill=1.0 if fresh else 0.0,
     )
 
--- a/embersill/interface.py
+++ b/embersill/interface.py
@@ -140,7 +140,7 @@
     late_at: float = 0.35  # part of the aim above which an answer is late: short queues do not reach it
     max_saved_retries: float = -1.0  # most retries saved up for each service; negative: the default
     retry_share: float = 0.15  # retries earned by each first attempt: bounds the load they add
-    counts_all: bool = False  # report every customer's demand, however far from its quota
+    count_all_customers: bool = False  # report every customer's demand, however far from its quota
     initial_fill: float = 1.0  # part of its burst that a new throttle starts with
 
 
--- a/embersill/totals.py
+++ b/embersill/totals.py
@@ -69,7 +69,7 @@
             self.start_counting(throttle)
         even = throttle.plan.rate / throttle.width
         needy = throttle.level < (1.0 - NEED_SHARE) * throttle.bank or throttle.own > NEED_SHARE * even
-        needy = needy or self.turn.settings.counts_all
+        needy = needy or self.turn.settings.count_all_customers
         if self.turn.now >= self.quiet_until and needy:
             throttle.added = asked
             if asked > 0:
