--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from embersill.edge.configuration.document import EMPTY, State, changed, digest, read_document
+from embersill.edge.configuration.document import EMPTY, State, apply_change, digest, read_document
 from embersill.edge.discovery.instances import Instance, Instances
 from embersill.edge.records import Value
 from embersill.edge.configuration.routes import Table
@@ -145,7 +145,7 @@
     spent = []
     for _ in range(TIMES):
         began = time.process_time()
-        msgspec.json.encode(Value(changed(state, "PATCH", patch).ok))
+        msgspec.json.encode(Value(apply_change(state, "PATCH", patch).ok))
         spent.append(1000.0 * (time.process_time() - began))
     return min(spent)
 
--- a/embersill/edge/command.py
+++ b/embersill/edge/command.py
@@ -22,8 +22,8 @@
 from embersill.edge.configuration.document import read_document, write_version
 from embersill.edge.discovery.instances import Instance
 from embersill.edge.local import read_local, CONFIG_VARIABLE
-from embersill.edge.configuration.policy import AS_BUILT, differences, read_policy
-from embersill.edge.configuration.rollouts import MOST_SHARE
+from embersill.edge.configuration.policy import BUILT_IN_POLICY, differences, read_policy
+from embersill.edge.configuration.rollouts import DEFAULT_MAX_SHARE
 from embersill.edge.configuration.stages import Site, steps_of
 from embersill.edge.storage.store import read_stored
 from embersill.net.discovery import read_address
@@ -161,7 +161,7 @@
     return (
         read_json(chosen.subject)
         .bind(read_policy)
-        .map(lambda policy: {"name": policy["name"], "changes": differences(AS_BUILT, policy)})
+        .map(lambda policy: {"name": policy["name"], "changes": differences(BUILT_IN_POLICY, policy)})
     )
 
 
@@ -172,7 +172,7 @@
         read = checked(plan, Plan, chosen.sites)
         return read.bind(
             lambda made: steps_of(
-                made["sites"], made.get("last", []), made.get("most_share", MOST_SHARE)
+                made["sites"], made.get("last", []), made.get("most_share", DEFAULT_MAX_SHARE)
             ).map(lambda steps: {**made, "steps": steps})
         )
 
--- a/embersill/edge/configuration/__init__.py
+++ b/embersill/edge/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' configuration and the orders beside it: documents, their checks, what follows. No I/O."""
+"""The operators' configuration and the orders beside it: documents, validation, state changes. No I/O."""
--- a/embersill/edge/configuration/document.py
+++ b/embersill/edge/configuration/document.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: its form, what makes one invalid, how a change is laid on the current one."""
+"""The operators' configuration: its schema, its validation, and how changes are applied to it."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from expression import Error, Ok, Result
 
 from embersill.edge.configuration.check import checked
-from embersill.edge.configuration.policy import AS_BUILT, Policy
+from embersill.edge.configuration.policy import BUILT_IN_POLICY, Policy
 
-MOST_TAKEN = 512  # changes whose digests are kept, so that one that is sent again is known
-DIGEST = 16  # hexadecimal digits of a change's digest; it tells apart changes under one version only
-MOST_ITEMS = 20000  # routes, services or tenants
-VERSION = re.compile(r"[0-9a-fA-F]{1,16}")
+MAX_KEPT_DIGESTS = 512  # recent changes whose digests are kept, to recognise a repeated one
+DIGEST_HEX_DIGITS = 16  # it only has to tell apart changes under one version
+MAX_ITEMS = 20000  # of routes, services or tenants each
+VERSION_FORM = re.compile(r"[0-9a-fA-F]{1,16}")
 SECTIONS = ("routes", "services", "tenants")
 
 
@@ -27,7 +27,7 @@
 
 
 class Route(TypedDict):
-    """Requests of one host and path: where they go, and how."""
+    """Where and how requests of one host and path prefix are sent."""
 
     host: str
     path_prefix: str
@@ -42,7 +42,7 @@
 
 
 class Service(TypedDict):
-    """How the backends of one service are spoken to."""
+    """How to connect to the backends of one service."""
 
     health_path: NotRequired[str]
     connection_limit: NotRequired[int]
@@ -51,7 +51,7 @@
 
 
 class Tenant(TypedDict):
-    """Whose requests these are: keys, and how many may come."""
+    """A client organisation: its API keys, priority and rate limit."""
 
     api_keys: list[str]
     priority: NotRequired[int]
@@ -60,7 +60,7 @@
 
 
 class ClientLimits(TypedDict):
-    """Bounds on what clients may send, in bytes and seconds."""
+    """Limits on requests from clients, in bytes and seconds."""
 
     max_header_bytes: NotRequired[int]
     max_body_bytes: NotRequired[int]
@@ -80,7 +80,7 @@
 
 
 class Upserts(TypedDict):
-    """What a change adds or replaces, by name."""
+    """Items that a change adds or replaces, by name."""
 
     routes: NotRequired[dict[str, Any]]
     services: NotRequired[dict[str, Any]]
@@ -89,7 +89,7 @@
 
 
 class Removals(TypedDict):
-    """What a change removes, by name."""
+    """Names of items that a change removes."""
 
     routes: NotRequired[list[str]]
     services: NotRequired[list[str]]
@@ -97,7 +97,7 @@
 
 
 class Patch(TypedDict):
-    """A change of named items."""
+    """A change of individual items of the configuration."""
 
     version: str
     based_on_version: NotRequired[str]
@@ -108,108 +108,108 @@
 class Step(TypedDict):
     """One step of a lapsed tenant's ladder."""
 
-    share: float  # of its usual rate, that may pass
-    lasts_s: NotRequired[float]  # without it the step is the last, and stays
+    share: float  # of the tenant's usual rate that is still allowed
+    lasts_s: NotRequired[float]  # left out only in the last step, which then stays in force
 
 
 class Order(TypedDict):
-    """One tenant's: what was ordered, and how far it has come."""
+    """The order to slow one tenant down, and its progress."""
 
     ladder: list[Step]
     by: str
     phase: Literal["waiting", "squeezing", "paused", "restored", "ended"]
-    step: int  # in force; -1 while none is
-    told: int  # the last one that gateways were told of
+    step: int  # the step in force; -1 while none is
+    told: int  # the last step announced to the gateways
     usual_per_s: NotRequired[float]
 
 
 class Lapses(TypedDict):
-    """The orders about lapsed tenants, and who carries them out."""
+    """The orders about lapsed tenants, and the member that carries them out."""
 
     number: int  # grows with each change
-    holder: str  # of the duty of taking the steps
+    holder: str  # the member whose duty it is to take the steps
     orders: dict[str, Order]
 
 
 class Run(TypedDict):
-    """A policy on its way down the sites."""
+    """A rollout of a policy in progress."""
 
     policy: Policy
     by: str
-    steps: list[list[str]]  # of sites
+    steps: list[list[str]]  # names of the sites in each step
     places: dict[str, list[str]]  # by site: its zones and gateways
     watch_s: float
     phase: Literal["running", "paused", "resting"]
-    step: int  # in force up to this one; -1 while at none
-    told: int  # the last one that gateways were told of
-    tries: int  # steps that were taken back and are tried again
+    step: int  # the policy is in force up to this step; -1 before the first
+    told: int  # the last step announced to the gateways
+    tries: int  # how many steps were rolled back and tried again
 
 
 class Past(TypedDict):
-    """A run that is over."""
+    """A finished run."""
 
     number: int
     policy: Policy
     by: str
     how: Literal["done", "halted", "aborted"]
     why: str
-    step: int  # the last that it came to
+    step: int  # the last step that it reached
     steps: int
 
 
 class Rollouts(TypedDict):
-    """The policy in force, and the one that is being carried down the sites."""
+    """The policy in force, and the one that is being rolled out."""
 
     number: int  # grows with each run
-    holder: str  # of the duty of taking the steps
-    good: Policy  # in force where no run has another
+    holder: str  # the member whose duty it is to take the steps
+    good: Policy  # in force where the run has not reached
     run: Run | None
     past: list[Past]
 
 
 class State(TypedDict):
-    """What is agreed on: the configuration as it was sent, the changes that were taken, orders beside it."""
+    """The replicated state: the configuration as sent, the accepted changes, and the orders beside it."""
 
     version: int
     document: dict[str, Any]
-    taken: list[list[Any]]  # version and digest of each change, the newest last
-    forgotten: NotRequired[int]  # the newest version whose digest is not kept any more
+    taken: list[list[Any]]  # version and digest of each accepted change, the newest last
+    forgotten: NotRequired[int]  # the newest version whose digest is no longer kept
     lapses: NotRequired[Lapses]
     rollouts: NotRequired[Rollouts]
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why a change is not taken: the status of the answer, and a line for the operator."""
+    """Why a change is refused: the HTTP status and a message for the operator."""
 
     status: int
     why: str
 
 
 NO_LAPSES: Lapses = {"number": 0, "holder": "", "orders": {}}
-NO_ROLLOUTS: Rollouts = {"number": 0, "holder": "", "good": AS_BUILT, "run": None, "past": []}
+NO_ROLLOUTS: Rollouts = {"number": 0, "holder": "", "good": BUILT_IN_POLICY, "run": None, "past": []}
 EMPTY: State = {"version": 0, "document": {}, "taken": []}
 
 
 def read_version(text: Any) -> int | None:
-    """A version as bodies have it: hexadecimal digits; None for anything else."""
-    if not isinstance(text, str) or not VERSION.fullmatch(text):
+    """Parses a version as written in bodies, in hexadecimal digits; None for anything else."""
+    if not isinstance(text, str) or not VERSION_FORM.fullmatch(text):
         return None
     return int(text, 16)
 
 
 def write_version(version: int) -> str:
-    """A version as bodies have it: eight hexadecimal digits."""
+    """Formats a version as written in bodies, with at least eight hexadecimal digits."""
     return f"{version:08x}"
 
 
 def digest(method: str, body: dict[str, Any]) -> str:
-    """The same for the same change, however its text was laid out."""
+    """A digest that is the same for equal changes, regardless of their JSON formatting."""
     text = method.encode() + msgspec.json.encode(body, order="deterministic")
-    return hashlib.sha256(text).hexdigest()[:DIGEST]
+    return hashlib.sha256(text).hexdigest()[:DIGEST_HEX_DIGITS]
 
 
-def unsound(document: Document) -> str:
-    """What no type can say of a whole configuration; empty if it is sound."""
+def validation_error(document: Document) -> str:
+    """The first error in a configuration that its types can't express; empty if it is valid."""
     places: dict[tuple[str, str], str] = {}
     for name, route in document["routes"].items():
         split = route.get("weighted_split") or []
@@ -235,80 +235,80 @@
             if holders.setdefault(key, name) != name:
                 return f"tenants {holders[key]} and {name} share a key"
         if tenant.get("rate_per_s", 0.0) < 0 or tenant.get("burst_size", 0.0) < 0:
-            return f"tenant {name} has a quota below nought"
+            return f"tenant {name} has a negative quota"
     sizes = len(document["routes"]), len(document["services"]), len(document.get("tenants", {}))
-    if max(sizes) > MOST_ITEMS:
-        return f"more than {MOST_ITEMS} items of a kind"
+    if max(sizes) > MAX_ITEMS:
+        return f"more than {MAX_ITEMS} items of a kind"
     return ""
 
 
 def read_document(document: Any) -> Result[Document, str]:
-    """A whole configuration that may be put in force, or what is wrong with it."""
+    """A whole valid configuration, or an error message."""
 
     def whole(read: Document) -> Result[Document, str]:
-        why = unsound(read)
+        why = validation_error(read)
         return Error(why) if why else Ok(read)
 
     return checked(document, Document, "configuration").bind(whole)
 
 
-def patched(current: dict[str, Any], patch: Patch) -> dict[str, Any]:
-    """The current configuration with the items named in a patch replaced, added or removed."""
-    made = dict(current)
+def apply_patch(current: dict[str, Any], patch: Patch) -> dict[str, Any]:
+    """The current configuration with a patch's items replaced, added or removed."""
+    result_document = dict(current)
     for section in SECTIONS:
         items = dict(current.get(section) or {})
         for name in patch.get("remove_names", {}).get(section, []):  # type: ignore[attr-defined]
             items.pop(name, None)
         items.update(patch.get("upsert_items", {}).get(section, {}))  # type: ignore[call-overload]
         if items or section in current:
-            made[section] = items
+            result_document[section] = items
     limits = patch.get("upsert_items", {}).get("limits")
     if limits:
-        made["limits"] = {**(current.get("limits") or {}), **limits}
-    made["version"] = patch["version"]
-    return made
+        result_document["limits"] = {**(current.get("limits") or {}), **limits}
+    result_document["version"] = patch["version"]
+    return result_document
 
 
-def changed(state: State, method: str, body: Any) -> Result[State, Refusal]:
-    """The state after a change, or why it is not taken; pure, so that it may be tried again on another state.
+def apply_change(state: State, method: str, body: Any) -> Result[State, Refusal]:
+    """The state after a change, or why it is refused; pure, so that it may be retried on another state.
 
-    A change that has been taken already comes back as the state itself.
+    For a change that has been accepted already the state itself is returned.
     """
     if not isinstance(body, dict):
         return Error(Refusal(400, "not an object"))
     version, based_on = read_version(body.get("version")), read_version(body.get("based_on_version", "0"))
     if version is None or based_on is None:
         return Error(Refusal(400, "no version in its form"))
-    mark = digest(method, body)
-    if any(taken == version and known.startswith(mark) for taken, known in state["taken"]):
+    digest_hex = digest(method, body)
+    if any(taken == version and known.startswith(digest_hex) for taken, known in state["taken"]):
         return Ok(state)
     if version <= state.get("forgotten", 0):
-        return Error(Refusal(500, "too long ago to be known: it may have been taken"))
+        return Error(Refusal(500, "too old to be recognised: it may have been accepted"))
     if based_on != state["version"]:
         return Error(Refusal(412, f"version {write_version(state['version'])} is in place"))
     if version <= state["version"]:
         return Error(Refusal(400, f"not above version {write_version(state['version'])}"))
     if method == "PATCH":
-        read = checked(body, Patch, "patch").map(lambda patch: patched(state["document"], patch))
+        read = checked(body, Patch, "patch").map(lambda patch: apply_patch(state["document"], patch))
     else:
         read = Ok({name: value for name, value in body.items() if name != "based_on_version"})
-    result = read.bind(lambda made: read_document(made).map(lambda _: made))
+    result = read.bind(lambda result_document: read_document(result_document).map(lambda _: result_document))
     if result.is_error():
         return Error(Refusal(400, result.error))
-    every = [*state["taken"], [version, mark]]
-    kept, dropped = every[-MOST_TAKEN:], every[:-MOST_TAKEN]
+    all_taken = [*state["taken"], [version, digest_hex]]
+    kept, dropped = all_taken[-MAX_KEPT_DIGESTS:], all_taken[:-MAX_KEPT_DIGESTS]
     following: State = {**state, "version": version, "document": result.ok, "taken": kept}
     if dropped:
         following["forgotten"] = dropped[-1][0]
     return Ok(following)
 
 
-def raised(state: State) -> State:
-    """The state under the next number of what is agreed on beside the configuration."""
+def with_next_number(state: State) -> State:
+    """The state with the number of the orders beside the configuration increased by one."""
     lapses = state.get("lapses") or NO_LAPSES
     return {**state, "lapses": {**lapses, "number": lapses["number"] + 1}}
 
 
 def revision(state: State) -> tuple[int, int]:
-    """How new a state is: its version, and the number of the orders beside it. Neither ever goes back."""
+    """Orders states by age: the version, and the number of the orders beside it. Both only increase."""
     return state["version"], (state.get("lapses") or NO_LAPSES)["number"]
--- a/embersill/edge/configuration/routes.py
+++ b/embersill/edge/configuration/routes.py
@@ -1,4 +1,4 @@
-"""The configuration as the data plane asks it: a request's route, whose key it carries, what is allowed."""
+"""The configuration compiled for the data plane: routes, API keys and quotas."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 from embersill.edge.configuration.document import Document, Route, read_version
 from embersill.edge.configuration.lapses import Slowed
-from embersill.edge.configuration.policy import AS_BUILT, Policy
+from embersill.edge.configuration.policy import BUILT_IN_POLICY, Policy
 from embersill.interface import Plan, Repeats, RequestClass, Scope, Settings
 
-PUBLIC = ""  # the plan of requests that carry no key: without a quota
-LEAST_RATE = 1e-6  # requests a second, in the place of none: a rate of nought would be no limit
-LATE_SHARE = 0.5  # of a request's worth that is left after its aim, as far as a gateway can know
+PUBLIC = ""  # the plan of requests without an API key; it has no quota
+MIN_RATE_PER_S = 1e-6  # used instead of 0, which would mean no limit
+LATE_VALUE_SHARE = 0.5  # of a request's value that remains after its target latency
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """One route, ready for use. `shares`: services, each with the end of its part of 0 to 1."""
+class CompiledRoute:
+    """One route, ready for use. `shares`: services, each with the end of its interval within 0 to 1."""
 
     name: str
     prefix: str
@@ -26,41 +26,41 @@
     shares: tuple[tuple[str, float], ...]
 
     def service(self, draw: float) -> str:
-        """The service for a draw from 0 to 1."""
+        """The service for a random number from 0 to 1."""
         return next((service for service, end in self.shares if draw < end), self.shares[-1][0])
 
 
-def way(name: str, route: Route) -> Way:
-    """A route of the configuration, ready to be followed."""
+def compile_route(name: str, route: Route) -> CompiledRoute:
+    """Prepares a route of the configuration for use."""
     split = route.get("weighted_split") or [{"service": route.get("service", ""), "weight": 1.0}]
-    whole, end = sum(share["weight"] for share in split), 0.0
+    total, end = sum(share["weight"] for share in split), 0.0
     shares = []
     for share in split:
-        end += share["weight"] / whole
+        end += share["weight"] / total
         if share["weight"] > 0:
             shares.append((share["service"], end))
     public = route.get("public_access", False)
-    return Way(name, route["path_prefix"], public, route["timeout_s"], tuple(shares))
+    return CompiledRoute(name, route["path_prefix"], public, route["timeout_s"], tuple(shares))
 
 
 class Table:
-    """One version of the configuration. It is made whole before it is used, and never changed."""
+    """One version of the configuration; immutable once built."""
 
-    def __init__(self, document: Document, squeezed: Mapping[str, Slowed] | None = None) -> None:
-        """`squeezed`: rate and burst of tenants that are slowed down, in the place of their quotas."""
-        self.squeezed: Mapping[str, Slowed] = squeezed or {}
+    def __init__(self, document: Document, slowed_tenants: Mapping[str, Slowed] | None = None) -> None:
+        """`slowed_tenants`: limits of slowed tenants, which replace their quotas."""
+        self.slowed_tenants: Mapping[str, Slowed] = slowed_tenants or {}
         self.document, self.version = document, read_version(document["version"]) or 0
-        self.hosts: dict[str, list[Way]] = {}
+        self.hosts: dict[str, list[CompiledRoute]] = {}
         for name, route in document["routes"].items():
-            self.hosts.setdefault(route["host"].lower(), []).append(way(name, route))
-        for ways in self.hosts.values():
-            ways.sort(key=lambda one: -len(one.prefix))
+            self.hosts.setdefault(route["host"].lower(), []).append(compile_route(name, route))
+        for compiled_routes in self.hosts.values():
+            compiled_routes.sort(key=lambda one: -len(one.prefix))
         tenants = document.get("tenants")
         self.keyed = tenants is not None
         self.keys = {key: name for name, tenant in (tenants or {}).items() for key in tenant["api_keys"]}
 
-    def find(self, host: str, path: str) -> Way | None:
-        """The route of that host with the longest prefix that begins the path."""
+    def find(self, host: str, path: str) -> CompiledRoute | None:
+        """The route of the host with the longest prefix of the path."""
         name = host.lower()
         if name not in self.hosts:
             name = name.partition(":")[0]
@@ -70,22 +70,22 @@
         return None
 
     def quota(self, tenant: str) -> tuple[float, float]:
-        """Rate and burst over all gateways; a rate of nought is no limit."""
-        step = self.squeezed.get(tenant)
+        """Rate and burst over all gateways; a rate of 0 means no limit."""
+        step = self.slowed_tenants.get(tenant)
         if step is not None:
-            return max(step.rate, LEAST_RATE), step.burst
+            return max(step.rate, MIN_RATE_PER_S), step.burst
         found = self.document.get("tenants", {}).get(tenant)
         if found is None:
             return 0.0, 0.0
         return found.get("rate_per_s", 0.0), found.get("burst_size", 0.0)
 
     def stopped(self, tenant: str) -> bool:
-        """True if none of its requests may pass."""
-        step = self.squeezed.get(tenant)
+        """True if none of the tenant's requests may pass."""
+        step = self.slowed_tenants.get(tenant)
         return step is not None and step.rate <= 0.0
 
     def classes(self, most_attempts: int) -> tuple[RequestClass, ...]:
-        """The routes as kinds of request for the decisions."""
+        """The routes as request classes for the decisions."""
         return tuple(
             RequestClass(
                 name,
@@ -94,7 +94,7 @@
                 0.0,
                 route["target_latency_s"],
                 route["timeout_s"],
-                LATE_SHARE,
+                LATE_VALUE_SHARE,
                 1.0,
                 False,
                 min(route["max_attempts"], most_attempts),
@@ -103,7 +103,7 @@
         )
 
     def plans(self) -> tuple[Plan, ...]:
-        """A plan a tenant: its quota over all gateways together; nought is no limit."""
+        """One plan per tenant: its quota over all gateways together; 0 means no limit."""
         made = [
             Plan(name, *self.quota(name), 0, 0.0, 0.0, 1.0, 0.0, 0.0)
             for name in self.document.get("tenants", {})
@@ -120,15 +120,15 @@
     fresh: bool,
     ratio: float,
     slack: float,
-    policy: Policy = AS_BUILT,
+    policy: Policy = BUILT_IN_POLICY,
 ) -> Settings:
-    """What the decisions go by: this table's classes and plans, and the parts of what all gateways share.
+    """The settings of the decisions: this table's classes and plans, and a share of the common budgets.
 
-    `fresh`: the very first start, from which throttles may begin full. `ratio` and `slack`: the budget of
-    further attempts over all gateways, of which each has a part, and all together stay below it; `policy` may
-    use less of it.
+    `fresh`: this is the very first start, at which throttles may begin full. `ratio` and `slack`: the retry
+    budget over all gateways. Each gateway has a share of it, and all together stay below it; `policy` may use
+    less of it.
     """
-    budget, attempts = policy.get("budget_share", 1.0), policy.get("most_attempts", MOST_ATTEMPTS)
+    budget, attempts = policy.get("budget_share", 1.0), policy.get("most_attempts", MAX_ATTEMPTS)
     return Settings(
         me=me,
         gateways=gateways,
@@ -138,7 +138,7 @@
         list_pushed=True,
         ask_every=1.0,
         counter=True,
-        counter_patience=READ_AFTER,
+        counter_patience=REPORT_WAIT_S,
         counter_price=0.0,
         may_cancel=True,
         may_probe=False,
@@ -146,24 +146,24 @@
         max_attempts=1,
         retry_after=True,
         cold_from=0.5,
-        max_retry_after=policy.get("advice_s", MOST_ADVICE),
-        warm_within=WARM_WITHIN,
+        max_retry_after=policy.get("advice_s", MAX_RETRY_AFTER_S),
+        warm_within=WARM_UP_RAMP_S,
         fall_multiple=3.0,
         overload_for=0.0,
         report_fields=(),
         most_units=0.0,
         settles=False,
-        late_at=LATE_AT,
-        max_saved_retries=slack * SLACK_PART * budget / gateways,
-        retry_share=ratio * RATIO_PART * budget,
+        late_at=LATE_AT_SHARE,
+        max_saved_retries=slack * SLACK_SHARE * budget / gateways,
+        retry_share=ratio * RATIO_SHARE * budget,
         count_all_customers=True,
         initial_fill=1.0 if fresh else 0.0,
     )
 
 
-MOST_ATTEMPTS = 1 << 16  # of one try, where no policy says less than its route
-READ_AFTER = 0.15  # seconds after the second's demand is told in which all have told theirs
-MOST_ADVICE = 0.25  # seconds after which a refused client is told to come back, at most: others may have room
-WARM_WITHIN = 3.0  # seconds before its warm-up's end in which a backend is taken to quicken evenly
-LATE_AT = 0.8  # of the aim: where load is told, a short queue is no sign of too much of it
-SLACK_PART, RATIO_PART = 0.6, 0.7  # of the budget of further attempts that gateways count on
+MAX_ATTEMPTS = 1 << 16  # of one request, so large that only its route limits it
+REPORT_WAIT_S = 0.15  # after a second's demand is reported, within which all have reported theirs
+MAX_RETRY_AFTER_S = 0.25  # longest delay given to a refused client: other gateways may have room sooner
+WARM_UP_RAMP_S = 3.0  # before the end of warm-up, over which a backend's speed is taken to rise evenly
+LATE_AT_SHARE = 0.8  # of the target latency: with reported load, a short queue is no sign of overload
+SLACK_SHARE, RATIO_SHARE = 0.6, 0.7  # shares of the retry budget that gateways use
--- a/embersill/edge/configuration/stages.py
+++ b/embersill/edge/configuration/stages.py
@@ -1,4 +1,4 @@
-"""In which order a policy goes to the sites: first where least can be harmed, marked traffic last. No I/O."""
+"""Orders the sites for a rollout: least traffic first, sites with protected traffic last. No I/O."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from expression import Error, Ok, Result
 
-MOST_SITES = 200
+MAX_SITES = 200
 
 
 class Site(TypedDict):
-    """A part of the system: whole zones, or gateways by name; what it serves, in requests a second."""
+    """A part of the system, by zones or gateway names, and the requests per second that it serves."""
 
-    asks: dict[str, float]  # by route, service or tenant: whatever `last` names
+    asks: dict[str, float]  # by route, service or tenant, the same kind of name as in `last`
     zones: NotRequired[list[str]]
     gateways: NotRequired[list[str]]
-    core: NotRequired[int]  # members of the core there
+    core: NotRequired[int]  # number of core members there
 
 
-def unsound(sites: Mapping[str, Site]) -> str:
-    """What is wrong with the sites; empty if nothing is."""
-    if not 0 < len(sites) <= MOST_SITES:
-        return f"sites: 1 to {MOST_SITES}"
+def validation_error(sites: Mapping[str, Site]) -> str:
+    """The first error in the sites; empty if they are valid."""
+    if not 0 < len(sites) <= MAX_SITES:
+        return f"sites: 1 to {MAX_SITES}"
     owners: dict[tuple[str, str], str] = {}
     for name, site in sites.items():
         places = [("zone", zone) for zone in site.get("zones", [])]
@@ -33,41 +33,41 @@
             if owners.setdefault(place, name) != name:
                 return f"sites.{name}: {place[0]} {place[1]} belongs to {owners[place]}"
         if any(rate < 0 for rate in site["asks"].values()) or site.get("core", 0) < 0:
-            return f"sites.{name}: a number below nought"
+            return f"sites.{name}: a negative number"
     return ""
 
 
 def steps_of(
     sites: Mapping[str, Site], last: Collection[str], most_share: float
 ) -> Result[list[list[str]], str]:
-    """The sites by step, or why there is no such order.
+    """The sites of each step, or an error message if there is no such order.
 
-    Those that serve nothing of `last` go first, the least of them alone; those that do go after all others,
-    each alone, the one that serves most of it at the very end. No step holds more than `most_share` of any
-    kind of request, or half of the core.
+    Sites that serve nothing of `last` go first, beginning with the smallest one alone. Sites that serve some
+    of it go after all others, each alone, the one that serves most of it at the very end. No step holds more
+    than `most_share` of any kind of request, or half of the core.
     """
-    why = unsound(sites)
+    why = validation_error(sites)
     if why:
         return Error(why)
     if not 0 < most_share <= 1:
-        return Error("most_share: not above nought and 1 at most")
+        return Error("most_share: not above 0 and at most 1")
     kinds = {kind for site in sites.values() for kind in site["asks"]}
-    whole = {kind: sum(site["asks"].get(kind, 0.0) for site in sites.values()) for kind in kinds}
+    totals = {kind: sum(site["asks"].get(kind, 0.0) for site in sites.values()) for kind in kinds}
     core = sum(site.get("core", 0) for site in sites.values())
     unknown = sorted(set(last) - kinds)
     if unknown:
         return Error(f"last: nobody serves {unknown[0]!r}")
 
     def marked(name: str) -> float:
-        return sum(sites[name]["asks"].get(kind, 0.0) / max(whole[kind], 1e-9) for kind in last)
+        return sum(sites[name]["asks"].get(kind, 0.0) / max(totals[kind], 1e-9) for kind in last)
 
     def most_of(names: list[str]) -> tuple[float, str]:
-        parts = [
-            (sum(sites[name]["asks"].get(kind, 0.0) for name in names) / whole[kind], kind)
+        shares = [
+            (sum(sites[name]["asks"].get(kind, 0.0) for name in names) / totals[kind], kind)
             for kind in sorted(kinds)
-            if whole[kind] > 0
+            if totals[kind] > 0
         ]
-        return max(parts, default=(0.0, ""))
+        return max(shares, default=(0.0, ""))
 
     def fits(names: list[str]) -> bool:
         members = sum(sites[name].get("core", 0) for name in names)
@@ -75,8 +75,8 @@
 
     for name in sorted(sites):
         if not fits([name]):
-            part, kind = most_of([name])
-            return Error(f"sites.{name}: it serves {part:.2f} of {kind!r}, more than most_share")
+            share, kind = most_of([name])
+            return Error(f"sites.{name}: it serves {share:.2f} of {kind!r}, more than most_share")
     order = sorted(sites, key=lambda name: (marked(name), sum(sites[name]["asks"].values()), name))
     steps: list[list[str]] = []
     for name in order:
--- a/embersill/edge/consensus/proposals.py
+++ b/embersill/edge/consensus/proposals.py
@@ -10,8 +10,8 @@
 
 from embersill.council.member import How
 from embersill.edge.configuration import rollouts
-from embersill.edge.configuration.document import Refusal, State, changed, revision, write_version
-from embersill.edge.configuration.lapses import ordered
+from embersill.edge.configuration.document import Refusal, State, apply_change, revision, write_version
+from embersill.edge.configuration.lapses import apply_order
 from embersill.edge.records import Value
 from embersill.edge.verdict import Verdict, done, refused, unknown
 
@@ -21,17 +21,17 @@
 
 def configuration_change(method: str, body: Any) -> Transition:
     """An operator's change of the configuration, by the name of the call."""
-    return lambda state: changed(state, method, body)
+    return lambda state: apply_change(state, method, body)
 
 
 def lapse_order(tenant: str, body: Any) -> Transition:
     """An operator's order concerning a lapsed tenant."""
-    return lambda state: ordered(state, tenant, body)
+    return lambda state: apply_order(state, tenant, body)
 
 
 def rollout_order(body: Any) -> Transition:
     """An operator's order concerning the rollout of a policy."""
-    return lambda state: rollouts.ordered(state, body)
+    return lambda state: rollouts.apply_request(state, body)
 
 
 def duty_step(change: Callable[[State], State | None]) -> Transition:
--- a/embersill/edge/dataplane/handlers.py
+++ b/embersill/edge/dataplane/handlers.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from embersill.edge.configuration.routes import PUBLIC, Table, Way
+from embersill.edge.configuration.routes import PUBLIC, Table, CompiledRoute
 from embersill.edge.dataplane.dialect import HOP_BY_HOP_HEADERS
 from embersill.edge.dataplane.metrics import CONTENT_TYPE, Metrics
 from embersill.edge.verdict import Verdict
@@ -86,7 +86,7 @@
         self.after_next_poll: Callable[[Callable[[], None]], None] = lambda call: call()
         self.longest_budget: dict[str, float] = {}  # seconds by route
 
-    def looks_like_retry(self, way: Way, left: float) -> bool:
+    def looks_like_retry(self, way: CompiledRoute, left: float) -> bool:
         """True if a request has less time left than others on its route, as a retry has."""
         longest_budget = self.longest_budget.get(way.name, 0.0)
         self.longest_budget[way.name] = max(longest_budget * LONGEST_DECAY, left)
@@ -184,7 +184,7 @@
             exchange,
         )
 
-    def tenant(self, table: Table, way: Way, headers: dict[bytes, bytes]) -> str:
+    def tenant(self, table: Table, way: CompiledRoute, headers: dict[bytes, bytes]) -> str:
         """The tenant whose key the request carries; `PUBLIC` where no key is needed."""
         if way.public or not table.keyed:
             return PUBLIC
--- a/embersill/edge/node.py
+++ b/embersill/edge/node.py
@@ -24,10 +24,10 @@
 from embersill.edge.throttling.figures import SlowdownCounts
 from embersill.edge.consensus.founding import Founding
 from embersill.edge.consensus.membership import Shortfall
-from embersill.edge.configuration.policy import AS_BUILT, Policy
+from embersill.edge.configuration.policy import BUILT_IN_POLICY, Policy
 from embersill.edge.throttling.reports import Reports
 from embersill.edge.peers.peer_set import Hello, PeerSet
-from embersill.edge.configuration.lapses import lapses_of, squeezed
+from embersill.edge.configuration.lapses import lapses_of, slowed_tenants
 from embersill.edge.rollout.roller import RolloutRunner
 from embersill.edge.configuration.rollouts import in_force, label
 from embersill.edge.discovery.loads import Loads
@@ -92,7 +92,7 @@
         self.duties = self.squeezer.duty, self.roller.duty
         for duty in self.duties:
             duty.on_view = lambda text: self.on_view(text)
-        self.policy: tuple[Policy, str] = AS_BUILT, ""  # in force here, and the stretch of a run
+        self.policy: tuple[Policy, str] = BUILT_IN_POLICY, ""  # in force here, and the stretch of a run
         # hears of another policy, or another stretch of a run, in which requests are counted
         self.on_policy: Callable[[Policy, str], None] = lambda policy, label: None
         self.registry.on_view = lambda text: self.on_view(text)
@@ -244,7 +244,7 @@
         document = read_document(state["document"])
         if document.is_error():
             return
-        self.state, self.table = state, Table(document.ok, squeezed(state))
+        self.state, self.table = state, Table(document.ok, slowed_tenants(state))
         self.demand.table = self.table
         self.reports.figures.follow(lapses_of(state)["orders"])
         if self.me.core:
--- a/embersill/edge/program.py
+++ b/embersill/edge/program.py
@@ -31,7 +31,7 @@
 from embersill.edge.consensus.founding import address_key
 from embersill.edge.configuration.policy import Policy
 from embersill.edge.peers.peer_set import Hello
-from embersill.edge.configuration.routes import WARM_WITHIN, Table, settings_for
+from embersill.edge.configuration.routes import WARM_UP_RAMP_S, Table, settings_for
 from embersill.edge.storage.store import Store
 from embersill.edge.dataplane.metrics import Metrics
 from embersill.edge.dataplane.tally import QuotaClient
@@ -164,7 +164,7 @@
         limits = table.document.get("limits", {})
         self.front.request_timeout = max(limits.get("header_timeout_s", 3.0), 1.0)
         self.front.idle_limit = limits.get("idle_timeout_s", 15.0) + 0.5
-        self.gateway.slow(table.squeezed, self.node.figures)
+        self.gateway.slow(table.slowed_tenants, self.node.figures)
         self.driver.post(Configured(self.settings()))
         self.handler.apply_table(table)
         log.info("configuration version=%d routes=%d", table.version, len(table.document["routes"]))
@@ -186,7 +186,7 @@
             status = Status.SERVING if one.open else Status.GONE if ended else Status.DRAINING
             started = self.known_start(one.id)
             if started is None and one.cold > 0:
-                started = now + one.cold - WARM_WITHIN
+                started = now + one.cold - WARM_UP_RAMP_S
             backend = Backend(one.id, one.zone, one.id, 0, status, 1.0, started, one.service, one.slots)
             entries.append(Entry(backend, read_address(one.address) if one.address else ("", 0)))
         self.driver.list_told(Listing(ListKind.CHANGES, 0, tuple(entries)))
--- a/embersill/edge/quota/demand.py
+++ b/embersill/edge/quota/demand.py
@@ -112,6 +112,6 @@
         silent, lent = self.peers.silent(now), {}
         for tenant, units in asked.items():
             rate, burst = self.quota(tenant)
-            exact = self.table is not None and tenant in self.table.squeezed
+            exact = self.table is not None and tenant in self.table.slowed_tenants
             lent[tenant] = self.sums.lend(tenant, units, rate, burst, self.peers.count, silent, now, exact)
         return lent, self.slices(gateway, missing, now) if missing and self.peers.count > 1 else {}
--- a/embersill/edge/rollout/roller.py
+++ b/embersill/edge/rollout/roller.py
@@ -22,15 +22,15 @@
 from embersill.edge.throttling.reports import Gather
 from embersill.edge.peers.peer_set import Hello, PeerSet
 from embersill.edge.configuration.rollouts import (
-    bound,
-    harmed,
-    held,
-    passed,
-    rested,
+    activate_step,
+    roll_back,
+    with_holder,
+    complete_run,
+    resume_after_rest,
     rollouts_of,
     step_at,
     stretch,
-    told,
+    announce_step,
 )
 from embersill.edge.rollout.watch import ByKind, total_by_kind
 
@@ -61,7 +61,7 @@
     ) -> None:
         """`state`: the configuration in force here; `known`: True once all linked gateways have it."""
         self.me, self.peers, self.state, self.known = me, peers, state, known
-        self.duty = Duty(DUTY, me, peers, agreement, lambda: rollouts_of(state())["holder"], held)
+        self.duty = Duty(DUTY, me, peers, agreement, lambda: rollouts_of(state())["holder"], with_holder)
         self.counts: Callable[[], dict[str, ByKind]] = dict  # this gateway's counts by stage
         self.gather = Gather("watch", me, peers, effects, lambda _: msgspec.to_builtins(self.counts()))
         self.key: tuple[Any, ...] = ()  # identifies the stage that the run is in
@@ -90,12 +90,12 @@
         step, what = run["step"], f"rollout number={number} step={run['step']} told={run['told']}"
         if run["phase"] == "resting":
             if self.spent >= REST_WATCHES * run["watch_s"]:
-                self.duty.propose(lambda state: rested(state, number, step), f"{what} did=rested")
+                self.duty.propose(lambda state: resume_after_rest(state, number, step), f"{what} did=rested")
         elif run["told"] > step:
             if self.spent >= run["watch_s"] and self.known():
-                self.duty.propose(lambda state: bound(state, number, step + 1), f"{what} did=bound")
+                self.duty.propose(lambda state: activate_step(state, number, step + 1), f"{what} did=bound")
         elif step < 0:
-            self.duty.propose(lambda state: told(state, number, 0), f"{what} did=told")
+            self.duty.propose(lambda state: announce_step(state, number, 0), f"{what} did=told")
         else:
             self.judge(number, run, now)
 
@@ -108,9 +108,9 @@
             self.take_back(number, step, found.why, again)
         elif found.how == "good" and self.spent >= watch:
             if step + 1 < len(run["steps"]):
-                self.duty.propose(lambda state: told(state, number, step + 1), f"{what} did=good")
+                self.duty.propose(lambda state: announce_step(state, number, step + 1), f"{what} did=good")
             else:
-                self.duty.propose(lambda state: passed(state, number), f"{what} did=done")
+                self.duty.propose(lambda state: complete_run(state, number), f"{what} did=done")
         elif self.spent >= MAX_WATCHES * watch:
             self.take_back(number, step, f"not to be known: {found.why or 'nobody told'}", False)
         elif now - self.asked_at >= QUERY_INTERVAL_S:
@@ -125,7 +125,7 @@
     def take_back(self, number: int, step: int, why: str, again: bool) -> None:
         """Proposes to take a harmful step back; `again`: it will be tried once more."""
         what = f"rollout number={number} step={step} did={'rest' if again else 'halt'} why={log_value(why)}"
-        self.duty.propose(lambda state: harmed(state, number, step, why, again), what)
+        self.duty.propose(lambda state: roll_back(state, number, step, why, again), what)
 
     def found(self, number: int, run: Run, counts: dict[str, Any], silent: list[str]) -> Finding:
         """Judges the counts of all gateways: the sites with the policy against those without it."""
--- a/embersill/edge/throttling/squeezer.py
+++ b/embersill/edge/throttling/squeezer.py
@@ -14,7 +14,13 @@
 from embersill.edge.consensus.agreement import Agreement
 from embersill.edge.configuration.document import Order, State
 from embersill.edge.consensus.duty import Change, Duty
-from embersill.edge.configuration.lapses import bound, ended, held, lapses_of, told
+from embersill.edge.configuration.lapses import (
+    activate_step,
+    finish_ladder,
+    with_holder,
+    lapses_of,
+    announce_step,
+)
 from embersill.edge.peers.peer_set import Hello, PeerSet
 
 ACK_TIMEOUT_S = 1.5  # how long a step waits for linked gateways that do not acknowledge it
@@ -35,7 +41,7 @@
     ) -> None:
         """`state`: the configuration in force here; `known`: True once all linked gateways have it."""
         self.state, self.known = state, known
-        self.duty = Duty(DUTY, me, peers, agreement, lambda: lapses_of(state())["holder"], held)
+        self.duty = Duty(DUTY, me, peers, agreement, lambda: lapses_of(state())["holder"], with_holder)
         self.spent: dict[str, tuple[int, float]] = {}  # by tenant: step, seconds that it was in force
         self.number, self.since = -1, 0.0  # the last seen version of the orders, and since when
         self.last_tick = now
@@ -71,11 +77,11 @@
         step, ladder = order["step"], order["ladder"]
         if order["told"] > step:
             if self.known() or now - self.since >= ACK_TIMEOUT_S:
-                return lambda state: bound(state, name, step + 1)
+                return lambda state: activate_step(state, name, step + 1)
             return None
         lasts = 0.0 if step < 0 else ladder[step].get("lasts_s", float("inf"))
         if self.spent[name][1] < lasts:
             return None
         if step + 1 < len(ladder):
-            return lambda state: told(state, name, step + 1)
-        return lambda state: ended(state, name, step)
+            return lambda state: announce_step(state, name, step + 1)
+        return lambda state: finish_ladder(state, name, step)
--- a/embersill/lab/edge/lapsing.py
+++ b/embersill/lab/edge/lapsing.py
@@ -260,9 +260,11 @@
         town.bounds.pop(LAPSED, None)
     elif step >= 0 and LAPSED not in town.bounds and now - played.began[-1][0] > WINDOW:
         tables = [m.node.table for m in town.machines if m.node is not None and m.node.table is not None]
-        squeezed = [table.squeezed[LAPSED] for table in tables if LAPSED in table.squeezed]
-        if squeezed:
-            town.hold(LAPSED, max(one.rate for one in squeezed), max(one.burst for one in squeezed))
+        slowed_tenants = [table.slowed_tenants[LAPSED] for table in tables if LAPSED in table.slowed_tenants]
+        if slowed_tenants:
+            town.hold(
+                LAPSED, max(one.rate for one in slowed_tenants), max(one.burst for one in slowed_tenants)
+            )
 
 
 def struck(town: Town, trouble: str, played: Played) -> None:
--- a/embersill/lab/edge/town.py
+++ b/embersill/lab/edge/town.py
@@ -143,7 +143,7 @@
     def table_came(self, table: Table) -> None:
         """Another configuration is in force."""
         assert self.node is not None
-        self.decider.slow(table.squeezed, self.node.figures)
+        self.decider.slow(table.slowed_tenants, self.node.figures)
         self.post(Configured(self.settings()))
 
     def policy_came(self, policy: Policy, label: str) -> None:
--- a/tests/edge/test_control.py
+++ b/tests/edge/test_control.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from embersill.edge.configuration.document import EMPTY, MOST_TAKEN, changed, digest
+from embersill.edge.configuration.document import EMPTY, MAX_KEPT_DIGESTS, apply_change, digest
 from embersill.edge.consensus.lease import LEASE_MARGIN_S, Lease
 from embersill.edge.consensus.membership import Candidate, Requirements, next_members
 from embersill.edge.records import Roster, Seat
@@ -45,12 +45,12 @@
 
 def test_beyond_what_is_remembered_an_order_has_no_clear_answer_and_is_never_refused() -> None:
     state = EMPTY
-    for version in range(1, MOST_TAKEN + 3):
-        state = changed(state, "PUT", change(version, version - 1)).ok
-    assert len(state["taken"]) == MOST_TAKEN and state["forgotten"] == 2
-    assert changed(state, "PUT", change(3, 2)).ok is state
-    assert changed(state, "PUT", change(2, 1)).error.status == 500
-    assert changed(state, "PUT", change(3, 2, routes=2)).error.status == 412
+    for version in range(1, MAX_KEPT_DIGESTS + 3):
+        state = apply_change(state, "PUT", change(version, version - 1)).ok
+    assert len(state["taken"]) == MAX_KEPT_DIGESTS and state["forgotten"] == 2
+    assert apply_change(state, "PUT", change(3, 2)).ok is state
+    assert apply_change(state, "PUT", change(2, 1)).error.status == 500
+    assert apply_change(state, "PUT", change(3, 2, routes=2)).error.status == 412
     assert len(digest("PUT", change(1, 0))) == 16
 
 
--- a/tests/edge/test_lapses.py
+++ b/tests/edge/test_lapses.py
@@ -11,19 +11,19 @@
 import pytest
 
 from embersill.edge.command import parser, read_ladder
-from embersill.edge.configuration.document import State, changed
+from embersill.edge.configuration.document import State, apply_change
 from embersill.edge.dataplane.handlers import ClientHandler
 from embersill.edge.throttling.figures import MAX_LABELS, SlowdownCounts
 from embersill.edge.configuration.lapses import (
-    MOST_ORDERS,
+    MAX_ORDERS,
     STOPPED,
-    bound,
-    ended,
-    held,
+    activate_step,
+    finish_ladder,
+    with_holder,
     lapses_of,
-    ordered,
-    squeezed,
-    told,
+    apply_order,
+    slowed_tenants,
+    announce_step,
 )
 from embersill.edge.configuration.routes import Table
 from embersill.lab.edge.control import founded
@@ -61,59 +61,57 @@
     ],
 )
 def test_a_wish_that_makes_no_sense_is_refused_with_its_place(body: Any, status: int, why: str) -> None:
-    refused = ordered(state_of(), "t", body).error
+    refused = apply_order(state_of(), "t", body).error
     assert refused.status == status and why in refused.why
 
 
 def test_orders_begin_pause_go_on_and_end_and_may_be_sent_again() -> None:
-    state = ordered(state_of(), "t", wish()).ok
-    assert ordered(state, "t", wish()).ok is state and not squeezed(state)
-    assert ordered(state, "t", wish(ladder=[{"share": 0.1}])).error.status == 412
-    assert ordered(state, "nobody", wish()).error.status == 404
-    assert bound(state, "t", 0) is None  # nothing binds that was not told
+    state = apply_order(state_of(), "t", wish()).ok
+    assert apply_order(state, "t", wish()).ok is state and not slowed_tenants(state)
+    assert apply_order(state, "t", wish(ladder=[{"share": 0.1}])).error.status == 412
+    assert apply_order(state, "nobody", wish()).error.status == 404
+    assert activate_step(state, "t", 0) is None  # nothing binds that was not told
     for step, (rate, burst) in enumerate(((25.0, 25.0), (10.0, 10.0))):
-        state = told(state, "t", step) or state
-        assert told(state, "t", step) is None and told(state, "t", step + 1) is None
-        state = bound(state, "t", step) or state
-        assert bound(state, "t", step) is None and squeezed(state)["t"][:2] == (rate, burst)
-    state = told(state, "t", 2) or state
-    paused = ordered(state, "t", wish("pause")).ok
-    assert bound(paused, "t", 2) is None and squeezed(paused) == {"t": (10.0, 10.0, 0.2)}
-    state = ordered(paused, "t", wish("resume")).ok
-    assert bound(state, "t", 2) is None  # it has to be told again
-    state = bound(told(state, "t", 2) or state, "t", 2) or state
-    state = ended(state, "t", 2) or state
-    assert squeezed(state)["t"][0] == pytest.approx(5.0)
+        state = announce_step(state, "t", step) or state
+        assert announce_step(state, "t", step) is None and announce_step(state, "t", step + 1) is None
+        state = activate_step(state, "t", step) or state
+        assert activate_step(state, "t", step) is None and slowed_tenants(state)["t"][:2] == (rate, burst)
+    state = announce_step(state, "t", 2) or state
+    paused = apply_order(state, "t", wish("pause")).ok
+    assert activate_step(paused, "t", 2) is None and slowed_tenants(paused) == {"t": (10.0, 10.0, 0.2)}
+    state = apply_order(paused, "t", wish("resume")).ok
+    assert activate_step(state, "t", 2) is None  # it has to be told again
+    state = activate_step(announce_step(state, "t", 2) or state, "t", 2) or state
+    state = finish_ladder(state, "t", 2) or state
+    assert slowed_tenants(state)["t"][0] == pytest.approx(5.0)
     assert lapses_of(state)["orders"]["t"]["phase"] == "ended"
-    free = ordered(state, "t", wish("restore")).ok
-    assert not squeezed(free) and lapses_of(free)["number"] > lapses_of(state)["number"]
-    assert ordered(free, "t", wish()).ok is not free  # another time
-    assert held(free, "somebody", "me") is None and held(free, "", "me") is not None
+    free = apply_order(state, "t", wish("restore")).ok
+    assert not slowed_tenants(free) and lapses_of(free)["number"] > lapses_of(state)["number"]
+    assert apply_order(free, "t", wish()).ok is not free  # another time
+    assert with_holder(free, "somebody", "me") is None and with_holder(free, "", "me") is not None
 
 
 def test_orders_have_a_bound_at_which_those_that_are_over_make_way() -> None:
     state = state_of()
     tenant = state["document"]["tenants"]["t"]
-    state["document"]["tenants"] = {
-        f"t{n}": {**tenant, "api_keys": [f"k{n}"]} for n in range(MOST_ORDERS + 2)
-    }
-    for number in range(MOST_ORDERS):
-        state = ordered(state, f"t{number}", wish()).ok
-    assert ordered(state, f"t{MOST_ORDERS}", wish()).error.status == 503
-    state = ordered(ordered(state, "t7", wish("restore")).ok, f"t{MOST_ORDERS}", wish()).ok
-    assert "t7" not in lapses_of(state)["orders"] and len(lapses_of(state)["orders"]) == MOST_ORDERS
-    assert ordered(state, f"t{MOST_ORDERS + 1}", wish()).error.status == 503
+    state["document"]["tenants"] = {f"t{n}": {**tenant, "api_keys": [f"k{n}"]} for n in range(MAX_ORDERS + 2)}
+    for number in range(MAX_ORDERS):
+        state = apply_order(state, f"t{number}", wish()).ok
+    assert apply_order(state, f"t{MAX_ORDERS}", wish()).error.status == 503
+    state = apply_order(apply_order(state, "t7", wish("restore")).ok, f"t{MAX_ORDERS}", wish()).ok
+    assert "t7" not in lapses_of(state)["orders"] and len(lapses_of(state)["orders"]) == MAX_ORDERS
+    assert apply_order(state, f"t{MAX_ORDERS + 1}", wish()).error.status == 503
 
 
 def test_a_new_configuration_keeps_the_orders_and_lowers_what_they_come_to() -> None:
-    state = ordered(state_of(), "t", wish(usual_per_s=40.0)).ok
-    state = bound(told(state, "t", 0) or state, "t", 0) or state
-    assert squeezed(state) == {"t": (20.0, 25.0, 0.5)}
+    state = apply_order(state_of(), "t", wish(usual_per_s=40.0)).ok
+    state = activate_step(announce_step(state, "t", 0) or state, "t", 0) or state
+    assert slowed_tenants(state) == {"t": (20.0, 25.0, 0.5)}
     lower = {**document(2, rate=8.0), "based_on_version": "00000001"}
-    after = changed(state, "PUT", lower).ok
-    assert squeezed(after) == {"t": (8.0, 4.0, 0.5)}
+    after = apply_change(state, "PUT", lower).ok
+    assert slowed_tenants(after) == {"t": (8.0, 4.0, 0.5)}
     gone = {**document(3), "tenants": {"u": {"api_keys": ["z"]}}, "based_on_version": "00000002"}
-    assert not squeezed(changed(after, "PUT", gone).ok)
+    assert not slowed_tenants(apply_change(after, "PUT", gone).ok)
 
 
 def order(fleet: Fleet, body: dict[str, Any]) -> int:
@@ -137,7 +135,7 @@
     assert 3.0 < fleet.kernel.now - began < 6.0
     assert sorted(set(steps(fleet))) == [-1, 0, 1, 2] and steps(fleet) == sorted(steps(fleet))
     assert order(fleet, wish("restore")) == 200
-    assert all(m.node is not None and not m.node.table.squeezed for m in fleet.machines)  # type: ignore[union-attr]
+    assert all(m.node is not None and not m.node.table.slowed_tenants for m in fleet.machines)  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -196,7 +194,7 @@
     assert began[1] - began[0] > 1.9 and began[2] - began[1] > 1.9, "a step was cut short"
     for machine in fleet.machines:
         assert machine.node is not None and machine.node.table is not None
-        assert machine.node.table.squeezed["t"][0] == pytest.approx(5.0)
+        assert machine.node.table.slowed_tenants["t"][0] == pytest.approx(5.0)
 
 
 def test_a_step_is_never_cut_short_by_those_that_have_just_started() -> None:
@@ -291,7 +289,7 @@
     for number, name in enumerate(names):
         town.machines[number % 6].call("lapse", {"id": name, **wish(ladder=[{"share": 0.1 + 0.05 * number}])})
     town.run(10.0)
-    squeezed_to = [m.node.table.squeezed for m in town.machines if m.node is not None and m.node.table]
+    squeezed_to = [m.node.table.slowed_tenants for m in town.machines if m.node is not None and m.node.table]
     assert all(step == squeezed_to[0] and len(step) == 10 for step in squeezed_to)
     since = town.kernel.now
     town.run(9.0)
--- a/tests/edge/test_parts.py
+++ b/tests/edge/test_parts.py
@@ -9,7 +9,7 @@
 import pytest
 
 from embersill.edge.configuration.check import checked
-from embersill.edge.configuration.document import EMPTY, State, changed, read_version, write_version
+from embersill.edge.configuration.document import EMPTY, State, apply_change, read_version, write_version
 from embersill.edge.configuration.routes import Table, settings_for
 from embersill.edge.dataplane.gateway import EdgeGateway
 from embersill.edge.dataplane.handlers import MAX_EARLY, RETRY_SOON, ClientHandler
@@ -41,13 +41,13 @@
 
 
 def taken(state: State, method: str, body: Any) -> State:
-    result = changed(state, method, body)
+    result = apply_change(state, method, body)
     assert result.is_ok(), result.error
     return result.ok
 
 
 def refusal(state: State, method: str, body: Any) -> int:
-    result = changed(state, method, body)
+    result = apply_change(state, method, body)
     assert result.is_error()
     return result.error.status
 
--- a/tests/edge/test_rollout.py
+++ b/tests/edge/test_rollout.py
@@ -10,20 +10,20 @@
 import pytest
 
 from embersill.edge.__main__ import main
-from embersill.edge.configuration.document import State, changed, revision
+from embersill.edge.configuration.document import State, apply_change, revision
 from embersill.edge.rollout.judging import FALSE_ALARM, MISSED, compared, judged
-from embersill.edge.configuration.policy import AS_BUILT, RANGES, Policy, differences, read_policy
+from embersill.edge.configuration.policy import BUILT_IN_POLICY, RANGES, Policy, differences, read_policy
 from embersill.edge.configuration.rollouts import (
-    bound,
-    ended,
-    harmed,
+    activate_step,
+    end_run,
+    roll_back,
     in_force,
     label,
-    ordered,
-    passed,
-    rested,
+    apply_request,
+    complete_run,
+    resume_after_rest,
     rollouts_of,
-    told,
+    announce_step,
 )
 from embersill.edge.configuration.stages import Site, steps_of
 from embersill.edge.rollout.watch import BOUNDS_S, MAX_STAGES, Seen, Watch, total_by_kind
@@ -56,8 +56,10 @@
 
 def test_a_policy_says_what_it_changes() -> None:
     after = read_policy({"name": "x", "far_share": 0.2, "advice_s": 1}).ok
-    assert differences(AS_BUILT, after) == {"far_share": (None, 0.2), "advice_s": (None, 1.0)}
-    assert not differences(after, {**after, "name": "y"}) and set(RANGES) >= set(differences(AS_BUILT, after))
+    assert differences(BUILT_IN_POLICY, after) == {"far_share": (None, 0.2), "advice_s": (None, 1.0)}
+    assert not differences(after, {**after, "name": "y"}) and set(RANGES) >= set(
+        differences(BUILT_IN_POLICY, after)
+    )
 
 
 def drawn_sites(chance: random.Random) -> tuple[dict[str, Site], list[str]]:
@@ -103,7 +105,7 @@
         ({"a": {"asks": {}}}, [], 0.5, "neither zones nor gateways"),
         ({"a": {"asks": {"k": 1.0}, "zones": ["z"]}}, ["x"], 1.0, "nobody serves 'x'"),
         ({"a": {"asks": {"k": 1.0}, "zones": ["z"]}}, [], 0.5, "sites.a: it serves 1.00 of 'k'"),
-        ({"a": {"asks": {"k": -1.0}, "zones": ["z"]}}, [], 1.0, "below nought"),
+        ({"a": {"asks": {"k": -1.0}, "zones": ["z"]}}, [], 1.0, "negative number"),
         (
             {"a": {"asks": {}, "zones": ["z"]}, "b": {"asks": {}, "zones": ["z"]}},
             [],
@@ -120,49 +122,52 @@
 
 
 def test_a_run_goes_step_by_step_and_its_policy_holds_where_it_was_bound() -> None:
-    state = ordered(state_of(), wish(GOOD)).ok
-    assert ordered(state, wish(GOOD)).ok is state
-    assert ordered(state, wish({"name": "other", "far_share": 1.0})).error.status == 412
-    assert ordered(state_of(), wish("pause")).error.status == 404
-    assert in_force(state, "a", "g") == AS_BUILT and label(state)
-    assert bound(state, 1, 0) is None  # nothing binds that was not told
+    state = apply_request(state_of(), wish(GOOD)).ok
+    assert apply_request(state, wish(GOOD)).ok is state
+    assert apply_request(state, wish({"name": "other", "far_share": 1.0})).error.status == 412
+    assert apply_request(state_of(), wish("pause")).error.status == 404
+    assert in_force(state, "a", "g") == BUILT_IN_POLICY and label(state)
+    assert activate_step(state, 1, 0) is None  # nothing binds that was not told
     seen = [label(state)]
     order = run_of(state)["steps"]
     for step, (zone,) in enumerate(order):
-        state = told(state, 1, step) or state
-        assert told(state, 1, step) is None and told(state, 1, step + 1) is None
-        assert in_force(state, zone, "g") == AS_BUILT
+        state = announce_step(state, 1, step) or state
+        assert announce_step(state, 1, step) is None and announce_step(state, 1, step + 1) is None
+        assert in_force(state, zone, "g") == BUILT_IN_POLICY
         seen.append(label(state))
-        state = bound(state, 1, step) or state
-        assert bound(state, 1, step) is None and in_force(state, zone, "g") == GOOD
+        state = activate_step(state, 1, step) or state
+        assert activate_step(state, 1, step) is None and in_force(state, zone, "g") == GOOD
         seen.append(label(state))
-    assert len(set(seen)) == len(seen) and passed(state, 2) is None
-    state = passed(state, 1) or state
+    assert len(set(seen)) == len(seen) and complete_run(state, 2) is None
+    state = complete_run(state, 1) or state
     assert rollouts_of(state)["run"] is None and not label(state)
     assert in_force(state, "elsewhere", "g") == GOOD
-    assert ordered(state, wish(GOOD)).error.status == 412  # it is in force already
-    kept = changed(state, "PUT", {**document(2), "based_on_version": "00000001"}).ok
+    assert apply_request(state, wish(GOOD)).error.status == 412  # it is in force already
+    kept = apply_change(state, "PUT", {**document(2), "based_on_version": "00000001"}).ok
     assert in_force(kept, "a", "g") == GOOD and revision(kept) > revision(state)
 
 
 def test_a_step_that_harms_goes_back_everywhere_and_is_tried_again_once_if_that_may_help() -> None:
-    state = ordered(state_of(), wish(GOOD)).ok
+    state = apply_request(state_of(), wish(GOOD)).ok
     first = run_of(state)["steps"][0][0]
-    state = bound(told(state, 1, 0) or state, 1, 0) or state
-    paused = ordered(state, wish("pause")).ok
-    assert in_force(paused, first, "g") == GOOD and harmed(paused, 1, 0, "slow", True) is None
-    rests = harmed(state, 1, 0, "slow", True) or state
-    assert in_force(rests, first, "g") == AS_BUILT and told(rests, 1, 0) is None
-    again = rested(rests, 1, -1) or rests
-    assert run_of(again)["tries"] == 1 and label(again) != label(ordered(state_of(), wish(GOOD)).ok)
-    halted = harmed(state, 1, 0, "order: missing: 7", False) or state
+    state = activate_step(announce_step(state, 1, 0) or state, 1, 0) or state
+    paused = apply_request(state, wish("pause")).ok
+    assert in_force(paused, first, "g") == GOOD and roll_back(paused, 1, 0, "slow", True) is None
+    rests = roll_back(state, 1, 0, "slow", True) or state
+    assert in_force(rests, first, "g") == BUILT_IN_POLICY and announce_step(rests, 1, 0) is None
+    again = resume_after_rest(rests, 1, -1) or rests
+    assert run_of(again)["tries"] == 1 and label(again) != label(apply_request(state_of(), wish(GOOD)).ok)
+    halted = roll_back(state, 1, 0, "order: missing: 7", False) or state
     past = rollouts_of(halted)["past"][-1]
-    assert in_force(halted, first, "g") == AS_BUILT and past["how"] == "halted" and "7" in past["why"]
-    aborted = ordered(state, wish("abort")).ok
-    assert rollouts_of(aborted)["past"][-1]["how"] == "aborted" and in_force(aborted, first, "g") == AS_BUILT
+    assert in_force(halted, first, "g") == BUILT_IN_POLICY and past["how"] == "halted" and "7" in past["why"]
+    aborted = apply_request(state, wish("abort")).ok
+    assert (
+        rollouts_of(aborted)["past"][-1]["how"] == "aborted"
+        and in_force(aborted, first, "g") == BUILT_IN_POLICY
+    )
     for _ in range(40):
-        run = run_of(ordered(aborted, wish(GOOD)).ok)
-        aborted = ended(aborted, run, "aborted", "")
+        run = run_of(apply_request(aborted, wish(GOOD)).ok)
+        aborted = end_run(aborted, run, "aborted", "")
     assert len(rollouts_of(aborted)["past"]) == 16
 
 
@@ -266,7 +271,7 @@
     past = until_over(town)
     assert past["how"] == "halted" and past["step"] <= 0, past
     assert len(reached) == 1 and "c" not in reached
-    assert all(m.node is not None and m.node.policy == (AS_BUILT, "") for m in town.machines)
+    assert all(m.node is not None and m.node.policy == (BUILT_IN_POLICY, "") for m in town.machines)
     since = town.kernel.now
     town.run(4.0)
     after = [one for one in town.book if one.asked_at >= since and one.asked_at < town.kernel.now - 2.5]
@@ -327,7 +332,7 @@
         assert past["step"] <= 0
     states = {str(rollouts_of(m.node.state)["past"]) for m in town.machines if m.node is not None}
     assert len(states) == 1
-    expected = policy if past["how"] == "done" else AS_BUILT
+    expected = policy if past["how"] == "done" else BUILT_IN_POLICY
     assert all(m.node is not None and m.node.policy == (expected, "") for m in town.machines)
     assert isinstance(town.machines[0], Harmful)
 
