--- a/embersill/edge/node.py
+++ b/embersill/edge/node.py
@@ -1,8 +1,8 @@
-"""One gateway's part in the system, put together: who is there, what is agreed on, which backends there are.
+"""The control plane of one gateway: peers, replicated configuration, backends and quotas, put together.
 
-Everything here decides; nothing does I/O. Whoever drives it brings links, messages, calls and the time, and
-carries out `effects`: mail to peers, and saves. What the data plane needs is told by `on_table`,
-`on_instances`, and `on_slices` and `on_lent` of `demand`; what has changed, a line each, by `on_view`.
+Everything here only decides and does no I/O. The driver supplies links, messages, calls and the time, and
+carries out `effects`: messages to peers, and saves. The data plane is updated through `on_table`,
+`on_instances`, and `on_slices` and `on_lent` of `demand`; `on_view` reports each change in one line.
 """
 
 from __future__ import annotations
@@ -36,18 +36,20 @@
 from embersill.edge.status import status_of
 from embersill.edge.verdict import done
 
-ANSWERS = frozenset(("told", "result", "known", "reported", "watched", "lent"))  # to this life's questions
+ANSWERS = frozenset(
+    ("told", "result", "known", "reported", "watched", "lent")
+)  # to requests of this run of the process
 
-Handler = Callable[[str, Message], None]  # hears the peer's name and what it says
+Handler = Callable[[str, Message], None]  # called with the peer's name and its message
 
 
 def counts(told: dict[str, Any]) -> dict[str, int]:
-    """Numbers by name, as a message has them."""
+    """Reads the numbers by name in a message."""
     return {str(name): int(number) for name, number in told.items()}
 
 
 class Node:
-    """All parts of one gateway that decide about the system; see the module."""
+    """The control plane of one gateway; see the module."""
 
     def __init__(
         self,
@@ -65,7 +67,7 @@
         self.agreement = Agreement(
             hello.name, hello.store, self.effects, chance, now, life=hello.boot, durable=hello.core
         )
-        self.agreement.on_state, self.agreement.on_roster = self.adopt, self.seated
+        self.agreement.on_state, self.agreement.on_roster = self.adopt, self.members_changed
         self.registry = Registry(hello, self.peers, self.effects, beat_every)
         self.registry.on_news = self.news
         self.registry.speaks = self.agreement.speaks
@@ -80,7 +82,7 @@
         self.state: State = EMPTY
         self.table: Table | None = None
         self.on_table: Callable[[Table], None] = lambda table: None
-        self.on_view: Callable[[str], None] = lambda text: None  # hears what has changed, a line each
+        self.on_view: Callable[[str], None] = lambda text: None  # called with a line per change
         self.reports = Reports(hello, self.peers, self.effects)
         self.calls = Calls(hello, self.peers, self.agreement, self.registry, self.reports, self.effects)
         self.calls.when_applied = self.distribution.when_applied
@@ -92,12 +94,15 @@
         self.duties = self.squeezer.duty, self.roller.duty
         for duty in self.duties:
             duty.on_view = lambda text: self.on_view(text)
-        self.policy: tuple[Policy, str] = BUILT_IN_POLICY, ""  # in force here, and the stretch of a run
-        # hears of another policy, or another stretch of a run, in which requests are counted
+        self.policy: tuple[Policy, str] = (
+            BUILT_IN_POLICY,
+            "",
+        )  # the policy in force here, and the stretch of the run
+        # called when the policy changes, or the stretch of the run for which requests are counted
         self.on_policy: Callable[[Policy, str], None] = lambda policy, label: None
         self.registry.on_view = lambda text: self.on_view(text)
-        self.short: Shortfall | None = None  # what the members can't bear, as told last
-        self.viewed = ("", 0)  # its zone's keeper and the number of gateways, as told last
+        self.short: Shortfall | None = None  # as last reported by `on_view`
+        self.viewed = ("", 0)  # the zone's keeper and the number of gateways, as last reported
         self.on_instances: Callable[[list[Any]], None] = lambda news: None
         self.agreement.load(stored)
         if self.agreement.roster is not None:
@@ -107,17 +112,17 @@
             self.peers.expect_count(stored.gateways, now)
 
     def begin(self) -> None:
-        """Once whoever drives this listens: backends that the disk remembers serve from the start.
+        """Called once the driver is set up: backends stored on disk serve from the start.
 
-        The configuration doesn't: until a majority's word has come, here or by way of a member that has it,
-        what the disk has may be old.
+        The stored configuration is not used: it may be outdated until a majority has confirmed it, to this
+        gateway or to a member that sends it on.
         """
         news = self.registry.restore(self.backends, self.now)
         if news:
             self.on_instances(news)
 
     def leave(self) -> None:
-        """This gateway was told to stop: duties go to others, and its seat to a newcomer if there is one."""
+        """Starts the shutdown: hands duties over, and gives the seat up to a newcomer if there is one."""
         self.founding.stopping = True
         self.me = msgspec.structs.replace(self.me, leaving=True)
         for duty in self.duties:
@@ -127,13 +132,13 @@
     # links
 
     def hello(self) -> Hello:
-        """How this gateway presents itself to a peer."""
+        """This gateway's current hello message."""
         epoch = self.agreement.roster.epoch if self.agreement.roster is not None else 0
         version, orders = revision(self.state)
         return msgspec.structs.replace(self.me, epoch=epoch, version=version, orders=orders)
 
     def linked(self, hello: Hello, now: float) -> None:
-        """A peer has presented itself. Each tells the other what it may lack."""
+        """Handles a new link: sends the peer what it may lack."""
         self.now = max(self.now, now)
         self.peers.link(hello, self.now)
         mail = self.effects.mail
@@ -151,7 +156,7 @@
         self.distribution.catch_up()
 
     def unlinked(self, name: str, now: float) -> None:
-        """The link to a peer is gone."""
+        """Handles the loss of a link to a peer."""
         self.now = max(self.now, now)
         self.peers.unlink(name, self.now)
         self.distribution.unlinked(name)
@@ -160,18 +165,18 @@
         self.on_view(f"link peer={name} down")
 
     def heard(self, peer: str, message: Message, now: float) -> None:
-        """A message of a linked peer's; KeyError, TypeError, ValueError for one that is none."""
+        """Handles a linked peer's message; raises KeyError, TypeError or ValueError for an invalid one."""
         self.now = self.agreement.now = max(self.now, now)
         self.peers.touch(peer, self.now)
         kind = message["kind"]
         if kind in ANSWERS and message["life"] != self.me.boot:
-            return  # an earlier life of this process had asked, under a number that may stand for another now
+            return  # answers an earlier run of this process, whose request numbers may be in use again
         handle = self.handlers.get(kind)
         if handle is not None:
             handle(peer, message)
 
     def handlers_by_kind(self) -> dict[str, Handler]:
-        """What becomes of each kind of message; others come from gateways of another version, and go by."""
+        """Handlers by message kind; unknown kinds, as of gateways of other versions, are ignored."""
         return {
             "ask": self.agreement.heard,
             "told": self.agreement.heard,
@@ -193,7 +198,7 @@
             "reported": self.reports.gather.heard,
             "watch": self.roller.gather.heard,
             "watched": self.roller.gather.heard,
-            "call": lambda peer, told: self.calls.called(peer, told, self.now),
+            "call": lambda peer, told: self.calls.handle_forwarded(peer, told, self.now),
             "result": lambda peer, told: self.calls.result(told, self.now),
             **{
                 kind: lambda peer, told: self.demand.heard(peer, told, self.now)
@@ -202,7 +207,7 @@
         }
 
     def tick(self, now: float) -> None:
-        """What is due by now in every part."""
+        """Runs everything that is due in each part."""
         self.now = max(self.now, now)
         self.agreement.tick(self.now)
         self.peers.tick(self.now)
@@ -219,8 +224,8 @@
     # the configuration
 
     def view(self) -> None:
-        """Tells who keeps this zone's backends, how many gateways there are, and whether the members suffice,
-        where that has changed."""
+        """Reports changes of this zone's keeper, of the number of gateways, and of whether the members
+        suffice."""
         viewed = self.peers.keeper(self.me.zone), self.peers.count
         if viewed != self.viewed:
             self.viewed = viewed
@@ -230,15 +235,15 @@
             self.short = short
             self.on_view(f"members short: {short}" if short is not None else "members suffice")
 
-    def seated(self, roster: Roster) -> None:
-        """Other members have taken over the configuration."""
+    def members_changed(self, roster: Roster) -> None:
+        """Handles a new epoch: announces its roster to all linked peers."""
         self.peers.roster = roster
         self.on_view(f"members epoch={roster.epoch} names={','.join(sorted(roster.members))}")
         for name in self.peers.linked:
             self.effects.mail.append((name, self.agreement.roster_message(name)))
 
     def adopt(self, state: State) -> None:
-        """A newer version is in force here from now on; an older one never is again."""
+        """Puts a newer state in force here; older ones are ignored."""
         if revision(state) <= revision(self.state):
             return
         document = read_document(state["document"])
@@ -258,13 +263,13 @@
 
     @property
     def figures(self) -> SlowdownCounts | None:
-        """Where requests are counted; None while there are no orders about lapsed tenants."""
+        """Request counts for reports; None while there are no orders about lapsed tenants."""
         return self.reports.figures if self.reports.figures.now else None
 
     # calls of operators and backends
 
     def call(self, what: str, body: Any, answered: Answered, now: float) -> None:
-        """Settles a call, here or elsewhere; `answered` hears its verdict, once. `what`: see `calls`."""
+        """Handles or forwards a call; `answered` is called once, with the verdict. `what`: see `calls`."""
         self.now = self.agreement.now = max(self.now, now)
         if what == "status":
             return answered(done(status_of(self)))
@@ -273,5 +278,5 @@
     # news
 
     def news(self, news: list[Any]) -> None:
-        """Backends have changed."""
+        """Passes changes of backends to the data plane."""
         self.on_instances(news)
--- a/embersill/edge/status.py
+++ b/embersill/edge/status.py
@@ -1,4 +1,4 @@
-"""What a gateway believes, for whoever runs it: names, numbers and versions. No I/O."""
+"""A gateway's view of the system, for operators: members, counts and versions. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def status_of(node: Node) -> dict[str, object]:
-    """As `Status` in the interface's file has it."""
+    """The body of a status answer, as described by `Status` in openapi.json."""
     roster, version = node.agreement.roster, node.state["version"]
     short = node.founding.shortfall()
     backends: dict[str, dict[str, int]] = {}
