--- a/tests/edge/test_lapses.py
+++ b/tests/edge/test_lapses.py
@@ -31,7 +31,7 @@
 from embersill.lab.edge.fleet import Fleet, change, document
 from embersill.lab.edge.town import Gateway, Town, with_tenants
 from tests.edge.test_parts import Asked, Driven
-from tests.edge.test_system import until_taken
+from tests.edge.test_system import put_until_answered
 
 LADDER = [{"share": 0.5, "lasts_s": 2.0}, {"share": 0.2, "lasts_s": 2.0}, {"share": 0.1}]
 
@@ -116,7 +116,7 @@
 
 def order(fleet: Fleet, body: dict[str, Any]) -> int:
     """An operator who asks one gateway after the other for a clear answer; its status."""
-    return until_taken(fleet, {"id": "t", **body}, what="lapse")
+    return put_until_answered(fleet, {"id": "t", **body}, what="lapse")
 
 
 def steps(fleet: Fleet) -> list[int]:
--- a/tests/edge/test_leave_invariants.py
+++ b/tests/edge/test_leave_invariants.py
@@ -1,6 +1,6 @@
-"""Drawn orders of arrivals, ends of attempts, timers and leaves: counts and tokens come back, each once.
+"""Random orders of arrivals, ended attempts, timers and leaving clients: counts and tokens are returned once.
 
-The decisions alone are played; what carries them out is a stand-in that keeps the driver's order of events.
+Only the decisions run; their actions are executed by a stand-in that keeps the driver's order of events.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 SEEDS = range(150)
 STEPS = 120
-PATIENCE = 3.0  # seconds that a client waits
+CLIENT_TIMEOUT_S = 3.0  # after which a client gives up
 ENDS = (
     Outcome.SERVED,
     Outcome.SERVED,
@@ -44,12 +44,12 @@
 )
 
 
-class Carrier:
-    """Carries out what the decisions want, as the driver does, and draws what happens."""
+class ActionExecutor:
+    """Executes the actions of the decisions as the driver does, and draws random events."""
 
     def __init__(self, gateway: EdgeGateway, seed: int) -> None:
         self.gateway, self.chance, self.now = gateway, random.Random(seed), 100.0
-        self.out: dict[int, dict[int, Send]] = {}  # by request and attempt
+        self.attempts_under_way: dict[int, dict[int, Send]] = {}  # by request and attempt
         self.waiting: dict[int, str] = {}  # requests whose clients wait, and their routes
         self.left: set[int] = set()
         self.maybe_ran: set[int] = set()
@@ -57,17 +57,17 @@
         self.borrowed = 0.0
         self.number = 0
 
-    def post(self, event: Event) -> None:
-        """Hands an event on, and carries out what comes of it."""
-        self.carry_out(self.gateway.handle(event, self.now))
+    def handle_event(self, event: Event) -> None:
+        """Passes an event to the gateway and executes the resulting actions."""
+        self.execute(self.gateway.handle(event, self.now))
 
-    def carry_out(self, actions: Iterable[Action]) -> None:
-        """Carries out actions, in their order."""
+    def execute(self, actions: Iterable[Action]) -> None:
+        """Executes actions in order; cancellations and loans come last."""
         cancelled, asked = list[Cancel](), list[Borrow]()
         for action in actions:
             if isinstance(action, Send):
                 assert action.request in self.waiting, "sent for a request that is over, or whose client left"
-                attempts = self.out.setdefault(action.request, {})
+                attempts = self.attempts_under_way.setdefault(action.request, {})
                 attempts[max(attempts, default=-1) + 1 if attempts else self.next_place(action)] = action
             elif isinstance(action, SetTimer):
                 heapq.heappush(self.timers, (self.now + action.delay, action.key))
@@ -83,65 +83,65 @@
         for borrow in asked:
             units = float(self.chance.randrange(3))
             self.borrowed += units
-            self.post(BorrowResult(borrow.customer, units))
+            self.handle_event(BorrowResult(borrow.customer, units))
 
     def next_place(self, action: Send) -> int:
-        """The number of a request's newest attempt."""
+        """The index of a request's newest attempt."""
         return len(self.gateway.jobs[action.request].attempts) - 1
 
     def answered(self, action: Refuse | Fail) -> None:
-        """A final answer goes out: once, and no promise for an order that may have run."""
+        """Checks a final answer: it is sent once, and no request that may have run is refused."""
         route = self.waiting.pop(action.request, None)
         assert route is not None, "answered twice, or after the client had left"
         assert not (isinstance(action, Refuse) and route == "r1" and action.request in self.maybe_ran)
 
     def end(self, request: int, place: int, outcome: Outcome) -> None:
-        """An attempt ends."""
-        del self.out[request][place]
+        """Ends an attempt with an outcome."""
+        del self.attempts_under_way[request][place]
         if not outcome.never_ran:
             self.maybe_ran.add(request)
         if outcome is Outcome.SERVED:
             self.waiting.pop(request, None)
         over = request not in self.waiting
         server = self.gateway.jobs[request].attempts[place].server.backend.address
-        self.post(AttemptEnded(request, place, server, outcome, 0.1, over, 0.0, (1.0, 0.0, 2.0)))
+        self.handle_event(AttemptEnded(request, place, server, outcome, 0.1, over, 0.0, (1.0, 0.0, 2.0)))
 
     def arrive(self) -> None:
-        """A client asks."""
+        """Sends a new client request."""
         self.number += 1
         route = self.chance.choice(["r0", "r1"])
         self.waiting[self.number] = route
-        until = self.now + PATIENCE
-        self.post(Request(self.number, route, "t", "t", until, 1.0, 0, -1, False, "s"))
+        until = self.now + CLIENT_TIMEOUT_S
+        self.handle_event(Request(self.number, route, "t", "t", until, 1.0, 0, -1, False, "s"))
 
     def leave(self) -> None:
-        """A client leaves: what was not written ends first, then the decisions hear of it."""
+        """A client leaves: its unsent attempts end first, then the gateway is notified."""
         request = self.chance.choice(sorted(self.waiting))
         del self.waiting[request]
         self.left.add(request)
-        for place in list(self.out.get(request, ())):
-            if self.chance.random() < 0.3:  # its connection was still dialled
+        for place in list(self.attempts_under_way.get(request, ())):
+            if self.chance.random() < 0.3:  # its connection was still being established
                 self.end(request, place, Outcome.NOT_SENT)
-        self.post(ClientLeft(request))
+        self.handle_event(ClientLeft(request))
 
     def end_any(self) -> None:
-        """Some attempt ends somehow."""
-        outs = [(request, place) for request, places in self.out.items() for place in places]
-        if outs:
-            request, place = self.chance.choice(outs)
+        """Ends a random attempt with a random outcome."""
+        pairs = [(request, place) for request, places in self.attempts_under_way.items() for place in places]
+        if pairs:
+            request, place = self.chance.choice(pairs)
             self.end(request, place, self.chance.choice(ENDS))
 
-    def let_time_pass(self, seconds: float) -> None:
-        """Timers come due, in their order."""
+    def advance(self, seconds: float) -> None:
+        """Advances the clock and fires due timers in order."""
         end = self.now + seconds
         while self.timers and self.timers[0][0] <= end:
             due, key = heapq.heappop(self.timers)
             self.now = max(self.now, due)
-            self.post(TimerDue(key))
+            self.handle_event(TimerDue(key))
         self.now = end
 
     def play(self, moves: bool) -> None:
-        """Draws a run, and brings all of it to its end; `moves`: the clock goes on."""
+        """Plays a random run and then ends everything in it; `moves`: the clock advances."""
         for _ in range(STEPS):
             draw = self.chance.random()
             if draw < 0.45:
@@ -151,17 +151,17 @@
             elif draw < 0.9:
                 self.end_any()
             elif moves:
-                self.let_time_pass(self.chance.uniform(0.0, 0.3))
+                self.advance(self.chance.uniform(0.0, 0.3))
         while self.waiting:
             self.leave()
-        while any(self.out.values()):
+        while any(self.attempts_under_way.values()):
             self.end_any()
         if moves:
-            self.let_time_pass(20.0)
+            self.advance(20.0)
 
 
 def assert_calm(gateway: EdgeGateway) -> None:
-    """Nothing is under way, and each count of it is back at nought."""
+    """Checks that nothing is under way and that all counts are back at 0."""
     throttle = gateway.throttles["t"]
     assert not gateway.jobs and not throttle.queue and not throttle.held and not throttle.open
     assert not any(server.overdue for server in gateway.servers.values())
@@ -172,22 +172,22 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_tokens_of_what_no_backend_ran_are_given_back_once(seed: int) -> None:
-    """The clock stands still, so that no token comes by itself."""
+    """The clock stands still, so that no token is added by refill."""
     gateway = edge(rate=40.0)  # a bank of ten here
-    carrier = Carrier(gateway, seed)
-    carrier.play(moves=False)
+    executor = ActionExecutor(gateway, seed)
+    executor.play(moves=False)
     assert_calm(gateway)
     throttle = gateway.throttles["t"]
-    assert throttle.level == pytest.approx(10.0 + carrier.borrowed - len(carrier.maybe_ran), abs=1e-6)
+    assert throttle.level == pytest.approx(10.0 + executor.borrowed - len(executor.maybe_ran), abs=1e-6)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_counts_come_back_whatever_meets(seed: int) -> None:
     gateway = edge(rate=40.0)
-    carrier = Carrier(gateway, seed)
-    carrier.play(moves=True)
+    executor = ActionExecutor(gateway, seed)
+    executor.play(moves=True)
     assert_calm(gateway)
     assert not gateway.attempts.lingering.servers and not gateway.attempts.lingering.serials_by_server
     throttle = gateway.throttles["t"]
-    assert throttle.level <= max(throttle.bank, 10.0 + carrier.borrowed)
+    assert throttle.level <= max(throttle.bank, 10.0 + executor.borrowed)
     assert not any(server.flight for server in gateway.servers.values())
--- a/tests/edge/test_system.py
+++ b/tests/edge/test_system.py
@@ -1,4 +1,4 @@
-"""Seeded random runs of the whole control plane on a simulated network; rules are checked after each step."""
+"""Seeded runs of the whole control plane on a simulated network; invariants are checked at each step."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from embersill.lab.edge.fleet import Fleet, Machine, change
 
 
-def until_taken(fleet: Fleet, body: dict[str, object], tries: int = 30, what: str = "PUT") -> int:
-    """An operator who goes from gateway to gateway until the change has its clear answer; its status."""
+def put_until_answered(fleet: Fleet, body: dict[str, object], tries: int = 30, what: str = "PUT") -> int:
+    """Sends a change to one gateway after the other until one gives a definite answer; returns its status."""
     for number in range(tries):
         machine = fleet.machines[number % len(fleet.machines)]
         heard = machine.call(what, body)
@@ -26,9 +26,9 @@
 def test_a_change_comes_to_every_gateway_and_is_answered_again_as_it_was() -> None:
     fleet = founded(1)
     assert all(m.node is not None and m.node.state["version"] == 1 for m in fleet.machines)
-    assert until_taken(fleet, change(1, 0)) == 200
-    assert until_taken(fleet, change(1, 0, routes=2)) == 412
-    assert until_taken(fleet, change(1, 1)) == 400  # not above the current one
+    assert put_until_answered(fleet, change(1, 0)) == 200
+    assert put_until_answered(fleet, change(1, 0, routes=2)) == 412
+    assert put_until_answered(fleet, change(1, 1)) == 400  # not above the current one
     read = fleet.machines[-1].call("GET", {})
     fleet.run(1.0)
     assert read[0].body["version"] == "00000001" and "based_on_version" not in read[0].body
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_what_was_acknowledged_outlives_kills_cuts_wipes_and_exchanged_members(seed: int) -> None:
-    """Random troubles of the core, one member lost at a time, with changes going on; then calm."""
+    """Random faults of the core, one lost member at a time, during changes; then recovery."""
     fleet = founded(seed, 3, 2)
     chance, acknowledged, version = fleet.kernel.stream("troubles"), 1, 1
     wiped_at = -100.0
@@ -92,33 +92,33 @@
         assert answers and answers[0].status == 200, answers
         assert int(str(answers[0].body["version"]), 16) >= acknowledged
     base = fleet.machines[0].node.state["version"]  # type: ignore[union-attr]
-    assert until_taken(fleet, change(version + 100, base)) == 200
+    assert put_until_answered(fleet, change(version + 100, base)) == 200
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_core_machine_is_exchanged_for_another_at_another_address(seed: int) -> None:
     fleet = founded(seed)
-    gone: Machine = fleet.machines[seed % 3]
-    gone.kill()
+    replaced: Machine = fleet.machines[seed % 3]
+    replaced.kill()
     if seed % 2:
-        fleet.run(4.0)  # unplanned: the newcomer comes later
-    fleet.machines.remove(gone)
-    del fleet.by_name[gone.name]
-    new = fleet.add(core=True, zone=gone.zone)
+        fleet.run(4.0)  # an unplanned loss: the replacement is added later
+    fleet.machines.remove(replaced)
+    del fleet.by_name[replaced.name]
+    new = fleet.add(core=True, zone=replaced.zone)
     fleet.run(8.0)
     roster = new.node.agreement.roster  # type: ignore[union-attr]
-    assert roster is not None and gone.name not in roster.members and new.name in roster.members
-    # the newcomer counts: with another of the old ones away, changes go on
+    assert roster is not None and replaced.name not in roster.members and new.name in roster.members
+    # the newcomer votes: with another old member down, changes still succeed
     other = next(m for m in fleet.machines if m.core and m is not new)
     other.kill()
     fleet.run(2.0)
-    assert until_taken(fleet, change(50, 1)) == 200
+    assert put_until_answered(fleet, change(50, 1)) == 200
     fleet.settled()
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_what_was_acknowledged_is_on_disks_by_then(seed: int) -> None:
-    """Slow disks, and all lose power at the moment of the acknowledgement."""
+    """Disks are slow, and all machines lose power at the moment of the acknowledgement."""
     fleet = founded(seed)
     fleet.save_takes = 0.05, 0.2
     heard = fleet.machines[seed % 3].call("PUT", change(7, 1))
@@ -138,11 +138,11 @@
     fleet = founded(9)
     one, other, late = fleet.machines[:3]
     late.kill()
-    assert until_taken(fleet, change(2, 1)) == 200
+    assert put_until_answered(fleet, change(2, 1)) == 200
     one.wipe()
     other.kill()
     one.start()
-    late.start()  # it has slept through version 2, and only one that is away knows of it
+    late.start()  # it has missed version 2, which only a stopped member knows
     fleet.run(3.0)
     heard = late.call("PUT", change(3, 1))
     fleet.run(2.0)
@@ -150,22 +150,22 @@
     other.start()
     fleet.run(4.0)
     fleet.settled()
-    assert until_taken(fleet, change(3, 2)) == 200
+    assert put_until_answered(fleet, change(3, 2)) == 200
 
 
 def test_a_core_without_disks_learns_what_a_restart_forgets() -> None:
     fleet = Fleet(8, 12, 0, disks=False)
     fleet.run(4.0)
-    assert until_taken(fleet, change(1, 0)) == 200
+    assert put_until_answered(fleet, change(1, 0)) == 200
     roster = fleet.machines[0].node.agreement.roster  # type: ignore[union-attr]
-    assert roster is not None and len(roster.members) == 9  # seats in all zones
+    assert roster is not None and len(roster.members) == 9  # spread over all zones
     for version in range(2, 6):
         victim = fleet.machines[version]
         victim.kill()
         fleet.run(0.3)
         victim.start()
         fleet.run(3.0)
-        assert until_taken(fleet, change(version, version - 1)) == 200
+        assert put_until_answered(fleet, change(version, version - 1)) == 200
     fleet.settled()
     seated = [m.node for m in fleet.machines if m.name in roster.members]
     assert all(node is not None and node.agreement.votes for node in seated)
@@ -178,13 +178,13 @@
     assert heard[0].status == 200 and heard[0].body["heartbeat_address"] == "10.0.0.1:8000"
     fleet.run(0.5)
     assert all(m.node.registry.instances.known["i-1"].open for m in fleet.machines if m.node is not None)
-    fleet.slowed[fleet.machines[-1].name] = 0.1  # the core agrees long before this one knows
+    fleet.slowed[fleet.machines[-1].name] = 0.1  # this one learns of the decision long after the core
     leaving = fleet.machines[1].call("beat", beat("draining", 2))
-    again = fleet.machines[1].call("beat", beat("draining", 3))  # is no sooner answered
+    again = fleet.machines[1].call("beat", beat("draining", 3))  # must not be answered sooner
     while not leaving and not again:
         fleet.run(0.0005)
     assert not any(m.node.registry.instances.known["i-1"].open for m in fleet.machines if m.node is not None)
-    late = fleet.machines[0].call("beat", beat("ready", 1))  # overtaken on its way
+    late = fleet.machines[0].call("beat", beat("ready", 1))  # delayed past the later beats
     fleet.run(0.5)
     assert late[0].status == 200
     assert not any(m.node.registry.instances.known["i-1"].open for m in fleet.machines if m.node is not None)
@@ -234,11 +234,11 @@
     assert heard and heard[0].status >= 500
     for machine in fleet.machines[:2]:
         machine.disk_refuses = False
-    assert until_taken(fleet, change(9, 1)) == 200
+    assert put_until_answered(fleet, change(9, 1)) == 200
 
 
 def test_nobody_serves_an_unvouched_configuration_and_one_on_its_own_counts_all() -> None:
-    """All lose power: one alone serves nothing, a majority of the core serves what was in force, soon."""
+    """After a power loss everywhere one member alone serves nothing; a majority soon serves the old state."""
     fleet = founded(11, 3, 4)
     fleet.machines[0].call("beat", beat())
     fleet.run(1.0)
@@ -248,7 +248,7 @@
     one, other = fleet.machines[:2]
     one.start()
     assert one.node is not None and one.node.table is None
-    fleet.run(20.0)  # nobody else is back: its slice of each quota stays one of seven
+    fleet.run(20.0)  # no other gateway is back: its quota slice stays one of seven
     assert one.node.peers.count == 7 and one.node.table is None
     other.start()
     fleet.run(1.6)
@@ -256,12 +256,14 @@
     for machine in fleet.machines[2:]:
         machine.start()
     fleet.run(3.0)
-    assert until_taken(fleet, change(2, 1)) == 200
+    assert put_until_answered(fleet, change(2, 1)) == 200
     fleet.settled()
     edge = fleet.machines[-1]
     edge.kill()
     edge.start()
-    assert edge.node is not None and edge.node.table is None  # without a disk it has to be told
+    assert (
+        edge.node is not None and edge.node.table is None
+    )  # without a disk it has to fetch the configuration
     fleet.run(1.0)
     assert edge.node.state["version"] == 2
 
@@ -277,7 +279,7 @@
 
 
 def test_nobody_judges_backends_that_call_a_member_which_the_core_can_not_hear() -> None:
-    """One member is cut off from the other two, and from nobody else; all backends go on calling theirs."""
+    """One member is cut off from the other two only; every backend goes on calling its own member."""
     fleet = founded(12, 3, 3)
     cut, *others = fleet.machines[:3]
     for sequence in range(1, 17):
@@ -296,7 +298,7 @@
 def test_a_member_that_is_cut_off_takes_no_backend_for_lost_that_has_gone_back_to_its_keeper() -> None:
     """A backend reports once to a member that is cut off from the others, and then to its keeper again.
 
-    For the keeper nothing has changed, so it tells no news; gateways know the other member's word alone.
+    For the keeper nothing has changed, so it sends no update; gateways have only the other member's report.
     """
     fleet = founded(12, 3, 3)
     cut, keeper, other = fleet.machines[:3]
@@ -306,7 +308,7 @@
     cut.call("beat", beat("ready", 2, keeper.zone))
     for sequence in range(3, 20):
         if sequence == 16:
-            fleet.heal()  # silence until now counts for nothing
+            fleet.heal()  # silence before the heal must not count
         fleet.run(0.7)
         keeper.call("beat", beat("ready", sequence, keeper.zone))
         for machine in fleet.machines:
@@ -318,7 +320,7 @@
 def test_members_that_look_whether_another_has_written_do_not_tell_what_is_known() -> None:
     fleet = founded(5, others=2)
     base = fleet.machines[0].node.state["version"]  # type: ignore[union-attr]
-    assert until_taken(fleet, change(base + 1, base, routes=300)) == 200
+    assert put_until_answered(fleet, change(base + 1, base, routes=300)) == 200
     fleet.run(2.0)
     told: list[int] = []
     send = fleet.send
@@ -331,11 +333,11 @@
     fleet.send = counted  # type: ignore[method-assign]
     fleet.run(5.0)
     assert len(told) >= 20 and max(told) < 1000  # the configuration has 60,000 bytes
-    # and one that has missed a write is told it
+    # a member that has missed a write still receives it
     late = fleet.machines[2]
     fleet.cut({late.name})
     fleet.run(2.0)
-    assert until_taken(fleet, change(base + 2, base + 1, routes=2)) == 200
+    assert put_until_answered(fleet, change(base + 2, base + 1, routes=2)) == 200
     fleet.heal()
     fleet.run(4.0)
     assert late.node is not None and late.node.state["version"] == base + 2
