--- a/embersill/counting/command.py
+++ b/embersill/counting/command.py
@@ -16,19 +16,19 @@
 from embersill.settings import read_settings
 
 
-def settings_of(path: str) -> Settings:
-    """The settings of a gateway's configuration file, or of a file that holds them alone."""
+def read_gateway_settings(path: str) -> Settings:
+    """Reads the settings from a gateway's configuration file, or from a file that holds only them."""
     try:
-        told: Any = json.loads(Path(path).read_text(encoding="utf-8"))
-        return read_settings(told.get("settings", told))
+        content: Any = json.loads(Path(path).read_text(encoding="utf-8"))
+        return read_settings(content.get("settings", content))
     except OSError as error:
         raise BadConfiguration(f"{path}: {error.strerror}") from error
     except (ValueError, TypeError, AttributeError, KeyError) as error:
         raise BadConfiguration(f"{path}: {' '.join(str(error).split())}") from error
 
 
-def lines_of(rows: list[dict[str, float | str]]) -> list[str]:
-    """The table for people: a line a plan and width, a column a trouble."""
+def format_table(rows: list[dict[str, float | str]]) -> list[str]:
+    """The table as text: a line for each plan and width, a column for each kind of trouble."""
     kinds = list(TROUBLES)
     lines = [f"{'plan':<12} {'width':>5}" + "".join(f" {kind:>9}" for kind in kinds)]
     for key in dict.fromkeys((row["plan"], row["width"]) for row in rows):
@@ -47,6 +47,7 @@
 
 
 def main(arguments: list[str]) -> int:
+    """Runs the command; returns its exit status."""
     parser = argparse.ArgumentParser(prog="embersill counting", description=__doc__)
     bound = parser.add_subparsers(required=True, metavar="bound").add_parser(
         "bound", help="units by which a quota can be passed, by plan, width and trouble"
@@ -60,9 +61,9 @@
         if options.operator:
             counting = read_operator(options.operator).counting
             terms = counting.terms if counting is not None else terms
-        rows = table(settings_of(options.settings), terms)
+        rows = table(read_gateway_settings(options.settings), terms)
     except BadConfiguration as error:
         print(f"embersill: {error}", file=sys.stderr)
         return 2
-    print(json.dumps(rows) if options.json else "\n".join(lines_of(rows)))
+    print(json.dumps(rows) if options.json else "\n".join(format_table(rows)))
     return 0
--- a/embersill/counting/lines.py
+++ b/embersill/counting/lines.py
@@ -1,4 +1,4 @@
-"""The keeper's calls on sockets: connections to each counter, beats by the loop's timers."""
+"""Runs a keeper on sockets: connections to each counter, and beats by timers of the event loop."""
 
 from __future__ import annotations
 
@@ -11,14 +11,17 @@
 from embersill.net.discovery import read_address
 
 
-class Lines(Counter):
-    """The connections to one counter; ends of calls go to the keeper by their numbers."""
+class KeeperCounter(Counter):
+    """The connections to one counter; outcomes go to the keeper, with the numbers of their calls."""
 
     def __init__(self, counting: Counting, address: tuple[str, int]) -> None:
-        super().__init__(counting.clock, address, counting.patience, counting.dial_timeout, counting.told)
+        super().__init__(
+            counting.clock, address, counting.call_timeout, counting.dial_timeout, counting.on_counted
+        )
         self.counting = counting
 
     def finish_call(self, call: CounterCall, outcome: Outcome, total: float) -> None:
+        """Reports a call's outcome, or that an answer came after its timeout."""
         if call.reported:
             if outcome is Outcome.SERVED:
                 self.counting.keeper.late(call.token, self.clock())
@@ -30,68 +33,76 @@
 
 
 class Counting:
-    """Stands where a gateway's one counter stands: the module's calls go through a keeper to the counters."""
+    """Replaces a gateway's single counter: the module's calls go through a keeper to several counters."""
 
     def __init__(
         self,
         keeper: Keeper,
         clock: Callable[[], float],
-        patience: float,
+        call_timeout: float,
         dial_timeout: float,
-        told: Callable[[CounterResult], None],
+        on_counted: Callable[[CounterResult], None],
     ) -> None:
-        self.keeper, self.clock, self.told = keeper, clock, told
-        self.patience, self.dial_timeout = patience, dial_timeout
+        self.keeper, self.clock, self.on_counted = keeper, clock, on_counted
+        self.call_timeout, self.dial_timeout = call_timeout, dial_timeout
         self.loop = asyncio.get_running_loop()
-        self.lines: dict[str, Lines] = {}
+        self.counters: dict[str, KeeperCounter] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.open_lines(keeper.order)
+        self.add_counters(keeper.order)
 
-    def open_lines(self, places: Sequence[str]) -> None:
+    def add_counters(self, places: Sequence[str]) -> None:
+        """Prepares connections to counters that have none."""
         for place in places:
-            if place not in self.lines:
-                self.lines[place] = Lines(self, read_address(place))
+            if place not in self.counters:
+                self.counters[place] = KeeperCounter(self, read_address(place))
 
     def start(self) -> None:
+        """Starts the beats."""
         self.beat()
 
     def beat(self) -> None:
+        """Makes the keeper's calls that are due, and sets the timer for the next beat."""
         now = self.clock()
         self.perform(self.keeper.beat(now))
         self.timer = self.loop.call_later(max(self.keeper.next_beat(now) - now, 0.01), self.beat)
 
     def count(self, action: Count) -> None:
+        """Carries out an action of the module."""
         self.perform(self.keeper.count(action, self.clock()))
 
     def ended(self, number: int, outcome: Outcome, elapsed: float, total: float) -> None:
+        """Passes a call's outcome to the keeper."""
         self.perform(self.keeper.answered(number, outcome, elapsed, total, self.clock()))
 
     def perform(self, steps: Iterable[Step]) -> None:
+        """Makes the keeper's calls, and reports its outcomes to the module."""
         for step in steps:
             if isinstance(step, Call):
-                self.lines[step.place].add(step.name, step.amount, step.forget_after, step.id)
+                self.counters[step.place].add(step.name, step.amount, step.forget_after, step.id)
             else:
-                self.told(step)
+                self.on_counted(step)
 
     def move(self, address: tuple[str, int]) -> None:
-        """One counter from now on, as the platform's configuration names it."""
+        """Uses one counter from now on, as named by the platform's configuration."""
         self.move_all([f"{address[0]}:{address[1]}"])
 
     def move_all(self, places: Sequence[str]) -> None:
+        """Uses these counters from now on; calls in flight to others are still awaited."""
         if tuple(places) == self.keeper.order:
             return
-        self.open_lines(places)
+        self.add_counters(places)
         steps = self.keeper.move(places, self.clock())
-        for place in [place for place in self.lines if place not in places]:
-            self.lines.pop(place).leave()
+        for place in [place for place in self.counters if place not in places]:
+            self.counters.pop(place).leave()
         self.perform(steps)
 
     def leave(self) -> None:
-        """Tells the others that this gateway stops."""
+        """Tells the other gateways, through the counters, that this one stops."""
         self.perform(self.keeper.leave(self.clock()))
 
     def close(self) -> None:
+        """Stops the beats and closes all connections."""
         if self.timer is not None:
             self.timer.cancel()
-        for lines in self.lines.values():
-            lines.close()
+        for counters in self.counters.values():
+            counters.close()
--- a/embersill/counting/placement.py
+++ b/embersill/counting/placement.py
@@ -1,9 +1,9 @@
-"""Which of several counters a customer's names are at. No I/O.
+"""Assigns customers to counters. No I/O.
 
 Rendezvous hashing (Thaler and Ravishankar 1998, "Using name-based mappings to increase hit rates").
 
-All gateways with one list of addresses agree without a word, in whatever order the list stands; one address
-less moves the names that were at it and no others.
+All gateways with the same addresses agree without communication, whatever the order of their lists. Removing
+an address moves only the names that were there.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def place_of(customer: str, places: Sequence[str]) -> str:
-    """The counter of a customer; ValueError without any."""
+    """The address of a customer's counter; raises ValueError if there are no counters."""
     if not places:
         raise ValueError("there is no counter")
     if len(places) == 1:
@@ -22,7 +22,7 @@
 
 
 def weight_of(customer: str, place: str) -> int:
-    """Crc32 alone is linear: two places would get their customers' names by one bit. A mix mends that."""
+    """The rendezvous weight, mixed: as CRC-32 is linear, one bit would decide between two places."""
     mixed = zlib.crc32(f"{place}\0{customer}".encode())
     mixed = (mixed ^ (mixed >> 16)) * 0x85EBCA6B & 0xFFFFFFFF  # MurmurHash3's finalizer
     mixed = (mixed ^ (mixed >> 13)) * 0xC2B2AE35 & 0xFFFFFFFF
--- a/embersill/net/clients.py
+++ b/embersill/net/clients.py
@@ -160,7 +160,7 @@
         self.errors = 0
         self.error_pause: asyncio.TimerHandle | None = None  # after a bad request, nothing is read until then
         self.unread = b""
-        self.used = False  # a request has begun on it: set_draining lines do not count
+        self.used = False  # a request has begun on it: empty lines do not count
         self.paused = self.ended = self.closing = self.stuck = self.parsing = False
         self.left = False  # the client closed the connection, or it broke
         self.in_request, self.in_head, self.head_size = False, False, 0
