--- a/embersill/lab/counting/fences.py
+++ b/embersill/lab/counting/fences.py
@@ -153,8 +153,8 @@
         "share-at-once",
         TOTALS,
         "after a call without an answer the last reading still decides",
-        "            if self.repays and call[1] > 0:  # what",
-        "            if False:  # what",
+        "            if self.repays and call[1] > 0:  # the",
+        "            if False:  # the",
     ),
 )
 BY_NAME = {fence.name: fence for fence in (*FENCES, *TESTED)}
