--- a/embersill/edge/peers/links.py
+++ b/embersill/edge/peers/links.py
@@ -68,7 +68,7 @@
         if self.transport is None:
             return
         if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
-            return self.drop("peer does not read its messages")
+            return self.drop("does not read its messages")
         self.sent_at = self.links.clock()
         self.transport.write(line)
 
@@ -77,7 +77,7 @@
         self.heard_at = self.links.clock()
         self.size += len(data)
         if self.size > MAX_LINE_BYTES:
-            return self.drop("message too long")
+            return self.drop("a line that is too long")
         *lines, rest = data.split(b"\n")
         if not lines:
             self.parts.append(data)
@@ -99,7 +99,7 @@
             if self.links.by_peer.get(self.hello.name) is self:
                 self.links.peers.heard(self.hello.name, message, self.links.clock())
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError, AttributeError) as error:
-            self.drop(f"invalid message: {type(error).__name__}: {error}")
+            self.drop(f"a message that is invalid: {type(error).__name__}: {error}")
 
     def drop(self, reason: str) -> None:
         """Closes this connection and logs the reason unless it is empty."""
@@ -182,7 +182,7 @@
         now = self.clock()
         for link in list(self.open):
             if now - link.heard_at > LINK_TIMEOUT_S:
-                link.drop("heartbeat time-out")
+                link.drop("silent")
             elif now - link.sent_at > HEARTBEAT_INTERVAL_S and link.hello is not None:
                 link.send({"kind": "here"})
         for ip in self.targets():
