--- a/embersill/edge/configuration/policy.py
+++ b/embersill/edge/configuration/policy.py
@@ -1,8 +1,8 @@
 """Policies: tunable settings of the gateways' decisions, as one validated document. No I/O.
 
 A policy is separate from the configuration of the protocol's page, which is in force everywhere at once.
-It is rolled out to the sites step by step (`rollouts`, `roller`). Settings that it leaves out keep their
-built-in values.
+It is rolled out to the sites step by step (`rollouts`, `rollout_runner`). Settings that it leaves out keep
+their built-in values.
 """
 
 from __future__ import annotations
--- a/embersill/edge/configuration/rollouts.py
+++ b/embersill/edge/configuration/rollouts.py
@@ -211,14 +211,14 @@
 
 
 def label(state: State) -> str:
-    """Names the current stretch of a run, for which gateways count together; empty without a run."""
+    """Names the current stage of a run, for which gateways count together; empty without a run."""
     rollouts = rollouts_of(state)
     run = rollouts["run"]
     if run is None:
         return ""
-    return stretch(rollouts["number"], run["tries"], run["step"], run["told"])
+    return stage_label(rollouts["number"], run["tries"], run["step"], run["told"])
 
 
-def stretch(number: int, tries: int, step: int, told: int) -> str:
-    """The name under which requests of one stretch of a run are counted."""
+def stage_label(number: int, tries: int, step: int, told: int) -> str:
+    """The name under which requests of one stage of a run are counted."""
     return f"{number}.{tries}.{step}.{told}"
--- a/embersill/edge/dataplane/attempts.py
+++ b/embersill/edge/dataplane/attempts.py
@@ -9,7 +9,7 @@
 from embersill.edge.configuration.lapses import Slowed
 from embersill.edge.dataplane.lingering import LingeringAttempts
 from embersill.edge.rollout.watch import Watch
-from embersill.edge.throttling.figures import SlowdownCounts
+from embersill.edge.throttling.slowdown_counts import SlowdownCounts
 from embersill.interface import AttemptEnded, ClientLeft, Outcome, Repeats, SetTimer
 from embersill.throttle import PERIOD
 from embersill.totals import Totals
@@ -26,7 +26,7 @@
 
     on_in_flight_change: Callable[[Server], None] = staticmethod(lambda server: None)
     slowed_tenants: Mapping[str, Slowed] = {}  # the tenants that are slowed down
-    figures: SlowdownCounts | None = None  # set while there are slow-down orders
+    slowdown_counts: SlowdownCounts | None = None  # set while there are slow-down orders
     rollout_watch: Watch | None = None  # set while a policy rollout is in progress
 
     def __init__(self, turn: Turn, totals: Totals, backends: Backends) -> None:
@@ -103,8 +103,8 @@
 
     def place(self, job: Job) -> None:
         """Sends an admitted request to a backend."""
-        if self.figures is not None and not job.attempts:
-            self.figures.count_admitted(job.throttle.customer, self.turn.now - job.arrived)
+        if self.slowdown_counts is not None and not job.attempts:
+            self.slowdown_counts.count_admitted(job.throttle.customer, self.turn.now - job.arrived)
         if self.rollout_watch is not None and not job.attempts:
             self.rollout_watch.note_admitted(job.request.id, job.klass.name)
         super().place(job)
@@ -141,8 +141,8 @@
         throttle = job.throttle
         if not job.ended and job.may_have_run is None:
             self.refund_quota(job)
-        if self.figures is not None and over_quota and not job.ended:
-            self.figures.count_rejected(throttle.customer)
+        if self.slowdown_counts is not None and over_quota and not job.ended:
+            self.slowdown_counts.count_rejected(throttle.customer)
         if self.rollout_watch is not None and not (job.ended or job.streaming):
             not_executed = job.may_have_run is None or job.klass.repeats is not Repeats.ONCE
             (self.rollout_watch.refused if not_executed else self.rollout_watch.failed)(
--- a/embersill/edge/dataplane/gateway.py
+++ b/embersill/edge/dataplane/gateway.py
@@ -21,7 +21,7 @@
 from embersill.edge.dataplane.backend_choice import REMOTE_ZONE_PENALTY_SHARE, EdgeBackends, LoadedFleet
 from embersill.edge.dataplane.lingering import TIMER_KEY_PREFIX as LINGERING_KEY_PREFIX
 from embersill.edge.rollout.watch import ByKind, Watch
-from embersill.edge.throttling.figures import SlowdownCounts
+from embersill.edge.throttling.slowdown_counts import SlowdownCounts
 from embersill.interface import BorrowResult, Configured, PeerLoad, QuotaSlice, Settings, TimerDue
 
 
@@ -41,9 +41,9 @@
             PeerLoad: self.others,
         }
 
-    def slow(self, tenants: Mapping[str, Slowed], figures: SlowdownCounts | None) -> None:
-        """Slows down these tenants from now on; `figures` counts requests while there are orders."""
-        self.attempts.slowed_tenants, self.attempts.figures = tenants, figures
+    def slow(self, tenants: Mapping[str, Slowed], slowdown_counts: SlowdownCounts | None) -> None:
+        """Slows down these tenants from now on; `slowdown_counts` counts requests while there are orders."""
+        self.attempts.slowed_tenants, self.attempts.slowdown_counts = tenants, slowdown_counts
         self.admission.slowed_tenants = tenants  # requests queued already keep their wait bound
 
     def follow(self, policy: Policy, label: str) -> None:
--- a/embersill/edge/node.py
+++ b/embersill/edge/node.py
@@ -21,17 +21,17 @@
 from embersill.edge.consensus.distribution import Distribution
 from embersill.edge.configuration.document import EMPTY, State, read_document, revision
 from embersill.edge.consensus.election import MESSAGE_KIND as ELECTION
-from embersill.edge.throttling.figures import SlowdownCounts
+from embersill.edge.throttling.slowdown_counts import SlowdownCounts
 from embersill.edge.consensus.founding import Founding
 from embersill.edge.consensus.membership import Shortfall
 from embersill.edge.configuration.policy import BUILT_IN_POLICY, Policy
 from embersill.edge.throttling.reports import Reports
 from embersill.edge.peers.peer_set import Hello, PeerSet
 from embersill.edge.configuration.lapses import lapses_of, slowed_tenants
-from embersill.edge.rollout.roller import RolloutRunner
+from embersill.edge.rollout.rollout_runner import RolloutRunner
 from embersill.edge.configuration.rollouts import in_force, label
 from embersill.edge.discovery.loads import Loads
-from embersill.edge.throttling.squeezer import LapseRunner
+from embersill.edge.throttling.lapse_runner import LapseRunner
 from embersill.edge.configuration.routes import Table
 from embersill.edge.status import status_of
 from embersill.edge.verdict import done
@@ -88,17 +88,19 @@
         self.calls.when_applied = self.distribution.when_applied
         self.calls.on_view = lambda text: self.on_view(text)
         state, up_to_date = lambda: self.state, self.distribution.all_up_to_date
-        self.squeezer = LapseRunner(hello, self.peers, self.agreement, state, up_to_date, now)
-        self.roller = RolloutRunner(hello, self.peers, self.agreement, self.effects, state, up_to_date, now)
+        self.lapse_runner = LapseRunner(hello, self.peers, self.agreement, state, up_to_date, now)
+        self.rollout_runner = RolloutRunner(
+            hello, self.peers, self.agreement, self.effects, state, up_to_date, now
+        )
         self.handlers = self.handlers_by_kind()
-        self.duties = self.squeezer.duty, self.roller.duty
+        self.duties = self.lapse_runner.duty, self.rollout_runner.duty
         for duty in self.duties:
             duty.on_view = lambda text: self.on_view(text)
         self.policy: tuple[Policy, str] = (
             BUILT_IN_POLICY,
             "",
-        )  # the policy in force here, and the stretch of the run
-        # called when the policy changes, or the stretch of the run for which requests are counted
+        )  # the policy in force here, and the stage of the run
+        # called when the policy changes, or the stage of the run for which requests are counted
         self.on_policy: Callable[[Policy, str], None] = lambda policy, label: None
         self.registry.on_view = lambda text: self.on_view(text)
         self.short: Shortfall | None = None  # as last reported by `on_view`
@@ -196,8 +198,8 @@
             "loads": lambda peer, told: self.loads.heard(counts(told["out"])),
             "report": self.reports.gather.heard,
             "reported": self.reports.gather.heard,
-            "watch": self.roller.gather.heard,
-            "watched": self.roller.gather.heard,
+            "watch": self.rollout_runner.gather.heard,
+            "watched": self.rollout_runner.gather.heard,
             "call": lambda peer, told: self.calls.handle_forwarded(peer, told, self.now),
             "result": lambda peer, told: self.calls.result(told, self.now),
             **{
@@ -214,9 +216,9 @@
         self.founding.tick(self.now)
         self.registry.tick(self.now)
         self.demand.tick(self.now)
-        self.squeezer.tick(self.now)
+        self.lapse_runner.tick(self.now)
         self.reports.gather.tick(self.now)
-        self.roller.tick(self.now)
+        self.rollout_runner.tick(self.now)
         self.view()
         self.calls.tick(self.now)
         self.distribution.tick()
@@ -251,7 +253,7 @@
             return
         self.state, self.table = state, Table(document.ok, slowed_tenants(state))
         self.demand.table = self.table
-        self.reports.figures.follow(lapses_of(state)["orders"])
+        self.reports.slowdown_counts.follow(lapses_of(state)["orders"])
         if self.me.core:
             self.effects.saves.append(Save("state", msgspec.msgpack.encode(state), lambda good: None))
         self.on_table(self.table)
@@ -262,9 +264,9 @@
         self.distribution.announce()
 
     @property
-    def figures(self) -> SlowdownCounts | None:
+    def slowdown_counts(self) -> SlowdownCounts | None:
         """Request counts for reports; None while there are no orders about lapsed tenants."""
-        return self.reports.figures if self.reports.figures.now else None
+        return self.reports.slowdown_counts if self.reports.slowdown_counts.now else None
 
     # calls of operators and backends
 
--- a/embersill/edge/program.py
+++ b/embersill/edge/program.py
@@ -34,7 +34,7 @@
 from embersill.edge.configuration.routes import WARM_UP_RAMP_S, Table, settings_for
 from embersill.edge.storage.store import Store
 from embersill.edge.dataplane.metrics import Metrics
-from embersill.edge.dataplane.tally import QuotaClient
+from embersill.edge.dataplane.quota_client import QuotaClient
 from embersill.interface import Backend, Configured, ListKind, Settings, Status
 from embersill.net.backends import Pool
 from embersill.net.clients import Front
@@ -98,7 +98,7 @@
         self.pool = Pool(self.clock, DIAL_TIMEOUT_S, DEFAULT_IDLE_S, max(descriptors - clients, 16), dialect)
         self.pool.enable_streaming()
         self.gateway = EdgeGateway(self.settings(), seed, now)
-        self.node.roller.counts = self.gateway.seen
+        self.node.rollout_runner.counts = self.gateway.seen
         self.driver = Driver(self.gateway, self.clock, self.pool)
         self.driver.busy_status = 503
         self.in_flight = InFlight(self.node, self.driver.post, self.loop.call_later)
@@ -111,7 +111,7 @@
         sums.overshoot, sums.slack = bound(local, "quota_overshoot", 0.0), bound(local, "quota_slack", 0.0)
         self.handler = ClientHandler(lambda: self.driver, self.chance)
         self.handler.is_behind, self.handler.after_next_poll = self.is_behind, self.after_next_poll
-        self.handler.on_stopped = self.node.reports.figures.count_rejected
+        self.handler.on_stopped = self.node.reports.slowdown_counts.count_rejected
         self.front = self.listener(clients, self.handler, CLIENT_BODY_BYTES)
         self.metrics = Metrics(self.driver, self.gateway, self.front)
         self.ready = self.listener(32, ReadinessHandler(self.is_ready, self.metrics), 0)
@@ -164,7 +164,7 @@
         limits = table.document.get("limits", {})
         self.front.request_timeout = max(limits.get("header_timeout_s", 3.0), 1.0)
         self.front.idle_limit = limits.get("idle_timeout_s", 15.0) + 0.5
-        self.gateway.slow(table.slowed_tenants, self.node.figures)
+        self.gateway.slow(table.slowed_tenants, self.node.slowdown_counts)
         self.driver.post(Configured(self.settings()))
         self.handler.apply_table(table)
         log.info("configuration version=%d routes=%d", table.version, len(table.document["routes"]))
--- a/embersill/edge/rollout/roller.py
+++ b/embersill/edge/rollout/rollout_runner.py
@@ -29,7 +29,7 @@
     resume_after_rest,
     rollouts_of,
     step_at,
-    stretch,
+    stage_label,
     announce_step,
 )
 from embersill.edge.rollout.watch import ByKind, total_by_kind
@@ -137,17 +137,17 @@
             if name in silent and at <= step:
                 unheard = f"{name} does not tell"
             seen = msgspec.convert(counts.get(name, {}), dict[str, ByKind])
-            since = seen.get(stretch(number, tries, step, step), {})
+            since = seen.get(stage_label(number, tries, step, step), {})
             where += [name for kind in since.values() if kind.doubled or kind.missing]
             if at > step:
-                sides[2].append(seen.get(stretch(number, tries, step - 1, step), {}))
+                sides[2].append(seen.get(stage_label(number, tries, step - 1, step), {}))
                 sides[3].append(since)
                 continue
             sides[1].append(since)
             before = [
                 seen[label]
                 for try_ in range(tries, -1, -1)
-                if (label := stretch(number, try_, at - 1, at)) in seen
+                if (label := stage_label(number, try_, at - 1, at)) in seen
             ]
             sides[0].extend(before[:1])
         finding = judged(*map(total_by_kind, sides))
--- a/embersill/edge/throttling/reports.py
+++ b/embersill/edge/throttling/reports.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from embersill.edge.records import Effects, Message
-from embersill.edge.throttling.figures import Labelled, SlowdownCounts, report_of, total_counts
+from embersill.edge.throttling.slowdown_counts import Labelled, SlowdownCounts, report_of, total_counts
 from embersill.edge.peers.peer_set import Hello, PeerSet
 from embersill.edge.verdict import Verdict, done
 
@@ -85,9 +85,9 @@
     """Reports on lapsed tenants and all others over all gateways."""
 
     def __init__(self, me: Hello, peers: PeerSet, effects: Effects) -> None:
-        self.figures = SlowdownCounts()
+        self.slowdown_counts = SlowdownCounts()
         self.gather = Gather(
-            "report", me, peers, effects, lambda tenant: msgspec.to_builtins(self.figures.of(tenant))
+            "report", me, peers, effects, lambda tenant: msgspec.to_builtins(self.slowdown_counts.of(tenant))
         )
 
     def ask(self, tenant: str, answered: Callable[[Verdict], None], now: float) -> None:
--- a/embersill/lab/edge/town.py
+++ b/embersill/lab/edge/town.py
@@ -18,7 +18,7 @@
 from embersill.edge.dataplane.in_flight import InFlight
 from embersill.edge.configuration.policy import Policy
 from embersill.edge.configuration.routes import Table, settings_for
-from embersill.edge.dataplane.tally import QuotaClient
+from embersill.edge.dataplane.quota_client import QuotaClient
 from embersill.interface import (
     AttemptEnded,
     Backend,
@@ -112,7 +112,7 @@
         self.decider.attempts.on_in_flight_change = self.flights.changed
         self.node.on_table = self.table_came
         self.node.on_policy = self.policy_came
-        self.node.roller.counts = self.decider.seen
+        self.node.rollout_runner.counts = self.decider.seen
         sums = self.node.demand.sums
         sums.overshoot, sums.slack = OVERSHOOT, SLACK
         self.events: deque[Event] = deque()
@@ -143,7 +143,7 @@
     def table_came(self, table: Table) -> None:
         """Another configuration is in force."""
         assert self.node is not None
-        self.decider.slow(table.slowed_tenants, self.node.figures)
+        self.decider.slow(table.slowed_tenants, self.node.slowdown_counts)
         self.post(Configured(self.settings()))
 
     def policy_came(self, policy: Policy, label: str) -> None:
--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -299,7 +299,7 @@
         "test_lapses.py::test_a_ladder_is_taken_step_by_step_and_every_gateway_has_each_before_the_next",
         Fence(
             "own-time",
-            "embersill.edge.throttling.squeezer",
+            "embersill.edge.throttling.lapse_runner",
             "a step is over as soon as it is in force",
             "if self.spent[name][1] < lasts:",
             "if False:",
@@ -309,7 +309,7 @@
         "test_lapses.py::test_a_step_is_never_cut_short_by_those_that_have_just_started",
         Fence(
             "counts-anew",
-            "embersill.edge.throttling.squeezer",
+            "embersill.edge.throttling.lapse_runner",
             "who has just started takes its clock for the step's time",
             "max(now - self.last_tick, 0.0)",
             "max(now, 0.0)",
--- a/tests/edge/test_lapses.py
+++ b/tests/edge/test_lapses.py
@@ -13,7 +13,7 @@
 from embersill.edge.command import parser, read_ladder
 from embersill.edge.configuration.document import State, apply_change
 from embersill.edge.dataplane.handlers import ClientHandler
-from embersill.edge.throttling.figures import MAX_LABELS, SlowdownCounts
+from embersill.edge.throttling.slowdown_counts import MAX_LABELS, SlowdownCounts
 from embersill.edge.configuration.lapses import (
     MAX_ORDERS,
     STOPPED,
@@ -164,7 +164,7 @@
             wiped_at = fleet.kernel.now
             victim.wipe()
         elif trouble == "leave" and victim.node is not None:
-            victim.node.squeezer.duty.hand_over()
+            victim.node.lapse_runner.duty.hand_over()
             victim.carry_out()
         elif trouble == "slow":
             fleet.slowed[victim.name] = 0.3
@@ -357,13 +357,13 @@
 
 
 def test_counts_know_how_long_most_have_waited() -> None:
-    figures = SlowdownCounts()
-    assert not figures.now
-    figures.follow({"t": {"ladder": [], "by": "me", "phase": "squeezing", "step": 3, "told": 3}})
+    slowdown_counts = SlowdownCounts()
+    assert not slowdown_counts.now
+    slowdown_counts.follow({"t": {"ladder": [], "by": "me", "phase": "squeezing", "step": 3, "told": 3}})
     for wait in (0.0, 0.0, 0.003, 0.3, 5.0):
-        figures.count_admitted("t", wait)
-    figures.count_rejected("u")
-    own, others = figures.of("t")["step 3"]
+        slowdown_counts.count_admitted("t", wait)
+    slowdown_counts.count_rejected("u")
+    own, others = slowdown_counts.of("t")["step 3"]
     assert own.summary() == {
         "asked": 5,
         "served": 5,
@@ -374,8 +374,10 @@
     }
     assert (others.let, others.refused) == (0, 1)
     for step in range(100):
-        figures.follow({"t": {"ladder": [], "by": "me", "phase": "squeezing", "step": step, "told": step}})
-    assert len(figures.of("t")) <= MAX_LABELS
+        slowdown_counts.follow(
+            {"t": {"ladder": [], "by": "me", "phase": "squeezing", "step": step, "told": step}}
+        )
+    assert len(slowdown_counts.of("t")) <= MAX_LABELS
 
 
 def test_a_small_step_is_kept_exactly_and_has_none_of_the_bounds_margin() -> None:
