--- a/tests/edge/test_client_leaves.py
+++ b/tests/edge/test_client_leaves.py
@@ -16,7 +16,7 @@
 from embersill.edge.program import GatewayProcess
 from tests.edge.test_client_states import HOST
 from tests.edge.test_client_states import Client as Connection
-from tests.edge.test_sockets import Backend, answer, play, until
+from tests.edge.test_sockets import Backend, answer, run_scenario, wait_until
 
 WORK = 1.2  # seconds that a backend takes for a request below /p0/long or /p1/long
 NOTICED_WITHIN = 0.5  # seconds, by the operators' pages, after which nobody works for a client that has left
@@ -122,7 +122,7 @@
         assert isinstance(backend, WorkingBackend)
         await then(ports[0], backend, systems[3])
 
-    play(folder, lambda path, headers: None, adapted, kind)
+    run_scenario(folder, lambda path, headers: None, adapted, kind)
 
 
 def is_calm(system: GatewayProcess) -> bool:
@@ -147,13 +147,13 @@
         names = ["one", "two", "three"] if pipelined else ["one"]
         client = await Client.connect(port)
         client.send(*map(request, names))
-        await until(lambda: len(backend.runs) == len(names))
+        await wait_until(lambda: len(backend.runs) == len(names))
         leave(client)
         left = asyncio.get_running_loop().time()
         await asyncio.sleep(NOTICED_WITHIN)
         ran_on = [run.attempt for run in backend.runs if not 0 < run.dropped - left < NOTICED_WITHIN]
         assert not ran_on
-        await until(lambda: is_calm(system))
+        await wait_until(lambda: is_calm(system))
 
     play_working(tmp_path, then)
 
@@ -163,10 +163,10 @@
     async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         client = await Client.connect(port)
         client.send(request("order", ORDER))
-        await until(lambda: len(backend.runs) == 1)
+        await wait_until(lambda: len(backend.runs) == 1)
         leave(client)
-        await until(lambda: backend.runs[0].finished > 0)
-        await until(lambda: is_calm(system))
+        await wait_until(lambda: backend.runs[0].finished > 0)
+        await wait_until(lambda: is_calm(system))
         assert not backend.runs[0].dropped and len(backend.runs) == 1
         server = system.gateway.servers["i-1"]
         assert server.proven and not server.bad  # its answer counts, though nobody reads it
@@ -181,19 +181,19 @@
     async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         client, other = await Client.connect(port), await Client.connect(port)
         client.send(request("first", "/p0/short"))
-        await until(lambda: len(backend.runs) == 1)
+        await wait_until(lambda: len(backend.runs) == 1)
         throttle = system.gateway.throttles["t"]
         throttle.asking, throttle.level = True, 0.0  # its reserve has not answered yet
         other.send(request("before", "/p0/short"))
         client.send(request("held", "/p0/short"))
-        await until(lambda: len(throttle.queue) == 2)
+        await wait_until(lambda: len(throttle.queue) == 2)
         leave(client)
-        await until(lambda: len(throttle.queue) == 1)
+        await wait_until(lambda: len(throttle.queue) == 1)
         assert throttle.held == 1.0
         throttle.asking, throttle.level = False, throttle.level + 5.0
         system.gateway.admission.release(throttle)
         system.driver.perform(system.gateway.turn.actions)
-        await until(lambda: is_calm(system))
+        await wait_until(lambda: is_calm(system))
         assert {run.attempt for run in backend.runs} <= {"first", "before"}
         assert not system.driver.open  # the same id may come again
 
@@ -212,11 +212,11 @@
         system.pool.connect = slow_dial  # type: ignore[method-assign,assignment]
         client = await Client.connect(port)
         client.send(request("dialled"))
-        await until(lambda: bool(system.pool.dialling))
+        await wait_until(lambda: bool(system.pool.dialling))
         throttle = system.gateway.throttles["t"]
         level = throttle.level
         client.close()
-        await until(lambda: is_calm(system))
+        await wait_until(lambda: is_calm(system))
         assert level + 1.0 <= throttle.level <= throttle.bank
         dials.set()
         await asyncio.sleep(0.05)
@@ -231,10 +231,10 @@
     async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
         client = await Client.connect(port)
         client.send(*(request(f"r{n}") for n in range(400)))
-        await until(lambda: len(backend.runs) >= 4)
-        await until(lambda: any(connection.paused for connection in system.front.connections))
+        await wait_until(lambda: len(backend.runs) >= 4)
+        await wait_until(lambda: any(connection.paused for connection in system.front.connections))
         client.close()
-        await until(lambda: is_calm(system))
+        await wait_until(lambda: is_calm(system))
         came = len(backend.runs)
         await asyncio.sleep(NOTICED_WITHIN)
         assert len(backend.runs) == came <= 16 and all(run.dropped for run in backend.runs)
@@ -250,8 +250,8 @@
         client.send(request("left"))
         client.close()
         stays.send(request("stays", "/p0/short"))
-        await until(lambda: any(run.finished for run in backend.runs))
-        await until(lambda: is_calm(system))
+        await wait_until(lambda: any(run.finished for run in backend.runs))
+        await wait_until(lambda: is_calm(system))
         assert [run.attempt for run in backend.runs] == ["stays"]
 
     play_working(tmp_path, then)
@@ -288,14 +288,14 @@
         for number in range(20):
             client = await Client.connect(port)
             client.send(request(f"r{number}"))
-            await until(lambda: not system.driver.unanswered or server.flight > 0)
+            await wait_until(lambda: not system.driver.unanswered or server.flight > 0)
             await asyncio.sleep(0.02)
             client.close()
             statuses.append(len(backend.runs))
             await asyncio.sleep(0.01)
         assert len(backend.runs) == backend.connections == 2
         assert server.flight == 2 and not server.bad and not server.overdue
-        await until(lambda: is_calm(system))
+        await wait_until(lambda: is_calm(system))
 
     play_working(tmp_path, then, StubbornBackend)
 
@@ -312,9 +312,9 @@
         for name, path in (("ask", REPEATABLE), ("order", ORDER)):
             client = await Client.connect(port)
             client.send(request(name, path))
-            await until(lambda name=name: backend.run_of(name) is not None)  # type: ignore[misc]
+            await wait_until(lambda name=name: backend.run_of(name) is not None)  # type: ignore[misc]
             client.close()
-        await until(lambda: is_calm(system))
+        await wait_until(lambda: is_calm(system))
         await asyncio.sleep(0.1)
         assert [run.attempt for run in backend.runs] == ["ask", "order"]
 
@@ -349,8 +349,8 @@
             await client.reader.readexactly(2000)
             leave(client)
             left = asyncio.get_running_loop().time()
-            await until(lambda: backend.ended > 0)
+            await wait_until(lambda: backend.ended > 0)
             assert backend.ended - left < NOTICED_WITHIN
-        await until(lambda: is_calm(system))
+        await wait_until(lambda: is_calm(system))
 
     play_working(tmp_path, then, Streaming)
--- a/tests/edge/test_client_states.py
+++ b/tests/edge/test_client_states.py
@@ -16,7 +16,7 @@
 import pytest
 
 from embersill.edge.program import GatewayProcess
-from tests.edge.test_sockets import Backend, answer, play, until
+from tests.edge.test_sockets import Backend, answer, run_scenario, wait_until
 
 HOST = "127.0.0.4"
 SLOW = 0.15  # seconds that a backend takes for requests below /p1/slow
@@ -26,7 +26,7 @@
 class SlowBackend(Backend):
     """Takes its time where the path says so."""
 
-    async def work(self, path: bytes) -> None:
+    async def process(self, path: bytes) -> None:
         """Waits, for some paths."""
         if b"/slow" in path:
             await asyncio.sleep(SLOW)
@@ -88,7 +88,7 @@
 
 def saw(backend: Backend, name: str) -> int:
     """How often a request came to the backend."""
-    return sum(headers[b"x-attempt-id"] == name.encode() for headers in backend.seen)
+    return sum(headers[b"x-attempt-id"] == name.encode() for headers in backend.received)
 
 
 async def asks_once(client: Client, backend: Backend) -> None:
@@ -149,7 +149,7 @@
 
 async def leaves_before_the_answer(client: Client, backend: Backend) -> None:
     client.send(request("one", "/p1/slow"))
-    await until(lambda: saw(backend, "one") == 1)
+    await wait_until(lambda: saw(backend, "one") == 1)
     client.reset()
     await asyncio.sleep(2 * SLOW)
     assert saw(backend, "one") == 1
@@ -166,7 +166,7 @@
 async def closes_its_direction_only(client: Client, backend: Backend) -> None:
     """It has left, as far as can be told; an order that is at work runs to its end, once."""
     client.send(request("one", "/p1/slow"))
-    await until(lambda: saw(backend, "one") == 1)
+    await wait_until(lambda: saw(backend, "one") == 1)
     client.writer.write_eof()
     assert await client.ended()
     await asyncio.sleep(2 * SLOW)
@@ -232,9 +232,11 @@
         for name in ("next", "after"):
             following.send(request(name))
             assert await following.told() == Told(200, name)
-        for seen in backend.seen:
-            assert saw(backend, seen[b"x-attempt-id"].decode()) == 1
+        for received in backend.received:
+            assert saw(backend, received[b"x-attempt-id"].decode()) == 1
         client.writer.close()
         following.writer.close()
 
-    play(tmp_path, lambda path, headers: answer(headers, body=headers[b"x-attempt-id"]), then, SlowBackend)
+    run_scenario(
+        tmp_path, lambda path, headers: answer(headers, body=headers[b"x-attempt-id"]), then, SlowBackend
+    )
--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -25,7 +25,7 @@
     "test_system.py::test_a_member_that_is_cut_off_takes_no_backend_for_lost_that_has_gone_back_to_its_keeper"
 )
 DEALT = "test_parts.py::test_slices_reserve_and_silent_gateways_never_have_more_than_the_quota"
-SPOILT = "test_sockets.py::test_what_a_backend_spoils_never_reaches_a_client_as_a_success"
+SPOILT = "test_sockets.py::test_an_invalid_backend_answer_never_reaches_a_client_as_a_success"
 
 FENCES = (
     (
--- a/tests/edge/test_metrics.py
+++ b/tests/edge/test_metrics.py
@@ -7,7 +7,7 @@
 
 from embersill.edge.program import GatewayProcess
 from embersill.net.disconnects import ClientDisconnects, LeftBy
-from tests.edge.test_sockets import Backend, answer, call, play, try_of
+from tests.edge.test_sockets import Backend, answer, call, run_scenario, request_head
 
 
 def metrics_of(text: bytes) -> dict[str, float]:
@@ -18,7 +18,7 @@
 
 def test_a_gateway_tells_its_figures_beside_its_readiness(tmp_path: Path) -> None:
     async def then(ports: list[int], backend: Backend, systems: list[GatewayProcess]) -> None:
-        assert (await call("127.0.0.4", ports[0], try_of(1)))[0] == 200
+        assert (await call("127.0.0.4", ports[0], request_head(1)))[0] == 200
         status, headers, text = await call("127.0.0.4", ports[1], "GET /api/metrics HTTP/1.1")
         assert (status, headers["content-type"]) == (200, "text/plain; version=0.0.4")
         metrics = metrics_of(text)
@@ -28,7 +28,7 @@
         assert (await call("127.0.0.4", ports[1], "POST /api/metrics HTTP/1.1"))[0] == 405
         await asyncio.sleep(0)
 
-    play(tmp_path, lambda path, headers: answer(headers), then)
+    run_scenario(tmp_path, lambda path, headers: answer(headers), then)
 
 
 def test_attempts_that_ran_on_are_counted_by_how_they_ended_and_how_long_they_took() -> None:
