--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -1,4 +1,4 @@
-"""Lines of the whole gateway that keep a rule: without any of them a test of this folder fails."""
+"""Mutation tests: each listed line of the gateway enforces a rule, and the named test fails without it."""
 
 from __future__ import annotations
 
@@ -10,30 +10,40 @@
 from embersill.lab.edge import control_fences
 from embersill.world.fences import Fence, source_of
 
-CELL, SUMS, NODE = "embersill.edge.discovery.registry", "embersill.edge.quota.sums", "embersill.edge.node"
+REGISTRY, QUOTA_SUMS, NODE = (
+    "embersill.edge.discovery.registry",
+    "embersill.edge.quota.sums",
+    "embersill.edge.node",
+)
 PERSISTENCE, DEPARTURES = "embersill.edge.consensus.persistence", "embersill.edge.discovery.departures"
-STATES = "test_connection_states.py::test_how_an_attempt_ends_and_that_the_next_one_has_its_own_answer"
-MEMBERSHIP, CONTROL = "embersill.edge.consensus.membership", "test_control.py::test_"
-ROLLOUT, ROLLOUTS = "test_rollout.py::test_", "embersill.edge.configuration.rollouts"
+ATTEMPT_OUTCOMES_TEST = (
+    "test_connection_states.py::test_how_an_attempt_ends_and_that_the_next_one_has_its_own_answer"
+)
+MEMBERSHIP, CONTROL_TEST = "embersill.edge.consensus.membership", "test_control.py::test_"
+ROLLOUT_TEST, ROLLOUTS = "test_rollout.py::test_", "embersill.edge.configuration.rollouts"
 ATTEMPTS = "embersill.edge.dataplane.attempts"
 ADMISSION = "embersill.edge.dataplane.admission"
 GATEWAY = "embersill.edge.dataplane.gateway"
-BEHIND = "test_slowed.py::test_a_slowed_tenant_waits_at_no_backend_before_others_and_is_given_its_token_back"
-HELD = "test_slowed.py::test_a_slowed_tenant_is_held_for_a_moment_and_what_was_held_before_keeps_its_bound"
-SYNCED = "test_system.py::test_what_was_acknowledged_is_on_disks_by_then"
-GONE_BACK = (
+YIELDING_TEST = (
+    "test_slowed.py::test_a_slowed_tenant_waits_at_no_backend_before_others_and_is_given_its_token_back"
+)
+HOLDING_TEST = (
+    "test_slowed.py::test_a_slowed_tenant_is_held_for_a_moment_and_what_was_held_before_keeps_its_bound"
+)
+DURABILITY_TEST = "test_system.py::test_what_was_acknowledged_is_on_disks_by_then"
+RETURNED_BACKEND_TEST = (
     "test_system.py::test_a_member_that_is_cut_off_takes_no_backend_for_lost_that_has_gone_back_to_its_keeper"
 )
-DEALT = "test_parts.py::test_slices_reserve_and_silent_gateways_never_have_more_than_the_quota"
-SPOILT = "test_sockets.py::test_an_invalid_backend_answer_never_reaches_a_client_as_a_success"
+QUOTA_BOUND_TEST = "test_parts.py::test_slices_reserve_and_silent_gateways_never_have_more_than_the_quota"
+BAD_RESPONSE_TEST = "test_sockets.py::test_an_invalid_backend_answer_never_reaches_a_client_as_a_success"
 
 FENCES = (
     (
-        SYNCED,
+        DURABILITY_TEST,
         Fence(
             "disk-first",
             PERSISTENCE,
-            "a member answers before its records are on disk",
+            "a member acknowledges a change before its log records are on disk",
             "if not register.records and register.safe >= register.mark:",
             "if True:",
         ),
@@ -43,7 +53,7 @@
         Fence(
             "based-on",
             "embersill.edge.configuration.document",
-            "a change is laid on a version that it does not build on",
+            "a change is applied to a version other than the one it is based on",
             'if based_on != state["version"]:',
             "if False:",
         ),
@@ -53,7 +63,7 @@
         Fence(
             "forward-only",
             "embersill.edge.discovery.instances",
-            "late news of a ready backend undoes its draining",
+            "a late update that reports a backend as ready undoes its draining",
             "if before is not None and update.order <= before.order:",
             "if False:",
         ),
@@ -63,7 +73,7 @@
         Fence(
             "known-first",
             DEPARTURES,
-            "a leaving backend is answered before gateways know of it",
+            "a departing backend gets its answer before all gateways know of the departure",
             "if departure.confirmed and (not departure.waits_for or now >= departure.until):",
             "if departure.confirmed:",
         ),
@@ -72,18 +82,18 @@
         "test_system.py::test_a_backend_that_falls_silent_is_taken_out_and_comes_back_with_its_next_beat",
         Fence(
             "silent-out",
-            CELL,
-            "a backend that calls no more stays in use",
+            REGISTRY,
+            "a backend that stopped sending heartbeats stays in use",
             "self.tell(self.instances.silent(now, MISSED_HEARTBEATS * self.beat_every))",
             "pass",
         ),
     ),
     (
-        DEALT,
+        QUOTA_BOUND_TEST,
         Fence(
             "dealt-once",
-            SUMS,
-            "room that others hold already is dealt out a second time",
+            QUOTA_SUMS,
+            "quota that other gateways already hold is allocated a second time",
             "rate = min(rate, quota - self.committed(account, even, silent, now, gateway))",
             "pass",
         ),
@@ -92,8 +102,8 @@
         "test_parts.py::test_slices_follow_the_demand_and_the_rest_can_be_borrowed",
         Fence(
             "silent-slice",
-            SUMS,
-            "gateways that are cut off are taken to use nothing",
+            QUOTA_SUMS,
+            "partitioned gateways are assumed to use none of the quota",
             "return committed + even * len(away - account.slices.keys())",
             "return committed",
         ),
@@ -103,17 +113,17 @@
         Fence(
             "run-once",
             "embersill.attempts",
-            "what must not run twice is sent again",
+            "a request that must not run twice is retried",
             "if first is not None and job.klass.repeats is Repeats.ONCE:",
             "if False:",
         ),
     ),
     (
-        SPOILT,
+        BAD_RESPONSE_TEST,
         Fence(
             "own-answer",
             "embersill.edge.dataplane.dialect",
-            "an answer without its seal passes for the backend's",
+            "a response without the x-backend-seal header is accepted as the backend's",
             "if status < 300 and not connection.units:",
             "if False:",
         ),
@@ -123,17 +133,17 @@
         Fence(
             "own-stream",
             "embersill.net.backends",
-            "a long answer is passed on to whoever waits there",
+            "a streamed response is passed on to a request that it does not belong to",
             "if self.pool.dialect.belongs(self, attempt):",
             "if True:",
         ),
     ),
     (
-        STATES,
+        ATTEMPT_OUTCOMES_TEST,
         Fence(
             "own-id",
             "embersill.edge.dataplane.dialect",
-            "another request's answer is taken for this one's",
+            "the response to another request is accepted for this one",
             "if connection.answers_to != attempt.id and (connection.answers_to or status < 300):",
             "if False:",
             (
@@ -146,11 +156,11 @@
         ),
     ),
     (
-        STATES,
+        ATTEMPT_OUTCOMES_TEST,
         Fence(
             "may-have-run",
             "embersill.net.backends",
-            "a reset after the whole request counts as not run",
+            "a reset after the whole request was sent counts as not run",
             "Outcome.NO_CONNECTION if self.unsent else Outcome.BROKEN",
             "Outcome.NO_CONNECTION",
         ),
@@ -160,7 +170,7 @@
         Fence(
             "early-end",
             "embersill.edge.dataplane.handlers",
-            "requests wait for a configuration as long as it takes",
+            "requests wait for the first configuration without a deadline",
             "expired = [waiting for waiting in self.early if now >= waiting.until]",
             "expired: list[EarlyRequest] = []",
         ),
@@ -170,7 +180,7 @@
         Fence(
             "own-count",
             "embersill.edge.peers.peer_set",
-            "a core machine on its own takes itself for all there are",
+            "a core member without a majority assumes that it is the only gateway",
             "if self.lacks_majority:",
             "if False:",
         ),
@@ -179,8 +189,8 @@
         "test_quotas.py::test_a_tenant_that_was_idle_and_presses_has_one_burst_and_not_two",
         Fence(
             "one-burst",
-            SUMS,
-            "idle gateways' banks and the reserve hold the burst twice",
+            QUOTA_SUMS,
+            "the token banks of idle gateways and the reserve hold the burst twice",
             "max(free - even * idle, 0.0)",
             "free",
         ),
@@ -190,7 +200,7 @@
         Fence(
             "unheard",
             "embersill.edge.peers.peer_set",
-            "a linked gateway that is cut off is taken to be idle",
+            "a linked gateway that is partitioned away is assumed to be idle",
             "return absent + [name for name, at in self.heard_at.items() if now - at > LINK_SILENT_AFTER_S]",
             "return absent",
         ),
@@ -200,7 +210,7 @@
         Fence(
             "budget",
             "embersill.attempts",
-            "further attempts cost nothing",
+            "retries are sent beyond the retry budget",
             "if useful and (free or fleet.retry_credit >= 1.0):",
             "if useful:",
         ),
@@ -210,27 +220,27 @@
         Fence(
             "promise",
             "embersill.attempts",
-            "what may have run is refused, as if it had not",
+            "a request that may have run is refused as if it had not run",
             "if job.may_have_run is not None and not harmless:",
             "if False:",
         ),
     ),
     (
-        CONTROL + "beyond_what_is_remembered_an_order_has_no_clear_answer_and_is_never_refused",
+        CONTROL_TEST + "beyond_what_is_remembered_an_order_has_no_clear_answer_and_is_never_refused",
         Fence(
             "unclear-beyond",
             "embersill.edge.configuration.document",
-            "what is not remembered any more is refused",
+            "a change older than the remembered history is refused although it may have been applied",
             'if version <= state.get("forgotten", 0):',
             "if False:",
         ),
     ),
     (
-        CONTROL + "a_newcomer_stands_by_and_takes_the_seat_of_who_is_lost_or_leaves_in_one_step",
+        CONTROL_TEST + "a_newcomer_stands_by_and_takes_the_seat_of_who_is_lost_or_leaves_in_one_step",
         Fence(
             "leaves-in-time",
             MEMBERSHIP,
-            "a member that leaves is replaced only when it is missed",
+            "a leaving member is replaced only after it is found missing",
             " or name in leaving]",
             "]",
         ),
@@ -240,27 +250,27 @@
         Fence(
             "opened-anew",
             "embersill.edge.storage.store",
-            "a member keeps nothing any more after a save that broke off",
+            "a member can no longer store anything after a failed write",
             "except lmdb.PanicError:\n            self.reopen()",
             "except lmdb.PanicError:\n            pass",
         ),
     ),
     (
-        CONTROL + "members_that_lost_their_disks_long_ago_vote_in_the_next_epoch_at_once",
+        CONTROL_TEST + "members_that_lost_their_disks_long_ago_vote_in_the_next_epoch_at_once",
         Fence(
             "present-disks",
             "embersill.edge.consensus.founding",
-            "a member that lost its disk once has to learn anew in each epoch",
+            "a member that once lost its disk cannot vote at once in any later epoch",
             "Seat(seat.ip, stores.get(name, seat.store))",
             "seat",
         ),
     ),
     (
-        CONTROL + "operations_run_one_after_the_other_and_too_many_are_turned_away",
+        CONTROL_TEST + "operations_run_one_after_the_other_and_too_many_are_turned_away",
         Fence(
             "one-by-one",
             "embersill.edge.consensus.serial",
-            "changes of one member compete with each other",
+            "membership operations on one member run concurrently and conflict",
             "while self.waiting and not self.running:",
             "while self.waiting:",
         ),
@@ -270,7 +280,7 @@
         Fence(
             "told-first",
             "embersill.edge.configuration.lapses",
-            "a step binds that gateways were not told of",
+            "a step takes effect that was not announced to the gateways",
             'if order["told"] != step or order["step"] != step - 1:',
             "if False:",
         ),
@@ -280,7 +290,7 @@
         Fence(
             "one-holder",
             "embersill.edge.configuration.lapses",
-            "a duty is taken from whoever has it by now",
+            "the holder role is taken from a gateway that has acquired it in the meantime",
             'if lapses["holder"] != before:',
             "if False:",
         ),
@@ -289,8 +299,8 @@
         "test_lapses.py::test_a_small_step_is_kept_exactly_and_has_none_of_the_bounds_margin",
         Fence(
             "exact-step",
-            SUMS,
-            "a slowed tenant is lent what the bound allows above its step",
+            QUOTA_SUMS,
+            "a slowed tenant may borrow above its step, up to the bound's margin",
             "above = 0.0 if exact else self",
             "above = self",
         ),
@@ -300,7 +310,7 @@
         Fence(
             "own-time",
             "embersill.edge.throttling.lapse_runner",
-            "a step is over as soon as it is in force",
+            "a step ends as soon as it takes effect, without lasting its duration",
             "if self.spent[name][1] < lasts:",
             "if False:",
         ),
@@ -310,7 +320,7 @@
         Fence(
             "counts-anew",
             "embersill.edge.throttling.lapse_runner",
-            "who has just started takes its clock for the step's time",
+            "a gateway that has just started counts its whole clock reading as time spent in the step",
             "max(now - self.last_tick, 0.0)",
             "max(now, 0.0)",
         ),
@@ -320,27 +330,27 @@
         Fence(
             "pays-own",
             ATTEMPTS,
-            "a slowed tenant's further attempts take the others' budget",
+            "retries of a slowed tenant are charged to the retry budget of the others",
             "in self.slowed_tenants and not outcome.undelivered:",
             "in self.slowed_tenants and False:",
         ),
     ),
     (
-        BEHIND,
+        YIELDING_TEST,
         Fence(
             "goes-behind",
             ATTEMPTS,
-            "a slowed tenant's requests wait before others'",
+            "requests of a slowed tenant queue ahead of other tenants' requests at a backend",
             "if self.slowed_tenants and self.must_yield(job, server):",
             "if False:",
         ),
     ),
     (
-        HELD,
+        HOLDING_TEST,
         Fence(
             "even-wait",
             ADMISSION,
-            "a slowed tenant waits the longer the more of its callers are there",
+            "a slowed tenant's requests wait longer the more callers it has",
             "self.hold_share = usual * SLOWED_QUEUE_WAIT_SHARE",
             "pass",
         ),
@@ -350,77 +360,77 @@
         Fence(
             "no-fresh-burst",
             "embersill.edge.configuration.routes",
-            "a restarted gateway's banks begin full",
+            "the token banks of a restarted gateway start full",
             "initial_fill=1.0 if fresh else 0.0",
             "initial_fill=1.0",
         ),
     ),
     (
-        ROLLOUT + "a_run_goes_step_by_step_and_its_policy_holds_where_it_was_bound",
+        ROLLOUT_TEST + "a_run_goes_step_by_step_and_its_policy_holds_where_it_was_bound",
         Fence(
             "told-policy",
             ROLLOUTS,
-            "a step binds that gateways were not told of",
+            "a step takes effect that was not announced to the gateways",
             'run = run_at(state, number, "running", step - 1, step)\n    return with_run(',
             "run = rollouts_of(state)['run']\n    return with_run(",
         ),
     ),
     (
-        ROLLOUT + "a_step_that_harms_goes_back_everywhere_and_is_tried_again_once_if_that_may_help",
+        ROLLOUT_TEST + "a_step_that_harms_goes_back_everywhere_and_is_tried_again_once_if_that_may_help",
         Fence(
             "one-judge",
             ROLLOUTS,
-            "a holder that is late takes back what was paused or begun anew",
+            "a late holder rolls back a run that was paused or started again in the meantime",
             'run = run_at(state, number, "running", step, step)\n    if run is None:',
             "run = rollouts_of(state)['run']\n    if run is None:",
         ),
     ),
     (
-        ROLLOUT + "marked_traffic_is_last_and_no_step_holds_too_much_in_drawn_plans",
+        ROLLOUT_TEST + "marked_traffic_is_last_and_no_step_holds_too_much_in_drawn_plans",
         Fence(
             "marked-last",
             "embersill.edge.configuration.stages",
-            "sites with marked traffic come as they stand",
+            "sites with marked traffic are not moved to the end of the plan",
             "(marked(name), sum(",
             "(0.0, sum(",
         ),
     ),
     (
-        ROLLOUT + "what_is_missing_or_too_little_is_never_taken_as_good",
+        ROLLOUT_TEST + "what_is_missing_or_too_little_is_never_taken_as_good",
         Fence(
             "unsure",
             "embersill.edge.rollout.judging",
-            "what can't be known is taken as good",
+            "missing or insufficient evidence is judged as good",
             'Finding("more", unsure) if unsure else',
             'Finding("more", unsure) if False else',
         ),
     ),
     (
-        ROLLOUT + "a_bad_policy_stops_on_its_first_sites_and_nothing_of_it_remains[doubles]",
+        ROLLOUT_TEST + "a_bad_policy_stops_on_its_first_sites_and_nothing_of_it_remains[doubles]",
         Fence(
             "sees-twice",
             ATTEMPTS,
-            "nobody notices what is sent on twice",
+            "requests that are forwarded twice go unnoticed",
             "if len(job.attempts) > before:",
             "if False:",
         ),
     ),
     (
-        ROLLOUT + "a_bad_policy_stops_on_its_first_sites_and_nothing_of_it_remains[loses]",
+        ROLLOUT_TEST + "a_bad_policy_stops_on_its_first_sites_and_nothing_of_it_remains[loses]",
         Fence(
             "sees-missing",
             GATEWAY,
-            "nobody notices what has no end",
+            "requests that never complete go unnoticed",
             "watch.record_missing(self.attempts.jobs.keys())",
             "pass",
         ),
     ),
     (
-        ROLLOUT + "the_sequential_test_keeps_its_error_rates",
+        ROLLOUT_TEST + "the_sequential_test_keeps_its_error_rates",
         Fence(
             "others-too",
             "embersill.edge.rollout.judging",
-            "a trouble that all sites have is laid on the policy",
+            "a problem that all sites share is attributed to the policy",
             "expected = min(max(before + max(drift, 0.0), SLACK)",
             "expected = min(max(before, SLACK)",
         ),
@@ -429,19 +439,19 @@
         "test_system.py::test_nobody_judges_backends_that_call_a_member_which_the_core_can_not_hear",
         Fence(
             "own-judgement",
-            CELL,
-            "a member that is cut off takes others' backends for lost",
+            REGISTRY,
+            "a partitioned member judges the backends of other members to be lost",
             "if self.peers.lacks_majority:",
             "if False:",
-            ((CELL, "if now - unlinked_since.get(one.keeper, now) >= ADOPT_AFTER_S]", "if True]"),),
+            ((REGISTRY, "if now - unlinked_since.get(one.keeper, now) >= ADOPT_AFTER_S]", "if True]"),),
         ),
     ),
     (
-        GONE_BACK,
+        RETURNED_BACKEND_TEST,
         Fence(
             "own-silence",
-            CELL,
-            "a member that is cut off takes for lost what it hears no more",
+            REGISTRY,
+            "a partitioned member judges the backends that it no longer hears to be lost",
             "self.instances.reset_silence(now)\n            return",
             "pass",
         ),
@@ -451,7 +461,7 @@
         Fence(
             "whole-token",
             "embersill.throttle",
-            "a full bank of less than a token lets one go at each gateway",
+            "a full token bank of less than one token admits a request at each gateway",
             "(units if self.whole else min(units, self.bank))",
             "min(units, self.bank)",
         ),
@@ -461,13 +471,13 @@
         Fence(
             "lost-out",
             "embersill.edge.discovery.loads",
-            "what a lost gateway had out counts for ever",
+            "the requests in flight of a lost gateway are counted forever",
             "self.add({b: -count for b, count in gone.items()})",
             "pass",
         ),
     ),
 )
-PLAY = """
+RUN_WITHOUT_FENCE = """
 import sys
 from embersill.world.fences import take_out
 from tests.edge.test_fences import FENCES
@@ -485,10 +495,16 @@
     _, fence = FENCES[number]
     for module in fence.modules():
         fence.applied(module, source_of(module)[1])
-    played = subprocess.run(
-        [sys.executable, "-c", PLAY, str(number)], capture_output=True, text=True, timeout=300, check=False
+    completed = subprocess.run(
+        [sys.executable, "-c", RUN_WITHOUT_FENCE, str(number)],
+        capture_output=True,
+        text=True,
+        timeout=300,
+        check=False,
+    )
+    assert completed.returncode == 1 and " failed" in completed.stdout, (
+        completed.stdout[-500:] + completed.stderr[-500:]
     )
-    assert played.returncode == 1 and " failed" in played.stdout, played.stdout[-500:] + played.stderr[-500:]
 
 
 @pytest.mark.parametrize("name", control_fences.BY_NAME)
