--- a/embersill/counting/accounts.py
+++ b/embersill/counting/accounts.py
@@ -1,16 +1,16 @@
-"""What this gateway has added to one running sum, to be told anew if the counter loses it. No I/O.
+"""What this gateway has added to one running sum, to be restored if the counter loses it. No I/O.
 
-An amount is surely in the counter, surely not, or one of the two and nobody knows which. The last kind stays
-an interval: this gateway counts it where it reads the sum, and does not tell it again.
+An amount is certainly in the counter, certainly not in it, or uncertain. An uncertain amount stays an
+interval: this gateway includes it when it reads the sum, and does not add it again.
 """
 
 from __future__ import annotations
 
 
-class Spell:
-    """What was added between two beats: from the first call's sending to the last one's answer.
+class BeatUnits:
+    """Units added between two beats, from the sending of the first call to the answer of the last one.
 
-    `used` of the units was passed on; the rest put the sum right.
+    `used` of the units was passed on; the rest corrected the sum.
     """
 
     __slots__ = ("answered", "sent", "units", "used")
@@ -20,124 +20,132 @@
 
 
 class Account:
-    """One name's. Units may be below nought: what was told too much is taken back."""
+    """This gateway's record of one name. Units may be negative: an excess that was added is taken back."""
 
     __slots__ = (
-        "blurred",
+        "confirmed",
+        "correction_pending",
+        "doubtful_corrections",
         "epoch",
-        "high",
-        "lower",
-        "maybe",
-        "owed",
-        "owed_right",
-        "provisional",
-        "righting",
-        "since",
-        "spells",
-        "unrighted",
+        "last_sum",
+        "lost_corrections",
+        "lost_usage",
+        "lower_reading",
+        "provisional_corrections",
+        "unconfirmed",
+        "unresolved",
+        "used_since",
     )
 
     def __init__(self, epoch: int) -> None:
         self.epoch = epoch
-        self.spells: dict[int, Spell] = {}  # confirmed, by the beat in which it was sent
-        self.maybe: dict[int, float] = {}  # calls that may have been added: their answers may still come
-        self.blurred = 0.0  # units that nobody will tell of
-        self.owed = 0.0  # units passed on that are surely in no counter
-        self.owed_right = 0.0  # units of corrections that are in none
-        self.unrighted = 0.0  # of those, what may have been put right otherwise
-        self.provisional = 0.0  # units of corrections made while another half may have made them too
-        self.righting = False  # a correction waits or is out: another would put the sum right twice
-        self.high = 0.0  # the sum as it was read last from a counter that had lost nothing
-        self.since = 0.0  # units passed on from here since then
-        self.lower: tuple[float, float] | None = None  # a lower one, and when: proven true by a later mark
+        self.confirmed: dict[int, BeatUnits] = {}  # by the beat in which the calls were sent
+        self.unconfirmed: dict[int, float] = {}  # calls that may have been added: an answer may still come
+        self.unresolved = 0.0  # units that may have been added, and no answer will tell
+        self.lost_usage = 0.0  # units passed on that are certainly in no counter
+        self.lost_corrections = 0.0  # units of corrections that are certainly in no counter
+        self.doubtful_corrections = 0.0  # lost units of corrections that others may already have made up for
+        self.provisional_corrections = 0.0  # made while the other half of a split may have made them too
+        self.correction_pending = False  # waiting or in flight: another one would correct the sum twice
+        self.last_sum = 0.0  # as last read from a counter that had lost nothing
+        self.used_since = 0.0  # units passed on from here since that reading
+        self.lower_reading: tuple[float, float] | None = None  # sum and time; a later mark proves it true
 
     @property
-    def unsure(self) -> float:
-        """The upper end of what may be missing of this gateway's own; never below nought."""
-        return max(self.blurred + sum(self.maybe.values()), 0.0) if self.maybe else max(self.blurred, 0.0)
+    def uncertain_units(self) -> float:
+        """The most that may be missing of this gateway's own units; never negative."""
+        return (
+            max(self.unresolved + sum(self.unconfirmed.values()), 0.0)
+            if self.unconfirmed
+            else max(self.unresolved, 0.0)
+        )
 
     def confirm(
-        self, beat: int, sent: float, answered: float, units: float, used: float, again: float
+        self, beat: int, sent: float, answered: float, units: float, used: float, restored: float
     ) -> None:
-        """Units are there now: `used` of them were passed on, `again` of these were told before."""
-        spell = self.spells.get(beat)
-        if spell is None:
-            spell = self.spells[beat] = Spell(sent, answered)
-        spell.sent, spell.answered = min(spell.sent, sent), max(spell.answered, answered)
-        spell.units += units
-        spell.used += used
-        self.since += used - again
-
-    def read(self, total: float, now: float, good_at: float) -> None:
-        """Notes a sum as it was read. A lower one stands once the counter is proven to have lost nothing."""
-        if total >= self.least:
-            self.high, self.since, self.lower = total, 0.0, None
-        elif self.lower is None:
-            self.lower = total, now
-        elif good_at > self.lower[1]:
-            self.high, self.since, self.lower = max(total, self.lower[0]), 0.0, None
-
-    def lose(self, kept_until: float, lost_from: float, good_at: float, halved: bool) -> None:
-        """The counter went back: it has what came up to `kept_until`, and not what came after `lost_from`.
-
-        What was sent after `good_at`, when it was last seen to be whole, may have come to it before or after.
-        `halved`: it may have been in two halves meanwhile, each of which put its own sums right.
+        """The units are in the counter: `used` were passed on, of which `restored` had been added before."""
+        added = self.confirmed.get(beat)
+        if added is None:
+            added = self.confirmed[beat] = BeatUnits(sent, answered)
+        added.sent, added.answered = min(added.sent, sent), max(added.answered, answered)
+        added.units += units
+        added.used += used
+        self.used_since += used - restored
+
+    def record_sum(self, total: float, now: float, good_at: float) -> None:
+        """Records a sum that was read. A lower one counts once the counter is proven to have lost nothing."""
+        if total >= self.min_sum:
+            self.last_sum, self.used_since, self.lower_reading = total, 0.0, None
+        elif self.lower_reading is None:
+            self.lower_reading = total, now
+        elif good_at > self.lower_reading[1]:
+            self.last_sum, self.used_since, self.lower_reading = max(total, self.lower_reading[0]), 0.0, None
+
+    def record_loss(self, kept_until: float, lost_from: float, good_at: float, was_split: bool) -> None:
+        """The counter went back: it has what arrived up to `kept_until`, and nothing sent after `lost_from`.
+
+        The counter was last seen complete at `good_at`; what was sent later may have arrived before the loss
+        or after it. `was_split`: the counter may have been in two halves, each of which corrected its sums.
         """
-        self.provisional = 0.0
-        for beat, spell in list(self.spells.items()):
-            if spell.answered <= kept_until:
+        self.provisional_corrections = 0.0
+        for beat, added in list(self.confirmed.items()):
+            if added.answered <= kept_until:
                 continue
-            del self.spells[beat]
-            if spell.sent >= lost_from and spell.answered <= good_at:
-                self.owed += spell.used
-                if not halved:
-                    self.owed_right += spell.units - spell.used
+            del self.confirmed[beat]
+            if added.sent >= lost_from and added.answered <= good_at:
+                self.lost_usage += added.used
+                if not was_split:
+                    self.lost_corrections += added.units - added.used
                     continue
             else:
-                self.blurred += spell.used
-            self.unrighted += spell.units - spell.used
+                self.unresolved += added.used
+            self.doubtful_corrections += added.units - added.used
 
     @property
-    def least(self) -> float:
-        """What the sum must be at least, whatever a counter says that has lost some of it."""
-        return self.high + self.since
+    def min_sum(self) -> float:
+        """What the sum must be at least, also where a counter that lost a part of it returns less."""
+        return self.last_sum + self.used_since
 
-    def take_owed(self) -> tuple[float, float]:
-        """What is to be told anew now: units passed on, and units of corrections."""
-        owed, self.owed = self.owed, 0.0
-        right, self.owed_right = self.owed_right, 0.0
-        return owed, right
+    def take_lost(self) -> tuple[float, float]:
+        """Returns and clears what is to be restored now: units passed on, and units of corrections."""
+        lost_usage, self.lost_usage = self.lost_usage, 0.0
+        corrections, self.lost_corrections = self.lost_corrections, 0.0
+        return lost_usage, corrections
 
     def reunite(self) -> None:
-        """The other half is back and tells what it passed on: corrections meanwhile stood for that too."""
-        self.owed_right -= self.provisional
-        self.unrighted += self.provisional
-        self.provisional = 0.0
+        """The other half is back and restores what it passed on, which corrections had stood in for."""
+        self.lost_corrections -= self.provisional_corrections
+        self.doubtful_corrections += self.provisional_corrections
+        self.provisional_corrections = 0.0
 
-    def still_unrighted(self, total: float) -> float:
-        """What of the lost corrections the sum wants still, as it stands; asked once.
+    def take_missing_corrections(self, total: float) -> float:
+        """Returns how much of the doubtful corrections the sum still lacks, and clears them.
 
-        Not all: while a counter was in halves, each half put its own sum right.
+        It may lack only a part: while a counter was split, each half corrected its own sum.
         """
-        wanted, self.unrighted = min(self.unrighted, self.high - total), 0.0
-        return max(wanted, 0.0)
+        missing, self.doubtful_corrections = min(self.doubtful_corrections, self.last_sum - total), 0.0
+        return max(missing, 0.0)
 
     @property
     def used(self) -> float:
-        """Units passed on that are surely in this counter."""
-        return sum(spell.used for spell in self.spells.values())
+        """Units passed on that are certainly in this counter."""
+        return sum(added.used for added in self.confirmed.values())
 
     @property
-    def corrected(self) -> float:
-        """Units there that put the sum right."""
-        return sum(spell.units - spell.used for spell in self.spells.values())
+    def confirmed_corrections(self) -> float:
+        """Units of corrections that are certainly in this counter."""
+        return sum(added.units - added.used for added in self.confirmed.values())
 
     def move_to(self, other: Account) -> None:
-        """The name goes to another counter, which may have some units from earlier."""
-        other.owed = self.used + self.blurred + sum(self.maybe.values()) + self.owed - other.used
-        other.owed_right = max(self.corrected + self.owed_right - other.corrected, 0.0)
-        other.unrighted += self.unrighted
-        other.blurred = 0.0
-        other.maybe.clear()
-        other.high, other.since, other.lower = max(other.least, self.least), 0.0, None
-        self.owed = self.owed_right = self.unrighted = 0.0
+        """The name moves to another counter, which may have some units from earlier."""
+        other.lost_usage = (
+            self.used + self.unresolved + sum(self.unconfirmed.values()) + self.lost_usage - other.used
+        )
+        other.lost_corrections = max(
+            self.confirmed_corrections + self.lost_corrections - other.confirmed_corrections, 0.0
+        )
+        other.doubtful_corrections += self.doubtful_corrections
+        other.unresolved = 0.0
+        other.unconfirmed.clear()
+        other.last_sum, other.used_since, other.lower_reading = max(other.min_sum, self.min_sum), 0.0, None
+        self.lost_usage = self.lost_corrections = self.doubtful_corrections = 0.0
--- a/embersill/counting/keeper.py
+++ b/embersill/counting/keeper.py
@@ -48,10 +48,10 @@
         "beat",
         "corrects",
         "kind",
+        "lost_corrections",
+        "lost_usage",
         "moves",
         "name",
-        "owed",
-        "owed_right",
         "place",
         "second",
         "sent",
@@ -60,14 +60,14 @@
     def __init__(self, kind: str, place: Place, name: str, amount: float, sent: float) -> None:
         self.kind, self.place, self.name, self.amount, self.sent = kind, place, name, amount, sent
         self.action: Count | None = None
-        self.owed = self.owed_right = 0.0  # of the amount, what is told anew: passed on, and corrections
+        self.lost_usage = self.lost_corrections = 0.0  # restored by this amount: usage, corrections
         self.corrects = 0.0  # of it, what is no use but puts the sum right
         self.beat = place.beat
         self.second = self.moves = 0
 
     def confirm(self, account: Account, now: float) -> None:
         """The call has been added."""
-        account.confirm(self.beat, self.sent, now, self.amount, self.amount - self.corrects, self.owed)
+        account.confirm(self.beat, self.sent, now, self.amount, self.amount - self.corrects, self.lost_usage)
 
 
 USE, REPAY, SUM, MARK = "use", "repay", "sum", "mark"
@@ -174,12 +174,12 @@
             account = self.account_at(place, action.name)
             if now < place.settled_at or place.search is not None or place.anchor is None:
                 if account is not None:  # right for here; the others are telling anew what they had told
-                    account.high += action.corrects
+                    account.last_sum += action.corrects
                 return [dropped(action)]
-            if account is not None and account.righting:
+            if account is not None and account.correction_pending:
                 return [dropped(action)]
             if account is not None:
-                account.righting = True
+                account.correction_pending = True
             place.corrections.append(action)
             return self.check(place, now)
         return [self.use(place, action, now)]
@@ -218,9 +218,9 @@
         account = out.place.accounts.get(out.name) if out is not None else None
         if out is None or account is None:
             return
-        if account.maybe.pop(number, None) is not None:
+        if account.unconfirmed.pop(number, None) is not None:
             out.confirm(account, now)
-            account.unrighted = max(account.unrighted - out.owed_right, 0.0)
+            account.doubtful_corrections = max(account.doubtful_corrections - out.lost_corrections, 0.0)
 
     def next_beat(self, now: float) -> float:
         """When the next beat is due: once a second, gateways by turns."""
@@ -303,10 +303,15 @@
 
     def use(self, place: Place, action: Count, now: float) -> Call:
         account = self.account_at(place, action.name) if action.running else None
-        owed, right = (0.0, 0.0) if account is None else account.take_owed()
-        call = self.ask(USE, place, action.name, action.amount + owed + right, action.forget_after, now)
+        lost_usage, right = (0.0, 0.0) if account is None else account.take_lost()
+        call = self.ask(USE, place, action.name, action.amount + lost_usage + right, action.forget_after, now)
         out = self.out[call.id]
-        out.action, out.owed, out.owed_right, out.corrects = action, owed, right, action.corrects + right
+        out.action, out.lost_usage, out.lost_corrections, out.corrects = (
+            action,
+            lost_usage,
+            right,
+            action.corrects + right,
+        )
         return call
 
     def account_at(self, place: Place, name: str) -> Account | None:
@@ -339,13 +344,13 @@
         for name, account in place.accounts.items():
             if len(steps) >= self.terms.repays_a_beat:
                 break
-            if account.owed or account.owed_right:
-                owed, right = account.take_owed()
-                call = self.ask(REPAY, place, name, owed + right, EPOCH, now)
+            if account.lost_usage or account.lost_corrections:
+                lost_usage, right = account.take_lost()
+                call = self.ask(REPAY, place, name, lost_usage + right, EPOCH, now)
                 out = self.out[call.id]
-                out.owed, out.owed_right, out.corrects = owed, right, right
+                out.lost_usage, out.lost_corrections, out.corrects = lost_usage, right, right
                 steps.append(call)
-            elif account.unrighted > 0 and place.beat > place.found_at + 1:
+            elif account.doubtful_corrections > 0 and place.beat > place.found_at + 1:
                 steps.append(self.ask(SUM, place, name, 0.0, EPOCH, now))
         return steps
 
@@ -367,24 +372,24 @@
         place, action = out.place, out.action
         account = place.accounts.get(out.name)
         if account is not None and out.corrects > 0:
-            account.righting = False
+            account.correction_pending = False
         if outcome is Outcome.SERVED:
             if account is not None:
                 out.confirm(account, now)
                 if out.corrects > 0 and place.presence.anyone_absent(now):
-                    account.provisional += out.corrects
+                    account.provisional_corrections += out.corrects
             if action is None:
                 return []
             believed = self.believe(place, account, action, total, now)
             return [CounterResult(action.name, outcome, elapsed, believed, False, action.call)]
         if account is not None:
             if outcome is Outcome.TIMED_OUT:
-                account.maybe[number] = out.amount - out.corrects
-                account.unrighted += out.owed_right
+                account.unconfirmed[number] = out.amount - out.corrects
+                account.doubtful_corrections += out.lost_corrections
                 self.overdue[number] = out
             else:
-                account.owed += out.owed
-                account.owed_right += out.owed_right
+                account.lost_usage += out.lost_usage
+                account.lost_corrections += out.lost_corrections
         if action is None:
             return []
         return [CounterResult(action.name, outcome, elapsed, 0.0, self.is_alone(outcome), action.call)]
@@ -392,7 +397,7 @@
     def right(self, out: Out, total: float, now: float) -> list[Step]:
         """A sum that lost corrections is read: what it still wants of them is told anew."""
         account = out.place.accounts.get(out.name)
-        wanted = account.still_unrighted(total) if account is not None else 0.0
+        wanted = account.take_missing_corrections(total) if account is not None else 0.0
         if wanted <= 0 or self.place_for(out.name) is not out.place:
             return []
         call = self.ask(REPAY, out.place, out.name, wanted, EPOCH, now)
@@ -410,8 +415,8 @@
         if old is not None and outcome is Outcome.SERVED:  # it is there, should the name come back
             out.confirm(old, now)
         if account is not None:  # what was proven not to be added the module tells again by itself
-            account.owed += out.owed if proven else out.amount - out.corrects
-            account.owed_right += out.owed_right if proven else out.corrects
+            account.lost_usage += out.lost_usage if proven else out.amount - out.corrects
+            account.lost_corrections += out.lost_corrections if proven else out.corrects
         if out.action is None:
             return []
         told = Outcome.NO_CONNECTION if proven else Outcome.TIMED_OUT
@@ -424,11 +429,11 @@
         if not action.running:  # one second's demand: those heard stand for those that are cut off
             return total / place.presence.heard_part(action.first, action.width, now)
         if account is not None:
-            total += account.unsure
+            total += account.uncertain_units
             settling = now < place.settled_at or place.search is not None
             if settling:
-                total = max(total, account.least)
-            account.read(total, now, -math.inf if settling else place.good_at)
+                total = max(total, account.min_sum)
+            account.record_sum(total, now, -math.inf if settling else place.good_at)
         epoch = int(action.name.rpartition(".")[2])
         return total + place.presence.assumed(action.first, action.width, action.rate, epoch * EPOCH, now)
 
@@ -505,7 +510,7 @@
         lost_from = min((place.marks[s][1] for s in gone), default=math.inf)
         halved = place.presence.halved_since(kept_until, now)
         for account in place.accounts.values():
-            account.lose(kept_until, lost_from, place.good_at, halved)
+            account.record_loss(kept_until, lost_from, place.good_at, halved)
         for second in gone:
             if second <= search.missing:  # later ones were made where the search was
                 del place.marks[second]
@@ -526,7 +531,7 @@
         for action in waiting:
             account = place.accounts.get(action.name)
             if account is not None:
-                account.righting = False
+                account.correction_pending = False
         return [dropped(action) for action in waiting]
 
 
--- a/embersill/lab/counting/world.py
+++ b/embersill/lab/counting/world.py
@@ -483,11 +483,11 @@
             case, told = customer.case, self.customers[name]
             debt = customer.debt - case.rate * (now - customer.at) if customer.epoch == epoch else 0.0
             members = [self.nodes[(told["first"] + n) % self.gateways] for n in range(told["width"])]
-            unsure = {}
+            uncertain_units = {}
             for node in members:
                 place = node.keeper.place_for(f"{name}.{epoch}") if node.alive and node.keeper else None
                 account = place.accounts.get(f"{name}.{epoch}") if place is not None else None
-                unsure[node] = account.unsure if account is not None else 0.0
+                uncertain_units[node] = account.uncertain_units if account is not None else 0.0
             for node in members:
                 if not node.alive or node.keeper is None:
                     continue
@@ -498,7 +498,7 @@
                 action = Count(f"{name}.{epoch}", 0.0, EPOCH, told["first"], told["width"], case.rate, True)
                 believed = node.keeper.believe(place, place.accounts.get(action.name), action, total, now)
                 room = min(case.burst, case.burst + case.rate * (now - begin) - believed)
-                others = sum(units for other, units in unsure.items() if other is not node)
+                others = sum(units for other, units in uncertain_units.items() if other is not node)
                 allowed = others + killed * excess("killed", case, self.terms)
                 allowed += case.untrimmed + case.rate * FRESH + self.settings.most_units
                 allowed += self.compounded(case)
--- a/tests/counting/test_keeper.py
+++ b/tests/counting/test_keeper.py
@@ -39,11 +39,11 @@
     two.now += 0.5
     together(one, two, times=3)
     # all but what was told after the last mark that was seen: that may have come to either counter
-    unsure = [b.keeper.places[A].accounts[b.name()].unsure for b in (one, two)]
-    assert one.sum() + sum(unsure) == 16.0 and max(unsure) <= 2.0
+    uncertain_units = [b.keeper.places[A].accounts[b.name()].uncertain_units for b in (one, two)]
+    assert one.sum() + sum(uncertain_units) == 16.0 and max(uncertain_units) <= 2.0
     assert one.keeper.places[A].losses == two.keeper.places[A].losses == 1
     together(one, two, times=8)
-    assert one.sum() + sum(unsure) == 16.0 and one.keeper.places[A].losses == 1
+    assert one.sum() + sum(uncertain_units) == 16.0 and one.keeper.places[A].losses == 1
 
 
 @pytest.mark.parametrize("age", [1, 3, 7, 12])
@@ -58,9 +58,9 @@
             bench.beat()
     stores[A].names = dict(kept[-age])
     together(one, two, times=4)
-    unsure = sum(b.keeper.places[A].accounts[b.name()].unsure for b in (one, two))
-    # each is unsure of the spell at the edge, and of the last one
-    assert 80.0 - 8.0 <= one.sum() <= 80.0 and 80.0 <= one.sum() + unsure <= 80.0 + 8.0
+    uncertain_units = sum(b.keeper.places[A].accounts[b.name()].uncertain_units for b in (one, two))
+    # each is uncertain of what it added at the beat of the loss, and of the last beat
+    assert 80.0 - 8.0 <= one.sum() <= 80.0 and 80.0 <= one.sum() + uncertain_units <= 80.0 + 8.0
 
 
 def test_while_lost_sums_are_told_anew_none_is_believed_to_be_lower_than_it_was() -> None:
--- a/tests/counting/test_operator.py
+++ b/tests/counting/test_operator.py
@@ -126,8 +126,8 @@
         first.slow = 0.3
         assert (await sockets.ask("c", 2.0, 2)).outcome is Outcome.TIMED_OUT
         account = next(iter(sockets.keeper.places[first.address["a"]].accounts.values()))
-        assert account.unsure == 2.0
-        while account.unsure:
+        assert account.uncertain_units == 2.0
+        while account.uncertain_units:
             await asyncio.sleep(0.01)  # until the late answer is there
         assert account.used == 7.0
         sockets.counting.move_all([second.address["a"]])
