--- a/tests/edge/test_client_leaves.py
+++ b/tests/edge/test_client_leaves.py
@@ -1,7 +1,7 @@
-"""What becomes of requests whose clients leave before they have their answers, by whole gateways on loopback.
+"""Requests whose clients disconnect before they are answered, through complete gateways on loopback.
 
-The judge is the stand-in for a backend: it notes when each request came, and whether its work came to its own
-end or was dropped because the gateway closed the connection.
+The stand-in for the backend records when each request arrived, and whether its work finished or was dropped
+because the gateway closed the connection.
 """
 
 from __future__ import annotations
@@ -18,116 +18,118 @@
 from tests.edge.test_client_states import Client as Connection
 from tests.edge.test_sockets import Backend, answer, run_scenario, wait_until
 
-WORK = 1.2  # seconds that a backend takes for a request below /p0/long or /p1/long
-NOTICED_WITHIN = 0.5  # seconds, by the operators' pages, after which nobody works for a client that has left
-REPEATABLE, ORDER = "/p0/long", "/p1/long"
+WORK_S = 1.2  # what the backend takes for a request below /p0/long or /p1/long
+MAX_NOTICE_S = 0.5  # the documented limit after which no backend works for a disconnected client
+IDEMPOTENT_PATH, NON_IDEMPOTENT_PATH = "/p0/long", "/p1/long"
 
 
 @dataclass
 class Run:
-    """One request at the backend; times by the loop's clock, 0 where it has not come to that."""
+    """One request at the backend; times by the event loop's clock, 0 for what has not happened."""
 
-    attempt: str
-    began: float
-    finished: float = 0.0
-    dropped: float = 0.0
+    attempt_id: str
+    started_at: float
+    finished_at: float = 0.0
+    dropped_at: float = 0.0
 
 
 class WorkingBackend(Backend):
     """Works on each request for a while, and drops it if the connection closes meanwhile."""
 
-    drops = True  # it stops work as the connection closes
+    drops_on_close = True  # whether it stops working on a request when the connection closes
 
     async def start(self) -> None:
-        """Listens; several connections are served side by side."""
+        """Listens; connections are served concurrently."""
         self.runs: list[Run] = []
         self.connections = 0
         await super().start()
 
-    def run_of(self, attempt: str) -> Run | None:
-        """The only run of a request; None if it has not come."""
-        found = [run for run in self.runs if run.attempt == attempt]
-        assert len(found) <= 1, f"{attempt} ran {len(found)} times"
-        return found[0] if found else None
+    def run_of(self, attempt_id: str) -> Run | None:
+        """The only run of a request; None if the request has not arrived."""
+        matching = [run for run in self.runs if run.attempt_id == attempt_id]
+        assert len(matching) <= 1, f"{attempt_id} ran {len(matching)} times"
+        return matching[0] if matching else None
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one connection, a request at a time."""
+        """Serves one connection, one request at a time."""
         self.connections += 1
         loop = asyncio.get_running_loop()
         try:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                first, *lines = head.strip().split(b"\r\n")
-                headers = {n.lower(): v for n, _, v in (one.partition(b": ") for one in lines)}
+                request_line, *lines = head.strip().split(b"\r\n")
+                headers = {n.lower(): v for n, _, v in (line.partition(b": ") for line in lines)}
                 await reader.readexactly(int(headers.get(b"content-length", b"0")))
                 run = Run(headers[b"x-attempt-id"].decode(), loop.time())
                 self.runs.append(run)
-                if b"/long" in first:
-                    if not await self.works(reader):
-                        run.dropped = loop.time()
+                if b"/long" in request_line:
+                    if not await self.finishes_work(reader):
+                        run.dropped_at = loop.time()
                         return writer.close()
-                run.finished = loop.time()
+                run.finished_at = loop.time()
                 writer.write(answer(headers))
         except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError):
             writer.close()
 
-    async def works(self, reader: asyncio.StreamReader) -> bool:
-        """True once the work is done; False if the connection closed meanwhile and the work was dropped."""
+    async def finishes_work(self, reader: asyncio.StreamReader) -> bool:
+        """True when the work is done; False if the connection closed first and the work was dropped."""
         closing = asyncio.ensure_future(reader.read(1))
-        done, _ = await asyncio.wait({closing}, timeout=WORK)
-        if done and self.drops:
+        done, _ = await asyncio.wait({closing}, timeout=WORK_S)
+        if done and self.drops_on_close:
             return False
         if done:
-            await asyncio.sleep(WORK)
+            await asyncio.sleep(WORK_S)
         closing.cancel()
         return True
 
 
-def request(name: str, path: str = REPEATABLE, key: str = "k", wait_ms: int = 3000) -> bytes:
+def request(name: str, path: str = IDEMPOTENT_PATH, key: str = "k", deadline_ms: int = 3000) -> bytes:
     """A client's request."""
     method = "GET" if path.startswith("/p0") else "POST"
     length = "" if method == "GET" else "Content-Length: 0\r\n"
     return (
         f"{method} {path} HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: {name}\r\nX-Key: {key}\r\n"
-        f"X-Deadline-Remaining-Ms: {wait_ms}\r\n{length}\r\n"
+        f"X-Deadline-Remaining-Ms: {deadline_ms}\r\n{length}\r\n"
     ).encode()
 
 
 class Client(Connection):
-    """A connection whose client leaves in one way or another."""
+    """A client connection with three ways to disconnect: close, reset and half-close."""
 
     @classmethod
     async def connect(cls, port: int) -> Client:
-        """A new connection to the gateway's listener for clients."""
+        """Opens a connection to the gateway's listener for clients."""
         return cls(*await asyncio.open_connection(HOST, port))
 
     def close(self) -> None:
-        """Leaves in order."""
+        """Closes the connection in order."""
         self.writer.close()
 
     def half_close(self) -> None:
-        """Ends its own direction only."""
+        """Closes the sending direction only."""
         self.writer.write_eof()
 
 
-Leave = Callable[[Client], None]
-LEAVES: tuple[Leave, ...] = (Client.close, Client.reset, Client.half_close)
-Then = Callable[[int, WorkingBackend, GatewayProcess], Awaitable[None]]
+Disconnect = Callable[[Client], None]
+DISCONNECTS: tuple[Disconnect, ...] = (Client.close, Client.reset, Client.half_close)
+Scenario = Callable[[int, WorkingBackend, GatewayProcess], Awaitable[None]]
 
 
-def play_working(folder: Path, then: Then, kind: type[WorkingBackend] = WorkingBackend) -> None:
-    """Plays with four gateways; `then` has the port of clients, the backend and the gateway they talk to."""
+def run_with_working_backend(
+    folder: Path, scenario: Scenario, backend_class: type[WorkingBackend] = WorkingBackend
+) -> None:
+    """Runs a scenario, which gets the client port, the backend and the gateway that clients connect to."""
 
-    async def adapted(ports: list[int], backend: Backend, systems: list[GatewayProcess]) -> None:
+    async def adapter(ports: list[int], backend: Backend, processes: list[GatewayProcess]) -> None:
         assert isinstance(backend, WorkingBackend)
-        await then(ports[0], backend, systems[3])
+        await scenario(ports[0], backend, processes[3])
 
-    run_scenario(folder, lambda path, headers: None, adapted, kind)
+    run_scenario(folder, lambda path, headers: None, adapter, backend_class)
 
 
-def is_calm(system: GatewayProcess) -> bool:
-    """True if nothing is under way any more, and each count of it is back at nought."""
-    gauges = system.metrics.gauges()
+def is_idle(process: GatewayProcess) -> bool:
+    """True if no request or attempt is open, and each gauge of them is back at zero."""
+    gauges = process.metrics.gauges()
     names = (
         "requests_unanswered",
         "requests_pending",
@@ -139,218 +141,227 @@
 
 
 @pytest.mark.parametrize("pipelined", [False, True], ids=["alone", "pipelined"])
-@pytest.mark.parametrize("leave", LEAVES, ids=[leave.__name__ for leave in LEAVES])
-def test_no_backend_works_on_for_a_client_that_has_left(
-    tmp_path: Path, leave: Leave, pipelined: bool
+@pytest.mark.parametrize("disconnect", DISCONNECTS, ids=[disconnect.__name__ for disconnect in DISCONNECTS])
+def test_backends_stop_working_for_a_disconnected_client(
+    tmp_path: Path, disconnect: Disconnect, pipelined: bool
 ) -> None:
-    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
+    async def scenario(port: int, backend: WorkingBackend, process: GatewayProcess) -> None:
         names = ["one", "two", "three"] if pipelined else ["one"]
         client = await Client.connect(port)
         client.send(*map(request, names))
         await wait_until(lambda: len(backend.runs) == len(names))
-        leave(client)
-        left = asyncio.get_running_loop().time()
-        await asyncio.sleep(NOTICED_WITHIN)
-        ran_on = [run.attempt for run in backend.runs if not 0 < run.dropped - left < NOTICED_WITHIN]
-        assert not ran_on
-        await wait_until(lambda: is_calm(system))
+        disconnect(client)
+        disconnected_at = asyncio.get_running_loop().time()
+        await asyncio.sleep(MAX_NOTICE_S)
+        still_running = [
+            run.attempt_id for run in backend.runs if not 0 < run.dropped_at - disconnected_at < MAX_NOTICE_S
+        ]
+        assert not still_running
+        await wait_until(lambda: is_idle(process))
 
-    play_working(tmp_path, then)
+    run_with_working_backend(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("leave", LEAVES, ids=[leave.__name__ for leave in LEAVES])
-def test_an_order_whose_client_has_left_runs_to_its_end_once(tmp_path: Path, leave: Leave) -> None:
-    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
+@pytest.mark.parametrize("disconnect", DISCONNECTS, ids=[disconnect.__name__ for disconnect in DISCONNECTS])
+def test_a_non_idempotent_request_of_a_disconnected_client_completes_once(
+    tmp_path: Path, disconnect: Disconnect
+) -> None:
+    async def scenario(port: int, backend: WorkingBackend, process: GatewayProcess) -> None:
         client = await Client.connect(port)
-        client.send(request("order", ORDER))
+        client.send(request("order", NON_IDEMPOTENT_PATH))
         await wait_until(lambda: len(backend.runs) == 1)
-        leave(client)
-        await wait_until(lambda: backend.runs[0].finished > 0)
-        await wait_until(lambda: is_calm(system))
-        assert not backend.runs[0].dropped and len(backend.runs) == 1
-        server = system.gateway.servers["i-1"]
-        assert server.proven and not server.bad  # its answer counts, though nobody reads it
+        disconnect(client)
+        await wait_until(lambda: backend.runs[0].finished_at > 0)
+        await wait_until(lambda: is_idle(process))
+        assert not backend.runs[0].dropped_at and len(backend.runs) == 1
+        server = process.gateway.servers["i-1"]
+        # The answer counts for the backend though no client reads it.
+        assert server.proven and not server.bad
 
-    play_working(tmp_path, then)
+    run_with_working_backend(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("leave", LEAVES, ids=[leave.__name__ for leave in LEAVES])
-def test_a_request_that_waits_for_a_token_goes_nowhere_and_gives_its_token_back(
-    tmp_path: Path, leave: Leave
+@pytest.mark.parametrize("disconnect", DISCONNECTS, ids=[disconnect.__name__ for disconnect in DISCONNECTS])
+def test_a_disconnected_request_waiting_for_a_token_is_not_sent_and_returns_its_token(
+    tmp_path: Path, disconnect: Disconnect
 ) -> None:
-    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
+    async def scenario(port: int, backend: WorkingBackend, process: GatewayProcess) -> None:
         client, other = await Client.connect(port), await Client.connect(port)
         client.send(request("first", "/p0/short"))
         await wait_until(lambda: len(backend.runs) == 1)
-        throttle = system.gateway.throttles["t"]
-        throttle.asking, throttle.level = True, 0.0  # its reserve has not answered yet
+        throttle = process.gateway.throttles["t"]
+        throttle.asking, throttle.level = True, 0.0  # waits for an answer from the reserve
         other.send(request("before", "/p0/short"))
         client.send(request("held", "/p0/short"))
         await wait_until(lambda: len(throttle.queue) == 2)
-        leave(client)
+        disconnect(client)
         await wait_until(lambda: len(throttle.queue) == 1)
         assert throttle.held == 1.0
         throttle.asking, throttle.level = False, throttle.level + 5.0
-        system.gateway.admission.release(throttle)
-        system.driver.perform(system.gateway.turn.actions)
-        await wait_until(lambda: is_calm(system))
-        assert {run.attempt for run in backend.runs} <= {"first", "before"}
-        assert not system.driver.open  # the same id may come again
+        process.gateway.admission.release(throttle)
+        process.driver.perform(process.gateway.turn.actions)
+        await wait_until(lambda: is_idle(process))
+        assert {run.attempt_id for run in backend.runs} <= {"first", "before"}
+        assert not process.driver.open  # the same attempt ID may be used again
 
-    play_working(tmp_path, then)
+    run_with_working_backend(tmp_path, scenario)
 
 
-def test_a_request_whose_connection_is_still_dialled_is_not_written_and_uses_no_quota(tmp_path: Path) -> None:
-    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
-        dials = asyncio.Event()
-        connect = system.pool.connect
+def test_a_request_disconnected_while_its_backend_is_dialled_is_not_sent_and_uses_no_quota(
+    tmp_path: Path,
+) -> None:
+    async def scenario(port: int, backend: WorkingBackend, process: GatewayProcess) -> None:
+        may_dial = asyncio.Event()
+        connect = process.pool.connect
 
-        async def slow_dial(*told: object) -> None:
-            await dials.wait()
-            await connect(*told)  # type: ignore[arg-type]
+        async def slow_dial(*arguments: object) -> None:
+            await may_dial.wait()
+            await connect(*arguments)  # type: ignore[arg-type]
 
-        system.pool.connect = slow_dial  # type: ignore[method-assign,assignment]
+        process.pool.connect = slow_dial  # type: ignore[method-assign,assignment]
         client = await Client.connect(port)
         client.send(request("dialled"))
-        await wait_until(lambda: bool(system.pool.dialling))
-        throttle = system.gateway.throttles["t"]
+        await wait_until(lambda: bool(process.pool.dialling))
+        throttle = process.gateway.throttles["t"]
         level = throttle.level
         client.close()
-        await wait_until(lambda: is_calm(system))
+        await wait_until(lambda: is_idle(process))
         assert level + 1.0 <= throttle.level <= throttle.bank
-        dials.set()
+        may_dial.set()
         await asyncio.sleep(0.05)
-        assert not backend.runs and system.driver.disconnects.unsent == 1
+        assert not backend.runs and process.driver.disconnects.unsent == 1
 
-    play_working(tmp_path, then)
+    run_with_working_backend(tmp_path, scenario)
 
 
-def test_a_leave_is_seen_while_nothing_is_read(tmp_path: Path) -> None:
-    """Sixteen requests are under way, and more than is read ahead waits behind them."""
+def test_a_disconnect_is_noticed_while_reading_is_paused(tmp_path: Path) -> None:
+    """Up to sixteen requests are in flight, and more pipelined requests wait than the gateway reads ahead."""
 
-    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
+    async def scenario(port: int, backend: WorkingBackend, process: GatewayProcess) -> None:
         client = await Client.connect(port)
         client.send(*(request(f"r{n}") for n in range(400)))
         await wait_until(lambda: len(backend.runs) >= 4)
-        await wait_until(lambda: any(connection.paused for connection in system.front.connections))
+        await wait_until(lambda: any(connection.paused for connection in process.front.connections))
         client.close()
-        await wait_until(lambda: is_calm(system))
-        came = len(backend.runs)
-        await asyncio.sleep(NOTICED_WITHIN)
-        assert len(backend.runs) == came <= 16 and all(run.dropped for run in backend.runs)
+        await wait_until(lambda: is_idle(process))
+        started = len(backend.runs)
+        await asyncio.sleep(MAX_NOTICE_S)
+        assert len(backend.runs) == started <= 16 and all(run.dropped_at for run in backend.runs)
 
-    play_working(tmp_path, then)
+    run_with_working_backend(tmp_path, scenario)
 
 
-def test_a_process_that_is_behind_looks_for_a_leave_before_it_sends(tmp_path: Path) -> None:
-    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
-        client, stays = await Client.connect(port), await Client.connect(port)
+def test_a_process_that_is_behind_checks_for_disconnects_before_it_sends(tmp_path: Path) -> None:
+    async def scenario(port: int, backend: WorkingBackend, process: GatewayProcess) -> None:
+        disconnecting, remaining = await Client.connect(port), await Client.connect(port)
         await asyncio.sleep(0.05)
-        system.behind_until = system.clock() + 5.0
-        client.send(request("left"))
-        client.close()
-        stays.send(request("stays", "/p0/short"))
-        await wait_until(lambda: any(run.finished for run in backend.runs))
-        await wait_until(lambda: is_calm(system))
-        assert [run.attempt for run in backend.runs] == ["stays"]
+        process.behind_until = process.clock() + 5.0
+        disconnecting.send(request("left"))
+        disconnecting.close()
+        remaining.send(request("stays", "/p0/short"))
+        await wait_until(lambda: any(run.finished_at for run in backend.runs))
+        await wait_until(lambda: is_idle(process))
+        assert [run.attempt_id for run in backend.runs] == ["stays"]
 
-    play_working(tmp_path, then)
+    run_with_working_backend(tmp_path, scenario)
 
 
-def test_a_late_tick_tells_that_the_process_is_behind(tmp_path: Path) -> None:
-    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
-        now = system.clock()
-        system.tick_due = now
-        system.note_delay(now + 0.05)
-        assert not system.is_behind()
-        system.tick_due = now - 1.0
-        system.note_delay(now)
-        assert system.is_behind() and system.metrics.gauges()["loop_delay_max_seconds"] >= 1.0
+def test_a_late_tick_marks_the_process_as_behind(tmp_path: Path) -> None:
+    async def scenario(port: int, backend: WorkingBackend, process: GatewayProcess) -> None:
+        now = process.clock()
+        process.tick_due = now
+        process.note_delay(now + 0.05)
+        assert not process.is_behind()
+        process.tick_due = now - 1.0
+        process.note_delay(now)
+        assert process.is_behind() and process.metrics.gauges()["loop_delay_max_seconds"] >= 1.0
 
-    play_working(tmp_path, then)
+    run_with_working_backend(tmp_path, scenario)
 
 
-class StubbornBackend(WorkingBackend):
-    """Works on when a connection closes."""
+class NonCancellingBackend(WorkingBackend):
+    """Finishes its work though the connection has closed."""
 
-    drops = False
+    drops_on_close = False
 
 
-def test_a_backend_that_works_on_is_not_sent_one_request_after_the_other(tmp_path: Path) -> None:
-    """Its slot isn't free: what was broken off counts there for as long as it usually takes."""
+def test_a_backend_that_ignores_disconnects_is_not_sent_more_than_its_limit(tmp_path: Path) -> None:
+    """A cancelled attempt occupies its slot for as long as such a request usually takes."""
 
-    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
-        server = system.gateway.servers["i-1"]
-        for fleet in system.gateway.backends.fleets.values():
-            fleet.usual["r0", 0.0] = WORK
+    async def scenario(port: int, backend: WorkingBackend, process: GatewayProcess) -> None:
+        server = process.gateway.servers["i-1"]
+        for fleet in process.gateway.backends.fleets.values():
+            fleet.usual["r0", 0.0] = WORK_S
         server.limit = 2.0
-        statuses = []
+        run_counts = []
         for number in range(20):
             client = await Client.connect(port)
             client.send(request(f"r{number}"))
-            await wait_until(lambda: not system.driver.unanswered or server.flight > 0)
+            await wait_until(lambda: not process.driver.unanswered or server.flight > 0)
             await asyncio.sleep(0.02)
             client.close()
-            statuses.append(len(backend.runs))
+            run_counts.append(len(backend.runs))
             await asyncio.sleep(0.01)
         assert len(backend.runs) == backend.connections == 2
         assert server.flight == 2 and not server.bad and not server.overdue
-        await wait_until(lambda: is_calm(system))
+        await wait_until(lambda: is_idle(process))
 
-    play_working(tmp_path, then, StubbornBackend)
+    run_with_working_backend(tmp_path, scenario, NonCancellingBackend)
 
 
-def test_no_second_attempt_begins_for_a_client_that_has_left(tmp_path: Path) -> None:
-    class Breaking(WorkingBackend):
-        """Breaks each connection in the midst of the work."""
+def test_no_retry_starts_for_a_disconnected_client(tmp_path: Path) -> None:
+    class ClosingBackend(WorkingBackend):
+        """Closes each connection while it works on a request."""
 
-        async def works(self, reader: asyncio.StreamReader) -> bool:
+        async def finishes_work(self, reader: asyncio.StreamReader) -> bool:
             await asyncio.sleep(0.1)
             return False
 
-    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
-        for name, path in (("ask", REPEATABLE), ("order", ORDER)):
+    async def scenario(port: int, backend: WorkingBackend, process: GatewayProcess) -> None:
+        for name, path in (("ask", IDEMPOTENT_PATH), ("order", NON_IDEMPOTENT_PATH)):
             client = await Client.connect(port)
             client.send(request(name, path))
             await wait_until(lambda name=name: backend.run_of(name) is not None)  # type: ignore[misc]
             client.close()
-        await wait_until(lambda: is_calm(system))
+        await wait_until(lambda: is_idle(process))
         await asyncio.sleep(0.1)
-        assert [run.attempt for run in backend.runs] == ["ask", "order"]
+        assert [run.attempt_id for run in backend.runs] == ["ask", "order"]
 
-    play_working(tmp_path, then, Breaking)
+    run_with_working_backend(tmp_path, scenario, ClosingBackend)
 
 
-def test_an_answer_that_is_passed_on_ends_with_its_client(tmp_path: Path) -> None:
-    class Streaming(WorkingBackend):
-        """Answers with a long body, a piece at a time, until the connection ends."""
+def test_a_streamed_answer_ends_when_its_client_disconnects(tmp_path: Path) -> None:
+    class StreamingBackend(WorkingBackend):
+        """Answers with a long body, in small chunks, until the connection ends."""
 
-        ended = 0.0
+        ended_at = 0.0
 
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             """Serves one connection."""
             head = await reader.readuntil(b"\r\n\r\n")
-            name = next(line for line in head.split(b"\r\n") if line.lower().startswith(b"x-attempt-id"))
+            id_line = next(line for line in head.split(b"\r\n") if line.lower().startswith(b"x-attempt-id"))
             writer.write(
-                b"HTTP/1.1 200 OK\r\nX-Backend-Seal: s1\r\n" + name + b"\r\nContent-Length: 9000000\r\n\r\n"
+                b"HTTP/1.1 200 OK\r\nX-Backend-Seal: s1\r\n"
+                + id_line
+                + b"\r\nContent-Length: 9000000\r\n\r\n"
             )
-            self.runs.append(Run(name.decode(), 0.0))
+            self.runs.append(Run(id_line.decode(), 0.0))
             while not writer.is_closing() and not reader.at_eof():
                 writer.write(b"x" * 1000)
                 await asyncio.sleep(0.005)
-            self.ended = asyncio.get_running_loop().time()
+            self.ended_at = asyncio.get_running_loop().time()
 
-    async def then(port: int, backend: WorkingBackend, system: GatewayProcess) -> None:
-        assert isinstance(backend, Streaming)
-        for leave in LEAVES:
-            backend.ended = 0.0
+    async def scenario(port: int, backend: WorkingBackend, process: GatewayProcess) -> None:
+        assert isinstance(backend, StreamingBackend)
+        for disconnect in DISCONNECTS:
+            backend.ended_at = 0.0
             client = await Client.connect(port)
-            client.send(request(leave.__name__))
+            client.send(request(disconnect.__name__))
             await client.reader.readexactly(2000)
-            leave(client)
-            left = asyncio.get_running_loop().time()
-            await wait_until(lambda: backend.ended > 0)
-            assert backend.ended - left < NOTICED_WITHIN
-        await wait_until(lambda: is_calm(system))
+            disconnect(client)
+            disconnected_at = asyncio.get_running_loop().time()
+            await wait_until(lambda: backend.ended_at > 0)
+            assert backend.ended_at - disconnected_at < MAX_NOTICE_S
+        await wait_until(lambda: is_idle(process))
 
-    play_working(tmp_path, then, Streaming)
+    run_with_working_backend(tmp_path, scenario, StreamingBackend)
