--- a/tests/world/test_shrink.py
+++ b/tests/world/test_shrink.py
@@ -36,7 +36,7 @@
 
 def test_a_schedule_of_thousands_of_steps_shrinks_to_a_story(monkeypatch: pytest.MonkeyPatch) -> None:
     """With a fence out: a ceiling starts full at a takeover."""
-    monkeypatch.setattr(Planner, "left_of", lambda self, part, customer, plan: (plan.ceiling_depth, 0.0))
+    monkeypatch.setattr(Planner, "remaining", lambda self, part, customer, plan: (plan.ceiling_depth, 0.0))
     for seed in range(20):
         schedule = generate(seed, rate=500.0)
         broken = breaks(schedule)
