--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -34,7 +34,7 @@
 RETURNED_BACKEND_TEST = (
     "test_system.py::test_a_member_that_is_cut_off_takes_no_backend_for_lost_that_has_gone_back_to_its_keeper"
 )
-QUOTA_BOUND_TEST = "test_parts.py::test_slices_reserve_and_silent_gateways_never_have_more_than_the_quota"
+QUOTA_BOUND_TEST = "test_parts.py::test_slices_loans_and_silent_gateways_together_stay_within_the_quota"
 BAD_RESPONSE_TEST = "test_sockets.py::test_an_invalid_backend_answer_never_reaches_a_client_as_a_success"
 
 FENCES = (
@@ -59,7 +59,7 @@
         ),
     ),
     (
-        "test_parts.py::test_what_two_gateways_know_of_a_backend_has_one_merge_in_any_order",
+        "test_parts.py::test_backend_updates_merge_to_the_same_state_in_any_order",
         Fence(
             "forward-only",
             "embersill.edge.discovery.instances",
@@ -109,7 +109,7 @@
         ),
     ),
     (
-        "test_parts.py::test_what_no_backend_ran_is_given_back_and_what_may_have_run_is_never_sent_again",
+        "test_parts.py::test_a_request_that_no_backend_ran_is_refunded_and_one_that_may_have_run_is_not_retried",
         Fence(
             "run-once",
             "embersill.attempts",
@@ -166,7 +166,7 @@
         ),
     ),
     (
-        "test_parts.py::test_requests_that_come_before_any_configuration_wait_for_it_and_not_for_long",
+        "test_parts.py::test_requests_before_the_first_configuration_wait_for_it_only_briefly",
         Fence(
             "early-end",
             "embersill.edge.dataplane.handlers",
@@ -206,7 +206,7 @@
         ),
     ),
     (
-        "test_parts.py::test_further_attempts_are_paid_from_the_fleets_budget",
+        "test_parts.py::test_retries_are_charged_to_the_retry_budget_of_the_fleet",
         Fence(
             "budget",
             "embersill.attempts",
@@ -216,7 +216,7 @@
         ),
     ),
     (
-        "test_parts.py::test_what_no_backend_ran_is_given_back_and_what_may_have_run_is_never_sent_again",
+        "test_parts.py::test_a_request_that_no_backend_ran_is_refunded_and_one_that_may_have_run_is_not_retried",
         Fence(
             "promise",
             "embersill.attempts",
--- a/tests/edge/test_lapses.py
+++ b/tests/edge/test_lapses.py
@@ -30,7 +30,7 @@
 from embersill.lab.edge import plots
 from embersill.lab.edge.fleet import Fleet, change, document
 from embersill.lab.edge.town import Gateway, Town, with_tenants
-from tests.edge.test_parts import Asked, Driven
+from tests.edge.test_parts import FakeExchange, RecordingDriver
 from tests.edge.test_system import put_until_answered
 
 LADDER = [{"share": 0.5, "lasts_s": 2.0}, {"share": 0.2, "lasts_s": 2.0}, {"share": 0.1}]
@@ -403,13 +403,13 @@
 
 
 def test_at_a_step_of_nought_callers_are_turned_away_at_the_door_and_told_when_to_come() -> None:
-    driven = Driven()
+    driven = RecordingDriver()
     desk = ClientHandler(lambda: driven, random.Random(1))  # type: ignore[arg-type,return-value]
     desk.apply_table(Table(document(1), {"t": STOPPED}))  # type: ignore[arg-type]
-    asked = [Asked(b"/p0/1") for _ in range(20)]
+    asked = [FakeExchange(b"/p0/1") for _ in range(20)]
     for one in asked:
         desk.take(one, one, b"GET")  # type: ignore[arg-type]
-    assert not driven.taken and {one.answers[0][0] for one in asked} == {429}
+    assert not driven.calls and {one.answers[0][0] for one in asked} == {429}
     waits = {float(one.answers[0][1].split(b": ")[1]) for one in asked}
     assert min(waits) >= 15.0 and len(waits) > 10
 
--- a/tests/edge/test_leave_invariants.py
+++ b/tests/edge/test_leave_invariants.py
@@ -28,7 +28,7 @@
     SetTimer,
     TimerDue,
 )
-from tests.edge.test_parts import edge
+from tests.edge.test_parts import make_gateway
 
 SEEDS = range(150)
 STEPS = 120
@@ -173,7 +173,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_tokens_of_what_no_backend_ran_are_given_back_once(seed: int) -> None:
     """The clock stands still, so that no token is added by refill."""
-    gateway = edge(rate=40.0)  # a bank of ten here
+    gateway = make_gateway(rate=40.0)  # a bank of ten here
     executor = ActionExecutor(gateway, seed)
     executor.play(moves=False)
     assert_calm(gateway)
@@ -183,7 +183,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_counts_come_back_whatever_meets(seed: int) -> None:
-    gateway = edge(rate=40.0)
+    gateway = make_gateway(rate=40.0)
     executor = ActionExecutor(gateway, seed)
     executor.play(moves=True)
     assert_calm(gateway)
--- a/tests/edge/test_slowed.py
+++ b/tests/edge/test_slowed.py
@@ -7,62 +7,62 @@
 from embersill.edge.configuration.lapses import Slowed
 from embersill.interface import Borrow, BorrowResult, Outcome, PeerLoad, Refuse, Send, TimerDue
 from embersill.lab.edge.lapsing import SHARES, TROUBLES, WAYS, measured, play
-from tests.edge.test_parts import ask, edge, ended, of
+from tests.edge.test_parts import actions_of, attempt_ended, make_gateway, make_request
 
 HALF = {"t": Slowed(100.0, 100.0, 0.5)}
 
 
 def test_further_attempts_of_a_slowed_tenant_take_nothing_from_the_others_budget() -> None:
-    made = edge(rate=200.0)
+    made = make_gateway(rate=200.0)
     made.slow(HALF, None)
-    where = of(made.handle(ask(1, "r0"), 100.0), Send)[0].backend
-    failed = made.handle(ended(1, 0, where, Outcome.ERROR), 100.0)
-    assert not of(failed, Send) and of(failed, Refuse)[0].retry_after > 0  # requests on "r0" may be retried
-    where = of(made.handle(ask(2, "r0"), 100.0), Send)[0].backend
-    assert of(
-        made.handle(ended(2, 0, where, Outcome.NO_CONNECTION), 100.0), Send
-    )  # undelivered: this retry costs no budget
+    where = actions_of(made.handle(make_request(1, "r0"), 100.0), Send)[0].backend
+    failed = made.handle(attempt_ended(1, 0, where, Outcome.ERROR), 100.0)
+    # requests on "r0" may be retried
+    assert not actions_of(failed, Send) and actions_of(failed, Refuse)[0].retry_after > 0
+    where = actions_of(made.handle(make_request(2, "r0"), 100.0), Send)[0].backend
+    # undelivered: this retry costs no budget
+    assert actions_of(made.handle(attempt_ended(2, 0, where, Outcome.NO_CONNECTION), 100.0), Send)
     made.slow({}, None)
-    where = of(made.handle(ask(3, "r0"), 100.0), Send)[0].backend
-    assert of(made.handle(ended(3, 0, where, Outcome.ERROR), 100.0), Send)
+    where = actions_of(made.handle(make_request(3, "r0"), 100.0), Send)[0].backend
+    assert actions_of(made.handle(attempt_ended(3, 0, where, Outcome.ERROR), 100.0), Send)
 
 
 def test_a_slowed_tenant_waits_at_no_backend_before_others_and_is_given_its_token_back() -> None:
-    made = edge(rate=200.0)
+    made = make_gateway(rate=200.0)
     names = list(made.servers)
     made.handle(PeerLoad(dict.fromkeys(names, 3)), 100.0)  # two slots each, and one request that waits
-    assert of(made.handle(ask(1), 100.0), Send)
+    assert actions_of(made.handle(make_request(1), 100.0), Send)
     made.slow(HALF, None)
     before = made.throttles["t"].level
-    refused = of(made.handle(ask(2), 100.0), Refuse)
+    refused = actions_of(made.handle(make_request(2), 100.0), Refuse)
     assert refused and not refused[0].over_quota and refused[0].retry_after > 0
     assert made.throttles["t"].level == pytest.approx(before)
-    assert of(made.handle(ask(3, tenant=""), 100.0), Send)  # a tenant that is not slowed may queue there
+    # a tenant that is not slowed may queue there
+    assert actions_of(made.handle(make_request(3, tenant=""), 100.0), Send)
     made.handle(PeerLoad(dict.fromkeys(names, 1)), 100.0)
-    assert of(made.handle(ask(4), 100.0), Send)
+    assert actions_of(made.handle(make_request(4), 100.0), Send)
 
 
 def test_a_slowed_tenant_is_held_for_a_moment_and_what_was_held_before_keeps_its_bound() -> None:
-    made = edge(rate=40.0)  # four gateways: ten requests/s and a bucket of ten at each
+    made = make_gateway(rate=40.0)  # four gateways: ten requests/s and a bucket of ten at each
     for number in range(11):
-        made.handle(ask(number), 100.0)
+        made.handle(make_request(number), 100.0)
     made.handle(BorrowResult("t", 0.0), 100.0)
     throttle = made.throttles["t"]
     assert [job.request.id for job in throttle.queue] == [10]  # a wait of 0.1 s, with a bound of 0.11 s
     made.slow({"t": Slowed(40.0, 40.0, 1.0)}, None)
-    assert [sent.request for sent in of(made.handle(TimerDue("rt"), 100.1001), Send)] == [10]
-    assert of(
-        made.handle(ask(21), 100.1001), Refuse
-    )  # 0.1 s again, but the bound of a slowed tenant is 0.011 s
+    assert [sent.request for sent in actions_of(made.handle(TimerDue("rt"), 100.1001), Send)] == [10]
+    # 0.1 s again, but the bound of a slowed tenant is 0.011 s
+    assert actions_of(made.handle(make_request(21), 100.1001), Refuse)
     made.slow({}, None)
-    made.handle(ask(22), 100.1001)
+    made.handle(make_request(22), 100.1001)
     assert [job.request.id for job in throttle.queue] == [22]
 
 
 def test_a_restarted_gateway_has_no_bank_of_its_own_to_begin_with() -> None:
-    assert of(edge(rate=80.0).handle(ask(1), 100.0), Send)
-    made = edge(rate=80.0, fresh=False).handle(ask(1), 100.0)
-    assert of(made, Borrow) and not of(made, Send)
+    assert actions_of(make_gateway(rate=80.0).handle(make_request(1), 100.0), Send)
+    made = make_gateway(rate=80.0, fresh=False).handle(make_request(1), 100.0)
+    assert actions_of(made, Borrow) and not actions_of(made, Send)
 
 
 @pytest.mark.parametrize("trouble", TROUBLES)
