--- a/embersill/rig/soak/known_faults.py
+++ b/embersill/rig/soak/known_faults.py
@@ -6,10 +6,11 @@
 from collections.abc import Callable
 
 from embersill.rig.soak.judge import Finding, Rule
+from embersill.rig.soak.lives import START_AGAIN, STARTING
 from embersill.rig.soak.record import Exit, Record
 from embersill.rig.soak.schedule import TroubleKind
 
-HANDLERS_SET_WITHIN_S = 3.2  # restart delay (0.2 s) plus the time a process may take until it handles signals
+HANDLERS_SET_WITHIN_S = START_AGAIN + STARTING  # from a process's end until its successor handles signals
 
 
 def ended_by_hangup_in_start(finding: Finding, record: Record) -> bool:
@@ -32,13 +33,14 @@
         if earlier.gateway == process_exit.gateway
         and 0 < process_exit.at - earlier.at <= HANDLERS_SET_WITHIN_S
     ]
+    if not restarts:
+        return False
     return any(
         struck.kind in (TroubleKind.HUP, TroubleKind.HUP_SERIES)
         and struck.gateway == process_exit.gateway
         and struck.began <= process_exit.at
         and struck.ended >= max(restarts)
         for struck in record.struck
-        if restarts
     )
 
 
