--- a/benchmarks/scarce_counter.py
+++ b/benchmarks/scarce_counter.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from benchmarks.history import ROOT, lay_out
-from embersill.emulator.demand import MEAN_UNITS, Mix, draw_customers, draw_tries
+from embersill.emulator.demand import MEAN_REQUEST_UNITS, PlanShare, draw_customers, draw_requests
 from embersill.emulator.fleet import Fleet, Site
 from embersill.rig.settings import settings_object
 from embersill.settings import read_settings
@@ -63,9 +63,9 @@
     settings = read_settings(told)
     wide = max(1, gateways // 2), gateways
     narrow = min(4, gateways), min(4, gateways)
-    mixes = [Mix(p, SHARES[p.name], narrow if p.name == "pro" else wide) for p in settings.plans]
-    customers = draw_customers(chance, mixes, gateways, 0.65 * tries_a_second * MEAN_UNITS, seconds)
-    tries = draw_tries(chance, customers, CLASSES, chance.uniform(0.34, 0.62))
+    mixes = [PlanShare(p, SHARES[p.name], narrow if p.name == "pro" else wide) for p in settings.plans]
+    customers = draw_customers(chance, mixes, gateways, 0.65 * tries_a_second * MEAN_REQUEST_UNITS, seconds)
+    tries = draw_requests(chance, customers, CLASSES, chance.uniform(0.34, 0.62))
     rate = len(tries) / seconds
     site = Site(settings, calls_a_try * rate, retries=chance.randrange(3), start=chance.uniform(0.0, 59.0))
     return Fleet(site, tries, seed)
@@ -73,24 +73,28 @@
 
 def figures(fleet: Fleet, seconds: float) -> dict[str, Any]:
     began = time.process_time()
-    ledger = fleet.play(seconds + 3.0)
+    ledger = fleet.run(seconds + 3.0)
     spent = time.process_time() - began
     out: dict[str, Any] = {"plans": {}}
     for name, t in sorted(ledger.tallies.items()):
         out["plans"][name] = {
             "gained": t.gained / t.offered,
-            "with_room": t.refused_with_room / t.asked,
-            "beyond": t.beyond / max(t.inside + t.beyond, 1e-9),
-            "asked": t.asked / t.offered,
+            "with_room": t.refused_with_room / t.requested,
+            "beyond": t.beyond_quota / max(t.within_quota + t.beyond_quota, 1e-9),
+            "asked": t.requested / t.offered,
         }
     tallies = ledger.tallies.values()
     out["gained"] = sum(t.gained for t in tallies) / sum(t.offered for t in tallies)
-    out["refused_with_room_share"] = sum(t.refused_with_room for t in tallies) / sum(t.asked for t in tallies)
-    out["beyond_quota_share"] = sum(t.beyond for t in tallies) / sum(t.inside + t.beyond for t in tallies)
-    out["calls_per_try"] = fleet.counter.calls / len(fleet.tries)
-    out["calls_lost_share"] = (fleet.counter.lost + fleet.counter.refused) / max(fleet.counter.calls, 1)
-    out["ceiling_over"] = ledger.breach
-    out["tries"], out["cpu"] = len(fleet.tries), spent
+    out["refused_with_room_share"] = sum(t.refused_with_room for t in tallies) / sum(
+        t.requested for t in tallies
+    )
+    out["beyond_quota_share"] = sum(t.beyond_quota for t in tallies) / sum(
+        t.within_quota + t.beyond_quota for t in tallies
+    )
+    out["calls_per_try"] = fleet.counter.calls / len(fleet.requests)
+    out["calls_lost_share"] = (fleet.counter.timed_out + fleet.counter.rejected) / max(fleet.counter.calls, 1)
+    out["ceiling_over"] = ledger.max_breach
+    out["tries"], out["cpu"] = len(fleet.requests), spent
     return out
 
 
