--- a/embersill/emulator/fleet.py
+++ b/embersill/emulator/fleet.py
@@ -129,7 +129,7 @@
 
     def __init__(self, site: Site, tries: list[Try], seed: int) -> None:
         self.site, self.tries = site, tries
-        self.kernel = Kernel(seed, most_events=20_000_000)
+        self.kernel = Kernel(seed, max_events=20_000_000)
         self.counter = CrowdedCounter(
             self.kernel, site.calls_a_second, site.parts, site.work, site.settings.counter_patience
         )
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -165,7 +165,7 @@
                 )
         self.flush()
 
-    def local(self, number: int) -> Callable[[Answer], None]:  # type: ignore[override]
+    def local(self, number: int) -> Callable[[Answer], None]:
         def say(answer: Answer) -> None:
             self.answer_came(number, answer)
 
@@ -566,7 +566,7 @@
 
     def do_leave(self, step: Step) -> None:
         node = self.nodes[step.who]
-        if node.alive and node.runs:
+        if node.alive and node.is_running:
             node.leave()
             self.kernel.at(self.kernel.now + 0.3, self.left, node, node.life, step.seconds)
 
--- a/embersill/lab/edge/fleet.py
+++ b/embersill/lab/edge/fleet.py
@@ -290,7 +290,7 @@
             return
         to, key = self.by_name[peer], (sender.name, peer)
         late = self.slowed.get(sender.name, 0.0) + self.slowed.get(peer, 0.0)
-        arrival = max(self.network.arrival(*key) + late, self.last.get(key, 0.0) + 1e-6)
+        arrival = max(self.network.arrival_time(*key) + late, self.last.get(key, 0.0) + 1e-6)
         self.last[key] = arrival
         told = msgspec.json.decode(msgspec.json.encode(message))
         self.kernel.at(arrival, self.arrive, sender, sender.process.life, to, to.process.life, told)
--- a/embersill/lab/edge/worst_days.py
+++ b/embersill/lab/edge/worst_days.py
@@ -68,7 +68,7 @@
 
     def call(self, what: str, body: dict[str, Any], machine: Machine) -> Call:
         """Calls a gateway; one that is down or stands still says nothing."""
-        answers = machine.node is not None and machine.process.runs
+        answers = machine.node is not None and machine.process.is_running
         heard = machine.call(what, body) if answers else []
         return Call(body, self.fleet.kernel.now, heard)
 
@@ -221,7 +221,7 @@
     def renew_seeds(self) -> None:
         """Processes that start from now on are told of machines that are there, one of them in touch."""
         fleet = self.fleet
-        there = [machine for machine in fleet.machines if machine.process.runs]
+        there = [machine for machine in fleet.machines if machine.process.is_running]
         alone = fleet.muted | fleet.cut_off.keys()
         in_touch = [machine for machine in there if machine.name not in alone]
         if in_touch:
--- a/embersill/lab/levels/nodes.py
+++ b/embersill/lab/levels/nodes.py
@@ -69,8 +69,8 @@
         if self.coded:
             self.send(node, pack(batch))
         elif self.open[node]:
-            to: Any = self.ends[node]
-            self.carry(to, to.batch_came, self, batch)
+            to: Any = self.peers[node]
+            self.enqueue(to, to.batch_came, self, batch)
 
     def read(self, node: Node, data: bytes) -> list[Batch] | None:
         """The batches that are whole now; None after a frame that can't be, which ends the link."""
@@ -95,7 +95,9 @@
 
     def here(self, backend: Backend) -> Backend:
         """An entry of the list with its start by this node's clock."""
-        return backend if backend.started is None else replace(backend, started=self.local(backend.started))
+        return (
+            backend if backend.started is None else replace(backend, started=self.local_time(backend.started))
+        )
 
     def hear_all(self) -> None:
         known = list(self.world.backends.values())
@@ -180,7 +182,7 @@
         self.wires.append(wire)
         self.flush()
 
-    def stream_over(self, stream: Stream) -> None:
+    def stream_closed(self, stream: Stream) -> None:
         assert isinstance(stream, Wire)
         if stream in self.wires:
             self.wires.remove(stream)
@@ -313,7 +315,7 @@
     def connected(self, planner: PlannerNode) -> None:
         network = self.world.network
         cut = network.is_cut(self.name, planner.name) or network.is_cut(planner.name, self.name)
-        if cut or not planner.runs or planner.leaving:
+        if cut or not planner.is_running or planner.leaving:
             return self.dial(planner)
         wire = Wire(self.world, self, planner)
         self.wires[planner.name] = wire
@@ -323,7 +325,7 @@
             self.perform(self.core.link_up(planner.name, life, self.clock()))
         return None
 
-    def stream_over(self, stream: Stream) -> None:
+    def stream_closed(self, stream: Stream) -> None:
         assert isinstance(stream, Wire)
         name = stream.planner.name
         if self.wires.get(name) is stream:
@@ -457,7 +459,7 @@
         if action.backend not in self.serving:
             return self.ended(pending, attempt, NEVER)
         self.after(until - self.clock(), self.ended, pending, attempt, Outcome.TIMED_OUT)
-        if fate[2] and self.world.kernel.watched:
+        if fate[2] and self.world.kernel.watchers:
             self.world.kernel.moment(
                 "dialling", sender=attempt.decider or self.name, receiver=self.name, backend=action.backend
             )
--- a/embersill/lab/levels/paths.py
+++ b/embersill/lab/levels/paths.py
@@ -57,7 +57,7 @@
         assert isinstance(stream, PathStream)
         stream.on_data[self](data)
 
-    def stream_over(self, stream: Stream) -> None:
+    def stream_closed(self, stream: Stream) -> None:
         assert isinstance(stream, PathStream)
         self.paths.pop(stream, None)
         stream.on_over[self]()
@@ -179,7 +179,7 @@
         proof = Proof(MAGIC, 0, self.name, b"n" * NONCE_BYTES, "", b"", f"{self.life}", line.number, via)
         if (
             any(
-                network.is_cut(a.name, b.name) or network.is_cut(b.name, a.name) or not b.runs
+                network.is_cut(a.name, b.name) or network.is_cut(b.name, a.name) or not b.is_running
                 for a, b in hops
             )
             or planner.leaving
--- a/embersill/lab/levels/world.py
+++ b/embersill/lab/levels/world.py
@@ -99,7 +99,7 @@
                 self.coverage.met(type(message).__name__, state)
 
     def said(self, phase: str, sender: Member, receiver: Member, messages: Sequence[AnyMessage]) -> None:
-        watched = self.kernel.watched
+        watched = self.kernel.watchers
         for message in messages:
             moment = MOMENTS[phase, type(message)]
             if self.trace.keep:
@@ -235,7 +235,7 @@
     def play_ask(self, step: Step, who: str, to: str) -> None:
         node = self.members[who]
         assert isinstance(node, ForwarderNode)
-        if not node.runs or node.retiring:
+        if not node.is_running or node.retiring:
             return
         self.counts["tries"] += 1
         a = step.args
@@ -252,7 +252,7 @@
         """A suspended machine: its clock stands still with it."""
         if who in self.members and self.members[who].alive:
             self.members[who].pause(step.seconds)
-            self.members[who].clocks.stand_still(step.seconds)
+            self.members[who].clocks.suspend(step.seconds)
 
     def play_hold(self, step: Step, who: str, to: str) -> None:
         self.network.hold_for(who, to, step.seconds)
@@ -285,7 +285,7 @@
             streams = one.paths
         elif isinstance(one, ForwarderNode):
             streams = one.wires.values()
-        for stream in [s for s in streams if s.ends[one] is other]:
+        for stream in [s for s in streams if s.peers[one] is other]:
             stream.close(one, reset)
 
     def play_leave(self, step: Step, who: str, to: str) -> None:
@@ -293,7 +293,7 @@
 
     def leave(self, who: str, seconds: float) -> None:
         node = self.members.get(who)
-        if not isinstance(node, PlannerNode) or not node.runs or node.leaving:
+        if not isinstance(node, PlannerNode) or not node.is_running or node.leaving:
             return
         node.leave()
         node.after(0.05, self.look_whether_left, node, self.kernel.now + 2.0, seconds)
@@ -309,7 +309,7 @@
 
     def retire(self, who: str, seconds: float) -> None:
         node = self.members.get(who)
-        if not isinstance(node, ForwarderNode) or not node.runs or node.retiring:
+        if not isinstance(node, ForwarderNode) or not node.is_running or node.retiring:
             return
         node.retiring = True
         self.look_whether_done(node, seconds)
--- a/embersill/world/__init__.py
+++ b/embersill/world/__init__.py
@@ -1,1 +1,1 @@
-"""A world to test in: one deterministic kernel, and what is built on it. Knows no part of the product."""
+"""Deterministic simulation: a kernel and the tools built on it. Imports nothing of the gateway itself."""
--- a/embersill/world/network.py
+++ b/embersill/world/network.py
@@ -1,7 +1,8 @@
-"""Links between nodes: streams and datagrams, with what networks do to them. No I/O.
+"""Simulated network: streams and datagrams between nodes, with latency, loss and partitions. No I/O.
 
-A `Network` knows for each direction between two nodes how it fares: latency, cut until when, held until when.
-Connections (`Stream`) and `Datagrams` go through it. A cut or hold may be in one direction only.
+A `Network` keeps the state of each direction between two nodes: until when it is cut and until when new
+messages are held. Connections (`Stream`) and `Datagrams` go through it. A cut or hold can affect one
+direction only.
 """
 
 from __future__ import annotations
@@ -14,60 +15,67 @@
 
 from embersill.world.kernel import Kernel, Node
 
-RETRIED_EVERY = 0.05  # seconds between tries of a network that is cut: TCP's retransmission, made simple
+RETRANSMIT_INTERVAL_S = (
+    0.05  # between attempts to deliver over a cut link: a simple model of TCP's retransmission
+)
 
 
 @dataclass(frozen=True)
 class Weather:
-    """How links fare when nothing is done to them. Seconds, and chances a message."""
-
-    least: float = 0.0002
-    most: float = 0.004
-    stall: float = 0.0  # chance that a message takes long
-    stall_most: float = 2.0
-    lost: float = 0.0  # of a stream too: a chunk goes missing, which no TCP does; readers must notice
+    """Conditions of links without injected faults: latencies in seconds, and probabilities per message."""
+
+    least: float = 0.0002  # minimum latency
+    most: float = 0.004  # maximum latency without a stall
+    stall: float = 0.0  # probability of an additional delay
+    stall_most: float = 2.0  # maximum additional delay
+    lost: float = (
+        0.0  # applies to streams too, where a chunk goes missing: TCP never does that; readers must notice
+    )
     doubled: float = 0.0
     reordered: float = 0.0  # datagrams only
 
 
 class Network:
-    """All links of a world. `calm` stops chance troubles at once; cuts and holds are ended by `heal`."""
+    """All links of a simulation. `calm` turns random faults off; `heal` also ends all cuts and holds."""
 
     def __init__(self, kernel: Kernel, weather: Weather) -> None:
         self.kernel, self.weather = kernel, weather
-        self.cut: dict[tuple[str, str], float] = {}  # directed: until when nothing is carried
-        self.held: dict[tuple[str, str], float] = {}  # directed: until when what is sent now waits
-        self.chance: dict[tuple[str, str], random.Random] = {}
+        self.cut: dict[tuple[str, str], float] = {}  # by (sender, receiver): until when nothing is delivered
+        self.held: dict[tuple[str, str], float] = {}  # by (sender, receiver): until when new messages wait
+        self.chances: dict[tuple[str, str], random.Random] = {}
         self.calm = False
 
-    def chances(self, sender: str, receiver: str) -> random.Random:
+    def chance_of(self, sender: str, receiver: str) -> random.Random:
+        """Returns the random number generator of one direction."""
         key = sender, receiver
-        found = self.chance.get(key)
+        found = self.chances.get(key)
         if found is None:
-            found = self.chance[key] = self.kernel.stream(f"{sender}>{receiver}")
+            found = self.chances[key] = self.kernel.stream(f"{sender}>{receiver}")
         return found
 
     def cut_for(self, sender: str, receiver: str, seconds: float) -> None:
-        """Nothing comes through in this direction; what a stream carries comes after the cut."""
+        """Delivers nothing in this direction for so long; data of streams arrives after the cut."""
         key = sender, receiver
         self.cut[key] = max(self.cut.get(key, 0.0), self.kernel.now + seconds)
 
     def hold_for(self, sender: str, receiver: str, seconds: float) -> None:
-        """What is sent in this direction from now on waits until then; what is under way goes on."""
+        """Delays messages that are sent in this direction for so long; those in flight are not affected."""
         key = sender, receiver
         self.held[key] = max(self.held.get(key, 0.0), self.kernel.now + seconds)
 
     def heal(self) -> None:
+        """Ends all cuts and holds, and turns random faults off."""
         self.calm = True
         self.cut.clear()
         self.held.clear()
 
     def is_cut(self, sender: str, receiver: str) -> bool:
+        """Whether nothing is delivered in this direction now."""
         return self.cut.get((sender, receiver), 0.0) > self.kernel.now
 
-    def arrival(self, sender: str, receiver: str) -> float:
-        """When a message that is sent now would come."""
-        weather, chance = self.weather, self.chances(sender, receiver)
+    def arrival_time(self, sender: str, receiver: str) -> float:
+        """Draws the time at which a message that is sent now would arrive."""
+        weather, chance = self.weather, self.chance_of(sender, receiver)
         delay = weather.least + (weather.most - weather.least) * chance.random()
         if weather.stall and not self.calm and chance.random() < weather.stall:
             delay += weather.stall_most * chance.random()
@@ -78,90 +86,95 @@
 
 
 class Stream:
-    """One connection: chunks in order each way, until either end sees it broken.
+    """A connection that delivers chunks in order in both directions until it is closed or reset.
 
-    A half-open one is open at one end only; `close` with `reset` False makes one.
+    `close` with `reset` False leaves it half-open: closed at one end only.
     """
 
-    def __init__(self, network: Network, one: Node, other: Node) -> None:
+    def __init__(self, network: Network, first: Node, second: Node) -> None:
         self.network = network
-        self.ends: dict[Node, Node] = {one: other, other: one}
-        self.open = {one: True, other: True}
-        self.lives = {one: one.life, other: other.life}
-        self.last = {one: 0.0, other: 0.0}  # arrival of the last chunk towards each
-        # what is under way towards each: whatever holds one up, none overtakes another
-        self.under_way: dict[Node, deque[tuple[Callable[..., None], tuple[Any, ...]]]] = {
-            one: deque(),
-            other: deque(),
+        self.peers: dict[Node, Node] = {first: second, second: first}
+        self.open = {first: True, second: True}
+        self.lives = {first: first.life, second: second.life}
+        self.last_arrival = {first: 0.0, second: 0.0}  # of the last chunk towards each end
+        # queued towards each end: a delayed chunk is never overtaken by a later one
+        self.in_flight: dict[Node, deque[tuple[Callable[..., None], tuple[Any, ...]]]] = {
+            first: deque(),
+            second: deque(),
         }
 
-    def carry(self, to: Node, call: Callable[..., None], *args: Any) -> None:
-        """Brings something to an end, behind all that went before it."""
+    def enqueue(self, to: Node, call: Callable[..., None], *args: Any) -> None:
+        """Schedules a call at one end, behind everything that was sent to it before."""
         network = self.network
-        sender = self.ends[to].name
-        arrival = network.arrival(sender, to.name)
-        last = self.last[to] + 1e-6
-        self.last[to] = arrival = arrival if arrival > last else last
-        self.under_way[to].append((call, args))
+        sender = self.peers[to].name
+        arrival = network.arrival_time(sender, to.name)
+        last = self.last_arrival[to] + 1e-6
+        self.last_arrival[to] = arrival = arrival if arrival > last else last
+        self.in_flight[to].append((call, args))
         network.kernel.at(arrival, self.arrive, sender, to)
 
     def arrive(self, sender: str, to: Node) -> None:
-        """The next of what is under way comes, or the try is put off."""
+        """Makes the next call in flight, or postpones it while the link is cut or the receiver paused."""
         kernel = self.network.kernel
         if self.network.cut and self.network.is_cut(sender, to.name):
-            kernel.at(kernel.now + RETRIED_EVERY, self.arrive, sender, to)
+            kernel.at(kernel.now + RETRANSMIT_INTERVAL_S, self.arrive, sender, to)
         elif to.paused_until > kernel.now and to.alive and to.life == self.lives[to]:
-            set_for = kernel.first_at if to.reads_first else kernel.at
-            set_for(to.paused_until, self.arrive, sender, to)
+            schedule = kernel.first_at if to.reads_first else kernel.at
+            schedule(to.paused_until, self.arrive, sender, to)
         else:
-            call, args = self.under_way[to].popleft()
+            call, args = self.in_flight[to].popleft()
             if self.open[to] and to.alive and to.life == self.lives[to]:
                 call(*args)
 
     def send(self, sender: Node, data: bytes) -> None:
+        """Sends a chunk to the other end, unless the sender's end is closed."""
         if not self.open[sender]:
             return
-        to, network = self.ends[sender], self.network
+        to, network = self.peers[sender], self.network
         weather = network.weather
         if (weather.lost or weather.doubled) and not network.calm:
-            drawn = network.chances(sender.name, to.name).random()
+            drawn = network.chance_of(sender.name, to.name).random()
             if drawn < weather.lost:
                 return
             if drawn < weather.lost + weather.doubled:
                 data += data
-        self.carry(to, self.deliver, to, data)
+        self.enqueue(to, self.deliver, to, data)
 
     def deliver(self, to: Any, data: bytes) -> None:
+        """Hands a chunk to the receiving node."""
         to.stream_data(self, data)
 
     def close(self, node: Any, reset: bool = True) -> None:
-        """One end goes; the other hears of it behind what is still under way, or never without `reset`."""
+        """Closes one end; the other is closed behind the data in flight, or not at all without `reset`."""
         if not self.open[node]:
             return
         self.open[node] = False
         if node.alive and node.life == self.lives[node]:
-            node.stream_over(self)
+            node.stream_closed(self)
         if reset:
-            other = self.ends[node]
-            self.carry(other, self.close, other, False)
+            peer = self.peers[node]
+            self.enqueue(peer, self.close, peer, False)
 
 
 class Datagrams:
-    """Messages on their own: lost, doubled and out of order by the weather; a cut loses them."""
+    """Unconnected messages: can be lost, duplicated and reordered; a cut drops them."""
 
     def __init__(self, network: Network) -> None:
         self.network = network
 
     def send(self, sender: Node, to: Node, call: Callable[..., None], *args: Any) -> None:
-        """Calls at the receiver, if it runs by then and the message comes: perhaps not, perhaps twice."""
+        """Schedules a call at the receiver for each copy that arrives: none, one or two.
+
+        It is dropped if the receiver was restarted meanwhile.
+        """
         network, weather = self.network, self.network.weather
-        chance = network.chances(sender.name, to.name)
+        chance = network.chance_of(sender.name, to.name)
         copies = 1
         if not network.calm:
             drawn = chance.random()
             copies = 0 if drawn < weather.lost else 2 if drawn < weather.lost + weather.doubled else 1
         for _ in range(copies):
-            arrival = network.arrival(sender.name, to.name)
+            arrival = network.arrival_time(sender.name, to.name)
             if weather.reordered and not network.calm and chance.random() < weather.reordered:
                 arrival += weather.most * chance.random()
             network.kernel.at(arrival, self.arrive, sender.name, to, to.life, call, args)
@@ -169,5 +182,6 @@
     def arrive(
         self, sender: str, to: Node, life: int, call: Callable[..., None], args: tuple[Any, ...]
     ) -> None:
+        """Makes the call of a message that arrives, unless the link is cut or the receiver restarted."""
         if not self.network.is_cut(sender, to.name) and to.life == life:
             to.after(0.0, call, *args)
--- a/embersill/world/shrink.py
+++ b/embersill/world/shrink.py
@@ -15,7 +15,6 @@
 
 from embersill.world.schedules import Schedule, Step
 
-
 Item = TypeVar("Item")
 
 
--- a/tests/world/test_kernel.py
+++ b/tests/world/test_kernel.py
@@ -1,4 +1,4 @@
-"""The kernel, its clocks and links: order, names for chance, lives, pauses; and the same trace each time."""
+"""The kernel, its clocks and links: event order, named random streams, lives, pauses, reproducible traces."""
 
 from __future__ import annotations
 
@@ -10,164 +10,164 @@
 
 from embersill.lab.levels.generate import generate
 from embersill.lab.levels.world import World
-from embersill.world.kernel import Kernel, Node, Overrun
+from embersill.world.kernel import EventLimitExceeded, Kernel, Node
 from embersill.world.network import Datagrams, Network, Stream, Weather
 from embersill.world.records import Fault
 from embersill.world.trace import Trace, first_difference
 
-STILL = Weather(least=0.01, most=0.01)
+CONSTANT_LATENCY = Weather(least=0.01, most=0.01)
 
 
-class Talker(Node):
-    """A node that notes what it is sent."""
+class RecordingNode(Node):
+    """A node that records the data that it receives."""
 
     def __init__(self, kernel: Kernel, name: str) -> None:
         super().__init__(kernel, name)
-        self.heard: list[tuple[float, bytes]] = []
-        self.overs = 0
+        self.received: list[tuple[float, bytes]] = []
+        self.closed_count = 0
         self.begin_life(0.0, 0.0)
 
     def stream_data(self, stream: Stream, data: bytes) -> None:
-        self.heard.append((round(self.kernel.now, 6), data))
+        self.received.append((round(self.kernel.now, 6), data))
 
-    def stream_over(self, stream: Stream) -> None:
-        self.overs += 1
+    def stream_closed(self, stream: Stream) -> None:
+        self.closed_count += 1
 
 
-def pair(weather: Weather = STILL) -> tuple[Kernel, Network, Talker, Talker, Stream]:
+def pair(weather: Weather = CONSTANT_LATENCY) -> tuple[Kernel, Network, RecordingNode, RecordingNode, Stream]:
     kernel = Kernel(1)
     network = Network(kernel, weather)
-    one, other = Talker(kernel, "a"), Talker(kernel, "b")
-    return kernel, network, one, other, Stream(network, one, other)
+    node_a, node_b = RecordingNode(kernel, "a"), RecordingNode(kernel, "b")
+    return kernel, network, node_a, node_b, Stream(network, node_a, node_b)
 
 
-def test_what_is_set_for_one_time_comes_in_order() -> None:
-    kernel, came = Kernel(1), list[str]()
-    kernel.at(1.0, came.append, "second")
-    kernel.at(0.5, came.append, "first")
-    kernel.at(1.0, came.append, "third")
-    kernel.first_at(1.0, came.append, "ahead")
+def test_calls_for_the_same_time_run_in_order() -> None:
+    kernel, calls = Kernel(1), list[str]()
+    kernel.at(1.0, calls.append, "second")
+    kernel.at(0.5, calls.append, "first")
+    kernel.at(1.0, calls.append, "third")
+    kernel.first_at(1.0, calls.append, "ahead")
     kernel.run(2.0)
-    assert came == ["first", "ahead", "second", "third"]
+    assert calls == ["first", "ahead", "second", "third"]
     assert kernel.now == 2.0
 
 
-def test_a_source_of_chance_is_its_own() -> None:
-    one, other = Kernel(7), Kernel(7)
-    other.stream("else").random()
-    assert one.stream("x").random() == other.stream("x").random()
-    assert one.stream("x").random() != Kernel(8).stream("x").random()
+def test_random_streams_are_independent() -> None:
+    first, second = Kernel(7), Kernel(7)
+    second.stream("else").random()
+    assert first.stream("x").random() == second.stream("x").random()
+    assert first.stream("x").random() != Kernel(8).stream("x").random()
 
 
-def test_a_world_without_end_is_stopped() -> None:
-    kernel = Kernel(1, most_events=100)
+def test_an_endless_run_is_stopped() -> None:
+    kernel = Kernel(1, max_events=100)
 
     def again() -> None:
         kernel.at(kernel.now, again)
 
     again()
-    with pytest.raises(Overrun):
+    with pytest.raises(EventLimitExceeded):
         kernel.run(1.0)
 
 
-def test_a_pause_holds_timers_and_a_death_drops_them() -> None:
-    kernel, came = Kernel(1), list[tuple[str, float]]()
-    node = Talker(kernel, "n")
-    node.after(0.1, lambda: came.append(("timer", kernel.now)))
+def test_a_pause_delays_timers_and_a_kill_drops_them() -> None:
+    kernel, calls = Kernel(1), list[tuple[str, float]]()
+    node = RecordingNode(kernel, "n")
+    node.after(0.1, lambda: calls.append(("timer", kernel.now)))
     node.pause(1.0)
     kernel.run(2.0)
-    assert came == [("timer", 1.0)]
-    node.after(0.1, lambda: came.append(("never", kernel.now)))
+    assert calls == [("timer", 1.0)]
+    node.after(0.1, lambda: calls.append(("never", kernel.now)))
     node.alive = False
     kernel.run(3.0)
-    assert len(came) == 1
+    assert len(calls) == 1
 
 
-def test_clocks_drift_jump_and_stand_still() -> None:
+def test_clocks_drift_jump_and_are_suspended() -> None:
     kernel = Kernel(1)
     node = Node(kernel, "n")
     node.begin_life(0.1, 50.0)
     kernel.run(10.0)
     assert node.clock() == pytest.approx(61.0)
-    assert node.local(12.0) == pytest.approx(63.2)
+    assert node.local_time(12.0) == pytest.approx(63.2)
     node.clocks.jump(-3600.0)
     assert node.clocks.wall() < 0 < node.clock()
-    node.clocks.stand_still(2.0)
+    node.clocks.suspend(2.0)
     assert node.clock() == pytest.approx(58.8)
 
 
-def test_a_stream_keeps_order_over_cuts_and_holds() -> None:
-    kernel, network, one, other, stream = pair()
-    stream.send(one, b"1")
+def test_a_stream_keeps_order_across_cuts_and_holds() -> None:
+    kernel, network, node_a, node_b, stream = pair()
+    stream.send(node_a, b"1")
     network.cut_for("a", "b", 0.5)
-    stream.send(one, b"2")
-    stream.send(other, b"back")  # a cut in one direction only
+    stream.send(node_a, b"2")
+    stream.send(node_b, b"back")  # the cut affects one direction only
     kernel.run(0.3)
-    assert [data for _, data in one.heard] == [b"back"] and other.heard == []
+    assert [data for _, data in node_a.received] == [b"back"] and node_b.received == []
     kernel.run(1.0)
-    assert [data for _, data in other.heard] == [b"1", b"2"]
+    assert [data for _, data in node_b.received] == [b"1", b"2"]
     network.hold_for("a", "b", 1.0)
-    stream.send(one, b"3")
+    stream.send(node_a, b"3")
     kernel.run(1.9)
-    assert len(other.heard) == 2
+    assert len(node_b.received) == 2
     kernel.run(2.1)
-    assert other.heard[2][1] == b"3"
+    assert node_b.received[2][1] == b"3"
 
 
-def test_nothing_overtakes_what_a_cut_put_off() -> None:
-    kernel, network, one, other, stream = pair()
+def test_no_chunk_overtakes_one_that_a_cut_delayed() -> None:
+    kernel, network, node_a, node_b, stream = pair()
     network.cut_for("a", "b", 0.03)
     for number in range(20):
-        kernel.at(number * 0.005, stream.send, one, bytes([number]))
+        kernel.at(number * 0.005, stream.send, node_a, bytes([number]))
     kernel.run(0.02)
     kernel.at(0.04, network.heal)
     kernel.run(1.0)
-    assert [data[0] for _, data in other.heard] == list(range(20))
+    assert [data[0] for _, data in node_b.received] == list(range(20))
 
 
-def test_a_half_open_end_goes_on_alone() -> None:
-    kernel, _, one, other, stream = pair()
-    stream.send(one, b"last")
-    stream.close(one, reset=False)
-    stream.send(other, b"into nothing")
+def test_a_half_open_connection_stays_open_at_one_end() -> None:
+    kernel, _, node_a, node_b, stream = pair()
+    stream.send(node_a, b"last")
+    stream.close(node_a, reset=False)
+    stream.send(node_b, b"into nothing")
     kernel.run(1.0)
-    assert (one.overs, other.overs) == (1, 0)
-    assert other.heard and not one.heard
-    stream.close(other)
-    assert other.overs == 1
+    assert (node_a.closed_count, node_b.closed_count) == (1, 0)
+    assert node_b.received and not node_a.received
+    stream.close(node_b)
+    assert node_b.closed_count == 1
 
 
-def test_who_was_paused_may_read_ahead_of_its_timers() -> None:
+def test_a_node_can_read_ahead_of_its_timers_after_a_pause() -> None:
     for first, expected in ((True, ["read", "timer"]), (False, ["timer", "read"])):
-        kernel, _, one, other, stream = pair()
-        came: list[str] = []
-        other.stream_data = lambda stream, data, came=came: came.append("read")  # type: ignore[method-assign,misc]
-        other.after(0.005, came.append, "timer")
-        other.reads_first = first
-        other.pause(1.0)
-        stream.send(one, b"x")
+        kernel, _, node_a, node_b, stream = pair()
+        calls: list[str] = []
+        node_b.stream_data = lambda stream, data, calls=calls: calls.append("read")  # type: ignore[method-assign,misc]
+        node_b.after(0.005, calls.append, "timer")
+        node_b.reads_first = first
+        node_b.pause(1.0)
+        stream.send(node_a, b"x")
         kernel.run(2.0)
-        assert came == expected
+        assert calls == expected
 
 
-def test_datagrams_are_lost_doubled_and_out_of_order() -> None:
+def test_datagrams_are_lost_duplicated_and_reordered() -> None:
     kernel = Kernel(3)
     network = Network(kernel, Weather(lost=0.2, doubled=0.2, reordered=0.5))
-    one, other = Talker(kernel, "a"), Talker(kernel, "b")
+    node_a, node_b = RecordingNode(kernel, "a"), RecordingNode(kernel, "b")
     got: list[int] = []
     datagrams = Datagrams(network)
     for number in range(200):
-        kernel.at(number * 0.001, datagrams.send, one, other, got.append, number)
+        kernel.at(number * 0.001, datagrams.send, node_a, node_b, got.append, number)
     kernel.run(5.0)
     assert len(set(got)) < 200 and len(got) > len(set(got)) and got != sorted(got)
     network.cut_for("a", "b", 1.0)
     before = len(got)
-    datagrams.send(one, other, got.append, 1000)
+    datagrams.send(node_a, node_b, got.append, 1000)
     kernel.run(10.0)
-    assert len(got) == before  # a datagram does not wait for the end of a cut
+    assert len(got) == before  # datagrams are lost in a cut, not delayed
 
 
-def test_an_aimed_fault_waits_for_its_moment() -> None:
+def test_watchers_are_called_for_their_moment_only() -> None:
     kernel, met = Kernel(1), list[dict[str, str]]()
     kernel.watch("sent Grant", met.append)
     kernel.moment("sent Echo", sender="f0")
@@ -175,15 +175,15 @@
     assert met == [{"sender": "p0"}]
 
 
-def test_traces_that_differ_are_told_apart() -> None:
-    one, other = Trace(), Trace()
-    for trace in (one, other):
+def test_different_traces_have_different_digests() -> None:
+    first, second = Trace(), Trace()
+    for trace in (first, second):
         trace.add(Fault(0.5, "kill", "p0", 0.1))
-    assert one.digest() == other.digest()
-    other.add(Fault(0.6, "kill", "p1", 0.1))
-    assert one.digest() != other.digest()
-    assert "p1" in first_difference(list(one.lines()), list(other.lines()))
-    assert first_difference(list(one.lines()), list(one.lines())) == ""
+    assert first.digest() == second.digest()
+    second.add(Fault(0.6, "kill", "p1", 0.1))
+    assert first.digest() != second.digest()
+    assert "p1" in first_difference(list(first.lines()), list(second.lines()))
+    assert first_difference(list(first.lines()), list(first.lines())) == ""
 
 
 def digest(seed: int) -> str:
@@ -192,11 +192,11 @@
     return trace.digest()
 
 
-def test_a_seed_has_one_trace_whatever_the_hash_seed() -> None:
-    """In new processes: nothing of the machine, the time or the order of sets may leak in."""
+def test_a_seed_has_the_same_trace_with_any_hash_seed() -> None:
+    """Run in new processes: the trace may not depend on the machine, the time or the order of sets."""
     digests = set()
     for hash_seed in ("0", "4711"):
-        ran = subprocess.run(
+        result = subprocess.run(
             [
                 sys.executable,
                 "-c",
@@ -207,6 +207,6 @@
             text=True,
             check=True,
         )
-        digests.add(ran.stdout)
+        digests.add(result.stdout)
     digests.add(f"{digest(7)} {digest(31)}\n")
     assert len(digests) == 1
