--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -23,7 +23,7 @@
 from embersill.rig.playing import COUNCIL, RULES, Play, shape_of
 from embersill.rig.scenarios import DrawnTable, Scenario, ShapeTable
 from embersill.rig.standins import Behaviour
-from embersill.world.oracles import Rules, judge
+from embersill.world.oracles import Rules, first_violation
 
 RELAYED = ("@planner>@planner", "@planner>billing", "@forwarder>@planner")
 KILL_EVERY = 5.0
@@ -112,7 +112,9 @@
     told["faults"] = player.counts.total() + told.get("kills", 0)
     told["fault_kinds"] = dict(player.counts)
     told["units_served"] = sum(asked.units for asked in books.tries.values() if asked.sent)
-    broken = judge(sorted(books.records, key=lambda r: r[0]), Rules(books.rule_terms(), lambda c: c))
+    broken = first_violation(
+        sorted(books.records, key=lambda r: r[0]), Rules(books.rule_terms(), lambda c: c)
+    )
     told["rule_breaches"] = sum(int(figures[rule]) for rule in RULES) + (broken is not None)
     told["bad_ends"] = figures["bad_ends"]
     return told
--- a/embersill/lab/levels/nodes.py
+++ b/embersill/lab/levels/nodes.py
@@ -36,7 +36,14 @@
 from embersill.tiers.wire import BatchSequence, FrameReader, pack
 from embersill.world.kernel import Node
 from embersill.world.network import Stream
-from embersill.world.records import Answered, Asked, Dropped, Ended, Told, Written
+from embersill.world.records import (
+    AttemptFinished,
+    BackendNotified,
+    RequestAnswered,
+    RequestDropped,
+    RequestReceived,
+    Written,
+)
 
 if TYPE_CHECKING:
     from embersill.lab.levels.world import World
@@ -113,7 +120,7 @@
 
     def note(self, backend: Backend) -> None:
         serving = backend.status is Status.SERVING
-        self.world.trace.add(Told(self.kernel.now, self.name, backend.address, serving))
+        self.world.trace.add(BackendNotified(self.kernel.now, self.name, backend.address, serving))
 
     def stream_data(self, stream: Stream, data: bytes) -> None:
         assert isinstance(stream, Wire)
@@ -300,7 +307,7 @@
         self.wires = {}
         for pending in self.pending.values():
             if not pending.over:
-                self.world.trace.add(Dropped(self.kernel.now, pending.number))
+                self.world.trace.add(RequestDropped(self.kernel.now, pending.number))
 
     def stop(self) -> None:
         """The last words of an orderly stop, once nothing is open."""
@@ -414,7 +421,9 @@
         request = Request(number, klass, plan, customer, self.clock() + budget - EARLY, units, 2, 0, False)
         pending = self.pending[number] = Pending(number, request, fates)
         self.world.trace.add(
-            Asked(now, number, klass, plan, customer, units, self.name, now + budget * (1 + MAX_CLOCK_DRIFT))
+            RequestReceived(
+                now, number, klass, plan, customer, units, self.name, now + budget * (1 + MAX_CLOCK_DRIFT)
+            )
         )
         self.after(budget - GUARD, self.rescue, pending)
         self.post(request)
@@ -502,7 +511,9 @@
             outcome = NEVER
         attempt.outcome = outcome
         unrun = outcome.never_ran or not attempt.written
-        self.world.trace.add(Ended(self.kernel.now, pending.number, attempt.place, outcome.value, unrun))
+        self.world.trace.add(
+            AttemptFinished(self.kernel.now, pending.number, attempt.place, outcome.value, unrun)
+        )
         if outcome is Outcome.SERVED and not pending.over:
             self.finish(pending, "served")
         self.post(
@@ -522,7 +533,7 @@
     def finish(self, pending: Pending, how: str) -> None:
         pending.over = True
         self.world.counts[how] += 1
-        self.world.trace.add(Answered(self.kernel.now, pending.number, how))
+        self.world.trace.add(RequestAnswered(self.kernel.now, pending.number, how))
         for attempt in pending.attempts:
             if attempt.outcome is None and not attempt.written:
                 self.ended(pending, attempt, Outcome.NOT_SENT)
--- a/embersill/lab/levels/search.py
+++ b/embersill/lab/levels/search.py
@@ -33,7 +33,15 @@
 from embersill.tiers.terms import Terms
 from embersill.world import search as searching
 from embersill.world.oracles import Rules
-from embersill.world.records import Answered, Asked, Credit, Ended, Held, Told, Written
+from embersill.world.records import (
+    AttemptFinished,
+    BackendNotified,
+    CreditsBelieved,
+    RequestAnswered,
+    RequestReceived,
+    SharesHeld,
+    Written,
+)
 
 TERMS = Terms(bequest=0.95, gather=0.0)
 STEP = 0.3  # seconds that go by at once: more than a silence, less than a lease
@@ -262,8 +270,8 @@
         self.left.requests -= 1
         self.asked += 1
         self.open[self.asked] = name
-        self.rules.see(
-            Asked(self.now, self.asked, "extract", "pro", CUSTOMER, UNITS, name, self.now + LASTING)
+        self.rules.check(
+            RequestReceived(self.now, self.asked, "extract", "pro", CUSTOMER, UNITS, name, self.now + LASTING)
         )
         request = Request(self.asked, "extract", "pro", CUSTOMER, self.now + LASTING, UNITS, 2, 0, False)
         self.did(name, self.forwarders[name].handle(request, self.now))
@@ -273,7 +281,7 @@
         key = int(number), int(place)
         forwarder, backend = self.out.pop(key)
         outcome = Outcome.SERVED if how == "served" else Outcome.BROKEN
-        self.rules.see(Ended(self.now, key[0], key[1], outcome.value, outcome.never_ran))
+        self.rules.check(AttemptFinished(self.now, key[0], key[1], outcome.value, outcome.never_ran))
         over = key[0] not in self.open
         if outcome is Outcome.SERVED and not over:
             over = True
@@ -335,7 +343,7 @@
 
     def do_drain(self, name: str) -> None:
         self.left.drains -= 1
-        self.rules.see(Told(self.now, name, "b0", False))
+        self.rules.check(BackendNotified(self.now, name, "b0", False))
         event = self.listed(Status.DRAINING, ListKind.CHANGES)
         if name in self.planners:
             self.planners[name].list_told(event, self.now)
@@ -371,17 +379,21 @@
             self.tries[action.request] = place + 1
             self.out[action.request, place] = name, action.backend
             deciders = (name, decider) if decider else (name,)
-            self.rules.see(Written(self.now, action.request, place, action.backend, action.backend, deciders))
+            self.rules.check(
+                Written(self.now, action.request, place, action.backend, action.backend, deciders)
+            )
         elif isinstance(action, Refuse | Fail) and action.request in self.open:
             self.answered(action.request, "refused" if isinstance(action, Refuse) else "failed")
         elif isinstance(action, Cancel):
             found = self.out.pop((action.request, action.attempt), None)
             if found is not None:
-                self.rules.see(Ended(self.now, action.request, action.attempt, "cancelled", False))
+                self.rules.check(
+                    AttemptFinished(self.now, action.request, action.attempt, "cancelled", False)
+                )
 
     def answered(self, number: int, how: str) -> None:
         del self.open[number]
-        self.rules.see(Answered(self.now, number, how))
+        self.rules.check(RequestAnswered(self.now, number, how))
 
     # what the rules look at
 
@@ -409,8 +421,8 @@
             if throttle is not None and (part.holder is None or throttle.queue):
                 left = max(left, throttle.filled((throttle.cap, throttle.stamp), self.now))
             beliefs.append((name, left))
-        self.rules.see(Held(self.now, 0, tuple((f, tuple(u)) for f, u in sorted(users.items()))))
-        self.rules.see(Credit(self.now, CUSTOMER, tuple(beliefs)))
+        self.rules.check(SharesHeld(self.now, 0, tuple((f, tuple(u)) for f, u in sorted(users.items()))))
+        self.rules.check(CreditsBelieved(self.now, CUSTOMER, tuple(beliefs)))
 
 
 def make(bounds: Bounds) -> Small:
--- a/embersill/lab/levels/shorten.py
+++ b/embersill/lab/levels/shorten.py
@@ -5,7 +5,18 @@
 from embersill.lab.levels.world import World, play
 from embersill.lab.shortening import breaks_in, end_of, shrinker_of
 from embersill.world.oracles import Broken
-from embersill.world.records import Answered, Asked, Credit, Ended, Fault, Held, Record, Said, Told, Written
+from embersill.world.records import (
+    AttemptFinished,
+    BackendNotified,
+    CreditsBelieved,
+    Fault,
+    MessageLogged,
+    Record,
+    RequestAnswered,
+    RequestReceived,
+    SharesHeld,
+    Written,
+)
 from embersill.world.schedules import Kept, Schedule
 from embersill.world.trace import Trace
 
@@ -61,12 +72,12 @@
     if isinstance(record, Fault):
         took = f" for {record.seconds:g} s" if record.seconds else ""
         text = f"{record.what} {record.who}{took}"
-    elif isinstance(record, Said):
+    elif isinstance(record, MessageLogged):
         if record.kind not in MOVES:
             return ""
         verb = "says" if record.phase == "sent" else "has said"
         text = f"{record.sender} {verb} {record.kind} to {record.receiver}"
-    elif isinstance(record, Asked):
+    elif isinstance(record, RequestReceived):
         text = (
             f"request {record.request} ({record.klass}, {record.customer}, {record.units:g} units) "
             f"comes to {record.front}"
@@ -76,17 +87,17 @@
             f"attempt {record.attempt} of request {record.request} reaches {record.backend}, "
             f"by {' and '.join(record.deciders)}"
         )
-    elif isinstance(record, Ended):
+    elif isinstance(record, AttemptFinished):
         text = f"attempt {record.attempt} of request {record.request} ends: {record.outcome}"
-    elif isinstance(record, Answered):
+    elif isinstance(record, RequestAnswered):
         text = f"request {record.request} is {record.how}"
-    elif isinstance(record, Told) and not record.serving:
+    elif isinstance(record, BackendNotified) and not record.serving:
         text = f"{record.process} hears that {record.backend} drains or is gone"
-    elif isinstance(record, Held) and any(len(users) > 1 for _, users in record.users):
+    elif isinstance(record, SharesHeld) and any(len(users) > 1 for _, users in record.users):
         text = f"shares of part {record.part}: " + "; ".join(
             f"{lender} to {' and '.join(users)}" for lender, users in record.users
         )
-    elif isinstance(record, Credit) and sum(units > 0 for _, units in record.beliefs) > 1:
+    elif isinstance(record, CreditsBelieved) and sum(units > 0 for _, units in record.beliefs) > 1:
         text = f"credit of {record.customer}: " + ", ".join(f"{n} {u:.1f}" for n, u in record.beliefs)
     else:
         return ""
--- a/embersill/lab/levels/world.py
+++ b/embersill/lab/levels/world.py
@@ -19,7 +19,7 @@
 from embersill.world.kernel import Kernel
 from embersill.world.network import Network, Stream, Weather
 from embersill.world.oracles import Broken, Ceiling, ClassTerms, Rules, RuleTerms
-from embersill.world.records import Credit, Fault, Held, Said, Started
+from embersill.world.records import BackendStarted, CreditsBelieved, Fault, MessageLogged, SharesHeld
 from embersill.world.schedules import Schedule, Step
 from embersill.world.swarm import Coverage
 from embersill.world.trace import Trace
@@ -68,7 +68,7 @@
         self.settings = settings_for(shape)
         self.plans = {p.name: p for p in self.settings.plans}
         self.rules = Rules(rule_terms(self.settings), plan_of)
-        self.trace.listeners.append(self.rules.see)
+        self.trace.listeners.append(self.rules.check)
         self.backends = {
             f"b{n}": Backend(f"b{n}", "z", "k", n % 2, Status.SERVING, 1.0, None)
             for n in range(shape.get("backends", 4))
@@ -104,7 +104,7 @@
             moment = MOMENTS[phase, type(message)]
             if self.trace.keep:
                 kind = type(message).__name__
-                self.trace.add(Said(self.kernel.now, phase, kind, sender.name, receiver.name))
+                self.trace.add(MessageLogged(self.kernel.now, phase, kind, sender.name, receiver.name))
             if moment in watched:
                 self.kernel.moment(
                     moment, sender=sender.name, receiver=receiver.name, backend=backend_of(message)
@@ -171,7 +171,7 @@
                 users.setdefault(node.name, []).append(f"{node.name}.{node.life}")
             if users:
                 told = tuple((lender, tuple(by)) for lender, by in users.items())
-                self.trace.add(Held(self.kernel.now, number, told))
+                self.trace.add(SharesHeld(self.kernel.now, number, told))
 
     def look_again(self) -> None:
         self.look()
@@ -202,7 +202,7 @@
             if throttle is not None and (node.core.parts[number].holder is None or throttle.queue):
                 left = max(left, throttle.filled((throttle.cap, throttle.stamp), node.clock()))
             beliefs.append((f"{node.name}.{node.life}", left))
-        self.trace.add(Credit(self.kernel.now, customer, tuple(beliefs)))
+        self.trace.add(CreditsBelieved(self.kernel.now, customer, tuple(beliefs)))
 
     # steps
 
@@ -348,7 +348,7 @@
         self.down.discard(who)
         now = self.kernel.now
         self.backends[who] = replace(self.backends[who], started=now)
-        self.trace.add(Started(now, who, self.shape.get("capacity", 20.0)))
+        self.trace.add(BackendStarted(now, who, self.shape.get("capacity", 20.0)))
         self.change(who, Status.SERVING, step)
 
     def change(self, who: str, status: Status, step: Step) -> None:
@@ -384,7 +384,7 @@
                 wait += 0.1
             if why:
                 raise Broken("all heals", self.kernel.now, why)
-            self.rules.end(self.kernel.now)
+            self.rules.finish(self.kernel.now)
         except (Broken, ValueError):
             raise
         except Exception as error:  # a core that falls over has broken a rule of its own
--- a/embersill/rig/books.py
+++ b/embersill/rig/books.py
@@ -10,8 +10,15 @@
 from embersill.rig.settings import RULE_WORDS
 from embersill.rig.standins import Arrival
 from embersill.world.oracles import Ceiling, ClassTerms, RuleTerms
-from embersill.world.records import Answered, Dropped, Ended, Record, Told, Written
-from embersill.world.records import Asked as Asked_
+from embersill.world.records import (
+    AttemptFinished,
+    BackendNotified,
+    Record,
+    RequestAnswered,
+    RequestDropped,
+    RequestReceived,
+    Written,
+)
 
 SLACK_TIME = 0.15  # seconds of a ceiling's rate that its slack is wider by on sockets
 GRACE = 0.55  # seconds after it was told that a drain must be kept, with the sockets' 50 ms
@@ -112,11 +119,11 @@
 
     def drains(self, backend: str, now: float) -> None:
         self.drained[backend] = now
-        self.note(Told(now, ALL, backend, False))
+        self.note(BackendNotified(now, ALL, backend, False))
 
     def serves(self, backend: str, now: float) -> None:
         self.drained.pop(backend, None)
-        self.note(Told(now, ALL, backend, True))
+        self.note(BackendNotified(now, ALL, backend, True))
 
     def breach(self, rule: str, text: str) -> None:
         self.counts[rule] += 1
@@ -130,7 +137,7 @@
         self.tries[asked.call_id] = asked
         number = self.numbers[asked.call_id] = len(self.numbers) + 1
         self.note(
-            Asked_(
+            RequestReceived(
                 asked.at, number, asked.klass, asked.plan, asked.customer, asked.units, asked.front, asked.end
             )
         )
@@ -138,7 +145,7 @@
     def answered(self, asked: Asked, status: int, body: bytes, now: float) -> None:
         asked.answers += 1
         how = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
-        self.note(Answered(now, self.numbers[asked.call_id], how))
+        self.note(RequestAnswered(now, self.numbers[asked.call_id], how))
         if asked.answers > 1:
             return self.breach("answers_two", asked.call_id)
         if status == 200:
@@ -171,7 +178,7 @@
             return
         asked.answers = 1
         if asked.lost_with:
-            self.note(Dropped(asked.at, self.numbers[asked.call_id]))
+            self.note(RequestDropped(asked.at, self.numbers[asked.call_id]))
             self.counts["with_a_killed_front"] += 1
         else:
             self.breach("answers_none", f"{asked.call_id} {asked.klass} at {asked.front}")
@@ -190,7 +197,7 @@
         asked.written += 1
         group = str(self.cells.get(arrival.backend, 0))
         self.note(Written(arrival.first_byte, number, place, arrival.backend, group, (ALL,)))
-        self.note(Ended(arrival.whole, number, place, "", not runs))
+        self.note(AttemptFinished(arrival.whole, number, place, "", not runs))
         if not asked.sent:
             asked.sent = True
             self.on_first(asked, arrival.whole)
--- a/embersill/rig/playing.py
+++ b/embersill/rig/playing.py
@@ -16,7 +16,7 @@
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.scenarios import WAY_VERBS, FaultTable, Scenario, planned
 from embersill.rig.standins import Behaviour
-from embersill.world.oracles import Rules, judge
+from embersill.world.oracles import Rules, first_violation
 from embersill.world.records import Fault
 
 RULES = (
@@ -100,7 +100,7 @@
     def told(self, codes: dict[str, int]) -> dict[str, Any]:
         books = self.deployment.books
         rules = Rules(books.rule_terms(), lambda customer: customer)
-        broken = judge(sorted(books.records, key=lambda record: record[0]), rules)
+        broken = first_violation(sorted(books.records, key=lambda record: record[0]), rules)
         told: dict[str, Any] = dict(books.figures())
         told["served_share"] = round(told["served"] / max(told["tries"], 1), 4)
         told["faults"] = dict(self.counts)
--- a/embersill/world/oracles.py
+++ b/embersill/world/oracles.py
@@ -1,7 +1,7 @@
-"""The rules, as small checkers over a trace that know nothing of the code under test. No I/O.
+"""Test oracles: one small checker per rule, over a trace and independent of the code under test. No I/O.
 
-Each takes records one by one and raises Broken with the rule's name. `Rules` has them all. They can be run
-over the trace of a world as it goes on, or over records that real processes' clients and backends wrote.
+Each checker takes records one by one and raises Broken with the rule's name; `Rules` combines them. They run
+on the trace of a simulation while it progresses, or on records of the clients and backends of real processes.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 from typing import Any
 
 from embersill.world.records import (
-    Answered,
-    Asked,
-    Credit,
-    Dropped,
-    Ended,
+    AttemptFinished,
+    BackendNotified,
+    BackendStarted,
+    CreditsBelieved,
     Fault,
-    Held,
     Record,
-    Started,
-    Told,
+    RequestAnswered,
+    RequestDropped,
+    RequestReceived,
+    SharesHeld,
     Written,
 )
 
-EPS = 1e-9
+TIME_TOLERANCE_S = 1e-9
 
 
 class Broken(Exception):
-    """A rule was broken: which (`rule`), when, and in words."""
+    """A rule was violated: its name (`rule`), the time (`at`) and a description (`text`)."""
 
     def __init__(self, rule: str, at: float, text: str) -> None:
         super().__init__(f"{rule}, at {at:.3f} s: {text}")
@@ -39,16 +39,19 @@
 
 @dataclass(frozen=True)
 class ClassTerms:
-    """What a class of requests allows: `repeats` is safe, by key or once; `memory` in seconds."""
+    """When requests of a class may be repeated.
+
+    `repeats` is "safe", "by key" or "once"; `memory`: seconds for which backends remember a key.
+    """
 
     repeats: str
     memory: float = 0.0
-    grouped: bool = True  # a keyed repeat is dropped only within the group of its first attempt
+    grouped: bool = True  # backends recognize a repeated key only within the group of the first attempt
 
 
 @dataclass(frozen=True)
 class Ceiling:
-    """A token bucket: units a second, units at once, and by how many units a level may be below nought."""
+    """A token bucket: units per second, burst in units, and by how many units the level may be below zero."""
 
     rate: float
     depth: float
@@ -57,218 +60,246 @@
 
 @dataclass(frozen=True)
 class RuleTerms:
-    """All figures that the rules need."""
+    """Parameters of all rules."""
 
     classes: dict[str, ClassTerms]
     ceilings: dict[str, Ceiling]  # by plan
     max_attempts: int = 5
     second_copies: bool = False
     drain_grace: float = 0.5
-    late_by: float = 0.0  # seconds past a request's end that an answer may come
-    cold_from: float = 0.19  # part of its capacity with which a backend starts
-    warm_within: float = 16.0
-    fall_multiple: float = 3.0
-    overload_for: float = 3.0
+    late_by: float = 0.0  # seconds after a request's end within which an answer is accepted
+    cold_from: float = 0.19  # fraction of its capacity that a backend has at its start
+    warm_within: float = 16.0  # seconds
+    fall_multiple: float = 3.0  # multiple of its current capacity that overloads a backend
+    overload_for: float = 3.0  # seconds of such load
 
 
 class OneAnswer:
-    """No request is lost: one final answer a try, in time."""
+    """No request is lost: each gets exactly one final answer, in time."""
 
     def __init__(self, terms: RuleTerms) -> None:
         self.terms = terms
-        self.open: dict[int, Asked] = {}
+        self.open: dict[int, RequestReceived] = {}
         self.answered: set[int] = set()
-        self.stood_until: dict[str, float] = {}  # fronts that were made to stand still
+        self.paused_until: dict[str, float] = {}  # by front
 
-    def asked(self, record: Asked) -> None:
+    def on_received(self, record: RequestReceived) -> None:
+        """Opens a request."""
         self.open[record.request] = record
 
-    def gave(self, record: Answered) -> None:
-        asked = self.open.pop(record.request, None)
-        if asked is None:
-            what = "two answers" if record.request in self.answered else "an answer and was not asked"
+    def on_answered(self, record: RequestAnswered) -> None:
+        """Checks that the request is open and not past its end."""
+        request = self.open.pop(record.request, None)
+        if request is None:
+            what = "two answers" if record.request in self.answered else "an answer but was never received"
             raise Broken("one answer", record.at, f"request {record.request} has {what}")
         self.answered.add(record.request)
-        stood = self.stood_until.get(asked.front, -math.inf) >= asked.at  # who stands still can't answer
-        if record.at > asked.end + self.terms.late_by + EPS and not stood:
+        # a paused front can't answer
+        paused = self.paused_until.get(request.front, -math.inf) >= request.at
+        if record.at > request.end + self.terms.late_by + TIME_TOLERANCE_S and not paused:
             raise Broken(
                 "one answer",
                 record.at,
-                f"request {record.request} is answered {record.at - asked.end:.3f} s late",
+                f"request {record.request} is answered {record.at - request.end:.3f} s late",
             )
 
-    def dropped(self, record: Dropped) -> None:
+    def on_dropped(self, record: RequestDropped) -> None:
+        """Closes a request that needs no answer any more."""
         self.open.pop(record.request, None)
 
-    def fault(self, record: Fault) -> None:
+    def on_fault(self, record: Fault) -> None:
+        """Notes pauses, which excuse late answers."""
         if record.what == "pause":
             until = record.at + record.seconds
-            self.stood_until[record.who] = max(self.stood_until.get(record.who, until), until)
+            self.paused_until[record.who] = max(self.paused_until.get(record.who, until), until)
 
-    def end(self, at: float) -> None:
+    def finish(self, at: float) -> None:
+        """Checks that no request is open at the end of the trace."""
         for number in self.open:
             raise Broken("one answer", at, f"request {number} has no answer")
 
 
 @dataclass
-class Tried:
+class RequestAttempts:
+    """The attempts of one request so far."""
+
     klass: str
-    # attempts: number: (when written, group, never ran (None while out))
-    runs: dict[int, list[Any]] = field(default_factory=dict)
+    # by number: time when written, group, whether it never ran (None while the outcome is unknown)
+    attempts: dict[int, list[Any]] = field(default_factory=dict)
 
 
 class NoSecondEffect:
-    """No effect happens twice, and a refusal tells the truth."""
+    """No request takes effect twice, and none is refused that may have taken effect."""
 
     def __init__(self, terms: RuleTerms) -> None:
         self.terms = terms
-        self.tried: dict[int, Tried] = {}
-
-    def asked(self, record: Asked) -> None:
-        self.tried[record.request] = Tried(record.klass)
-
-    def written(self, record: Written) -> None:
-        tried = self.tried.get(record.request)
-        if tried is None:
-            raise Broken("no second effect", record.at, f"request {record.request} was not asked")
-        klass = self.terms.classes[tried.klass]
-        which = f"request {record.request} of {tried.klass}"
-        if record.attempt in tried.runs:
-            raise Broken("no second effect", record.at, f"{which}: attempt {record.attempt} goes out twice")
-        if len(tried.runs) >= self.terms.max_attempts:
+        self.requests: dict[int, RequestAttempts] = {}
+
+    def on_received(self, record: RequestReceived) -> None:
+        """Notes the request's class."""
+        self.requests[record.request] = RequestAttempts(record.klass)
+
+    def on_written(self, record: Written) -> None:
+        """Checks that this attempt can't cause a second effect."""
+        request = self.requests.get(record.request)
+        if request is None:
+            raise Broken("no second effect", record.at, f"request {record.request} was never received")
+        klass = self.terms.classes[request.klass]
+        which = f"request {record.request} of {request.klass}"
+        if record.attempt in request.attempts:
+            raise Broken("no second effect", record.at, f"{which}: attempt {record.attempt} is sent twice")
+        if len(request.attempts) >= self.terms.max_attempts:
             raise Broken("no second effect", record.at, f"{which} has too many attempts")
-        if not self.terms.second_copies and any(run[2] is None for run in tried.runs.values()):
-            raise Broken("no second effect", record.at, f"{which} has two attempts out")
-        risky = [run for run in tried.runs.values() if not run[2]]
-        if risky and klass.repeats == "once":
-            raise Broken("no second effect", record.at, f"{which} goes out again, though it may have run")
-        if risky and klass.repeats == "by key":
-            if klass.grouped and any(run[1] != record.group for run in risky):
-                raise Broken("no second effect", record.at, f"{which} goes to another group")
-            if record.at - min(run[0] for run in risky) > klass.memory:
-                raise Broken("no second effect", record.at, f"{which} goes out after its key is forgotten")
-        tried.runs[record.attempt] = [record.at, record.group, None]
-
-    def ended(self, record: Ended) -> None:
-        tried = self.tried.get(record.request)
-        if tried is not None and record.attempt in tried.runs:
-            tried.runs[record.attempt][2] = record.never_ran
-
-    def gave(self, record: Answered) -> None:
-        tried = self.tried.get(record.request)
-        if tried is None or record.how != "refused":
+        if not self.terms.second_copies and any(attempt[2] is None for attempt in request.attempts.values()):
+            raise Broken("no second effect", record.at, f"{which} has two attempts in flight")
+        maybe_executed = [attempt for attempt in request.attempts.values() if not attempt[2]]
+        if maybe_executed and klass.repeats == "once":
+            raise Broken(
+                "no second effect", record.at, f"{which} is sent again, though it may have been executed"
+            )
+        if maybe_executed and klass.repeats == "by key":
+            if klass.grouped and any(attempt[1] != record.group for attempt in maybe_executed):
+                raise Broken("no second effect", record.at, f"{which} is sent to another group")
+            if record.at - min(attempt[0] for attempt in maybe_executed) > klass.memory:
+                raise Broken(
+                    "no second effect", record.at, f"{which} is sent after the backends forgot its key"
+                )
+        request.attempts[record.attempt] = [record.at, record.group, None]
+
+    def on_finished(self, record: AttemptFinished) -> None:
+        """Notes whether the attempt was executed."""
+        request = self.requests.get(record.request)
+        if request is not None and record.attempt in request.attempts:
+            request.attempts[record.attempt][2] = record.never_ran
+
+    def on_answered(self, record: RequestAnswered) -> None:
+        """Checks that a refused request was not executed."""
+        request = self.requests.get(record.request)
+        if request is None or record.how != "refused":
             return
-        if self.terms.classes[tried.klass].repeats == "safe":
+        if self.terms.classes[request.klass].repeats == "safe":
             return
-        if any(not run[2] for run in tried.runs.values()):
+        if any(not attempt[2] for attempt in request.attempts.values()):
             raise Broken(
                 "honest refusals",
                 record.at,
-                f"request {record.request} of {tried.klass} is refused, though it may have run",
+                f"request {record.request} of {request.klass} is refused, though it may have been executed",
             )
 
 
-class DrainsKept:
-    """Nothing new to a backend later than the grace after whoever sent it there was told."""
+class DrainGraceRespected:
+    """No attempt is sent to a draining backend later than the grace period after its sender was notified."""
 
     def __init__(self, terms: RuleTerms) -> None:
         self.terms = terms
-        self.told: dict[tuple[str, str], float] = {}
+        self.draining_since: dict[tuple[str, str], float] = {}  # by process and backend
 
-    def hears(self, record: Told) -> None:
+    def on_notified(self, record: BackendNotified) -> None:
+        """Notes since when a process knows that a backend drains."""
         key = record.process, record.backend
         if record.serving:
-            self.told.pop(key, None)
+            self.draining_since.pop(key, None)
         else:
-            self.told.setdefault(key, record.at)
+            self.draining_since.setdefault(key, record.at)
 
-    def written(self, record: Written) -> None:
+    def on_written(self, record: Written) -> None:
+        """Checks the time since each decider was notified."""
         for process in record.deciders:
-            told = self.told.get((process, record.backend))
-            if told is not None and record.at > told + self.terms.drain_grace + EPS:
+            since = self.draining_since.get((process, record.backend))
+            if since is not None and record.at > since + self.terms.drain_grace + TIME_TOLERANCE_S:
                 raise Broken(
                     "drains kept",
                     record.at,
-                    f"{record.backend} gets request {record.request} {record.at - told:.3f} s after "
-                    f"{process} was told that it drains",
+                    f"{record.backend} gets request {record.request} {record.at - since:.3f} s after "
+                    f"{process} was notified that it drains",
                 )
 
 
-class ColdKept:
-    """No cold backend gets, over a span, more than a multiple of what it can do in it."""
+class ColdBackendsProtected:
+    """No cold backend gets more than a multiple of its current capacity within a time window."""
 
     def __init__(self, terms: RuleTerms) -> None:
         self.terms = terms
+        # by backend: time of its start, capacity, times of recent attempts
         self.cold: dict[str, tuple[float, float, deque[float]]] = {}
 
-    def started(self, record: Started) -> None:
+    def on_started(self, record: BackendStarted) -> None:
+        """Begins to watch a backend."""
         self.cold[record.backend] = record.at, record.capacity, deque()
 
-    def written(self, record: Written) -> None:
+    def on_written(self, record: Written) -> None:
+        """Counts the attempts in the window that ends now."""
         known = self.cold.get(record.backend)
         if known is None:
             return
-        since, capacity, came = known
+        started_at, capacity, arrivals = known
         terms = self.terms
-        came.append(record.at)
-        begin = record.at - terms.overload_for
-        while came[0] < begin:
-            came.popleft()
-        if begin < since:
+        arrivals.append(record.at)
+        window_start = record.at - terms.overload_for
+        while arrivals[0] < window_start:
+            arrivals.popleft()
+        if window_start < started_at:
             return
-        if begin - since > terms.warm_within:
+        if window_start - started_at > terms.warm_within:
             del self.cold[record.backend]
             return
-        middle = min((begin + record.at) / 2 - since, terms.warm_within)
-        part = terms.cold_from + (1.0 - terms.cold_from) * middle / terms.warm_within
-        most = terms.fall_multiple * part * capacity * terms.overload_for
-        if len(came) > most + math.sqrt(most):
+        age = min((window_start + record.at) / 2 - started_at, terms.warm_within)  # mid-window
+        warmth = terms.cold_from + (1.0 - terms.cold_from) * age / terms.warm_within
+        overload = terms.fall_multiple * warmth * capacity * terms.overload_for
+        if len(arrivals) > overload + math.sqrt(overload):
             raise Broken(
                 "cold backends kept",
                 record.at,
-                f"{record.backend} gets {len(came)} in {terms.overload_for:g} s, where "
-                f"{most:.1f} push it over",
+                f"{record.backend} gets {len(arrivals)} requests in {terms.overload_for:g} s, where "
+                f"{overload:.1f} overload it",
             )
 
 
-class CeilingsKept:
-    """What all pass on for a customer stays within its bucket; a try takes with its first attempt."""
+class CeilingsRespected:
+    """A customer's requests stay within its token bucket; a request is charged at its first attempt."""
 
     def __init__(self, terms: RuleTerms) -> None:
         self.terms = terms
-        self.asks: dict[int, Asked] = {}
-        self.levels: dict[str, tuple[float, float]] = {}  # customer: level, when
+        self.uncharged: dict[int, RequestReceived] = {}
+        self.levels: dict[str, tuple[float, float]] = {}  # by customer: level, time of it
         self.lowest = math.inf
 
-    def asked(self, record: Asked) -> None:
+    def on_received(self, record: RequestReceived) -> None:
+        """Notes a request whose plan has a ceiling."""
         if record.plan in self.terms.ceilings:
-            self.asks[record.request] = record
+            self.uncharged[record.request] = record
 
     def level(self, customer: str, ceiling: Ceiling, at: float) -> float:
+        """Returns the level of a customer's bucket, in units."""
         level, when = self.levels.get(customer, (ceiling.depth, at))
         return min(ceiling.depth, level + ceiling.rate * (at - when))
 
-    def written(self, record: Written) -> None:
-        asked = self.asks.pop(record.request, None)  # with its first attempt only
-        if asked is None:
+    def on_written(self, record: Written) -> None:
+        """Charges a request at its first attempt and checks the level."""
+        request = self.uncharged.pop(record.request, None)
+        if request is None:
             return
-        ceiling = self.terms.ceilings[asked.plan]
-        level = self.level(asked.customer, ceiling, record.at) - asked.units
-        self.levels[asked.customer] = level, record.at
+        ceiling = self.terms.ceilings[request.plan]
+        level = self.level(request.customer, ceiling, record.at) - request.units
+        self.levels[request.customer] = level, record.at
         self.lowest = min(self.lowest, level)
         if level < -ceiling.slack:
             raise Broken(
-                "ceilings kept", record.at, f"{asked.customer} is {-level:.2f} units over its ceiling"
+                "ceilings kept", record.at, f"{request.customer} is {-level:.2f} units over its ceiling"
             )
 
 
 class CreditsConserved:
-    """All that processes take to be left of a ceiling is there: credit moves, it is never doubled."""
+    """The processes together never believe more to be left of a ceiling than there is.
+
+    Credit moves between processes; it is never duplicated.
+    """
 
-    def __init__(self, terms: RuleTerms, plan_of: Callable[[str], str], ceilings: CeilingsKept) -> None:
+    def __init__(self, terms: RuleTerms, plan_of: Callable[[str], str], ceilings: CeilingsRespected) -> None:
         self.terms, self.plan_of, self.ceilings = terms, plan_of, ceilings
 
-    def credit(self, record: Credit) -> None:
+    def on_credits(self, record: CreditsBelieved) -> None:
+        """Checks the sum of all beliefs."""
         ceiling = self.terms.ceilings[self.plan_of(record.customer)]
         left = self.ceilings.level(record.customer, ceiling, record.at)
         believed = sum(max(units, 0.0) for _, units in record.beliefs)
@@ -277,14 +308,15 @@
             raise Broken(
                 "credits conserved",
                 record.at,
-                f"{left:.2f} units are left to {record.customer}, and believed to be: {who}",
+                f"{left:.2f} units are left to {record.customer}, but processes believe: {who}",
             )
 
 
 class OneHolder:
-    """A share of a part's ceilings has one user at a time."""
+    """A share of a part's ceilings has at most one user at a time."""
 
-    def held(self, record: Held) -> None:
+    def on_held(self, record: SharesHeld) -> None:
+        """Checks the users of each share."""
         for lender, users in record.users:
             if len(users) > 1:
                 raise Broken(
@@ -295,44 +327,48 @@
 
 
 class Rules:
-    """All checkers, fed record by record."""
+    """All checkers together, fed record by record."""
 
     def __init__(self, terms: RuleTerms, plan_of: Callable[[str], str] = lambda customer: customer) -> None:
         self.answers = OneAnswer(terms)
-        effects, drains, cold = NoSecondEffect(terms), DrainsKept(terms), ColdKept(terms)
-        self.ceilings = CeilingsKept(terms)
+        effects, drains, cold = (
+            NoSecondEffect(terms),
+            DrainGraceRespected(terms),
+            ColdBackendsProtected(terms),
+        )
+        self.ceilings = CeilingsRespected(terms)
         credits, holders = CreditsConserved(terms, plan_of, self.ceilings), OneHolder()
-        self.checks: dict[type, tuple[Callable[[Any], None], ...]] = {
-            Asked: (self.answers.asked, effects.asked, self.ceilings.asked),
-            Answered: (effects.gave, self.answers.gave),
-            Dropped: (self.answers.dropped,),
-            Fault: (self.answers.fault,),
-            Told: (drains.hears,),
-            Started: (cold.started,),
-            Written: (effects.written, drains.written, cold.written, self.ceilings.written),
-            Ended: (effects.ended,),
-            Credit: (credits.credit,),
-            Held: (holders.held,),
+        self.checkers: dict[type, tuple[Callable[[Any], None], ...]] = {
+            RequestReceived: (self.answers.on_received, effects.on_received, self.ceilings.on_received),
+            RequestAnswered: (effects.on_answered, self.answers.on_answered),
+            RequestDropped: (self.answers.on_dropped,),
+            Fault: (self.answers.on_fault,),
+            BackendNotified: (drains.on_notified,),
+            BackendStarted: (cold.on_started,),
+            Written: (effects.on_written, drains.on_written, cold.on_written, self.ceilings.on_written),
+            AttemptFinished: (effects.on_finished,),
+            CreditsBelieved: (credits.on_credits,),
+            SharesHeld: (holders.on_held,),
         }
 
-    def see(self, record: Record) -> None:
-        """Broken for a record with which a rule is broken."""
-        for check in self.checks.get(type(record), ()):
-            check(record)
+    def check(self, record: Record) -> None:
+        """Hands a record to its checkers; raises Broken if it violates a rule."""
+        for checker in self.checkers.get(type(record), ()):
+            checker(record)
 
-    def end(self, at: float) -> None:
-        """No more records come: Broken for what is still owed."""
-        self.answers.end(at)
+    def finish(self, at: float) -> None:
+        """Ends the trace; raises Broken if a request is still without an answer."""
+        self.answers.finish(at)
 
 
-def judge(records: Iterable[Record], rules: Rules) -> Broken | None:
-    """The first rule that a whole trace breaks; None if it breaks none."""
+def first_violation(records: Iterable[Record], rules: Rules) -> Broken | None:
+    """Checks a complete trace and returns the first violation, or None."""
     at = 0.0
     try:
         for record in records:
-            rules.see(record)
+            rules.check(record)
             at = record.at
-        rules.end(at)
+        rules.finish(at)
     except Broken as broken:
         return broken
     return None
--- a/embersill/world/records.py
+++ b/embersill/world/records.py
@@ -1,8 +1,10 @@
-"""What a trace is made of: one tuple a step, with names that any front and any world can fill in.
+"""Record types of a trace: one named tuple per event, independent of the code under test.
 
-They say what was seen from outside (clients, backends, who was told what), not what any code thought of it;
-the few that tell of shares and credits are what a world reads off its processes, at moments of its choosing.
-Times are the world's, in seconds.
+Records state what can be observed from outside (by clients and backends, and who was notified of what), not
+what the code under test assumed. The exceptions are SharesHeld and CreditsBelieved: a simulation reads them
+from the state of its processes at times of its choosing. `at` is the simulated time in seconds.
+
+A front is the process that accepts a client's request: a gateway, or a forwarder of the two-level gateway.
 """
 
 from __future__ import annotations
@@ -10,8 +12,8 @@
 from typing import NamedTuple
 
 
-class Asked(NamedTuple):
-    """A client's try has been taken by a front, which owes it one answer before `end`."""
+class RequestReceived(NamedTuple):
+    """A front accepted a client's request, which it has to answer exactly once, before `end`."""
 
     at: float
     request: int
@@ -23,23 +25,23 @@
     end: float
 
 
-class Answered(NamedTuple):
-    """`how` is served, refused or failed."""
+class RequestAnswered(NamedTuple):
+    """A front answered a request; `how` is served, refused or failed."""
 
     at: float
     request: int
     how: str
 
 
-class Dropped(NamedTuple):
-    """The front was killed with it: it is the client's to ask again."""
+class RequestDropped(NamedTuple):
+    """The front was killed while it had the request; repeating it is up to the client."""
 
     at: float
     request: int
 
 
-class Told(NamedTuple):
-    """A process has been told of a backend: `serving` or not (it drains or is gone)."""
+class BackendNotified(NamedTuple):
+    """A process was notified whether a backend serves; otherwise the backend drains or is gone."""
 
     at: float
     process: str
@@ -47,8 +49,8 @@
     serving: bool
 
 
-class Started(NamedTuple):
-    """A backend comes up cold. `capacity`: requests a second that it can do once it is warm."""
+class BackendStarted(NamedTuple):
+    """A backend started cold. `capacity`: requests per second that it can handle once it is warm."""
 
     at: float
     backend: str
@@ -56,7 +58,7 @@
 
 
 class Written(NamedTuple):
-    """An attempt's last byte has come whole to a backend. `deciders`: the processes that sent it there."""
+    """A backend received an attempt completely. `deciders`: the processes that chose the backend."""
 
     at: float
     request: int
@@ -66,8 +68,8 @@
     deciders: tuple[str, ...]
 
 
-class Ended(NamedTuple):
-    """An attempt's outcome is known at its front; `never_ran` if that proves that it has not run."""
+class AttemptFinished(NamedTuple):
+    """A front learned an attempt's outcome; `never_ran`: the outcome proves that it was not executed."""
 
     at: float
     request: int
@@ -76,24 +78,24 @@
     never_ran: bool
 
 
-class Held(NamedTuple):
-    """Who may use which shares of a part's ceilings now: (lender, users), for lenders that have users."""
+class SharesHeld(NamedTuple):
+    """Users of the shares of a part's ceilings: (lender, users), for lenders whose share has users."""
 
     at: float
     part: int
     users: tuple[tuple[str, tuple[str, ...]], ...]
 
 
-class Credit(NamedTuple):
-    """What each process takes to be left of a customer's ceiling, in units."""
+class CreditsBelieved(NamedTuple):
+    """What each process believes to be left of a customer's ceiling: (process, units)."""
 
     at: float
     customer: str
     beliefs: tuple[tuple[str, float], ...]
 
 
-class Said(NamedTuple):
-    """A message goes out (`phase` sent) or is worked off (`phase` got)."""
+class MessageLogged(NamedTuple):
+    """A message was sent (`phase` sent) or processed (`phase` got)."""
 
     at: float
     phase: str
@@ -103,7 +105,7 @@
 
 
 class Fault(NamedTuple):
-    """The world does something to its processes or links."""
+    """The simulation injected a fault into a process or a link."""
 
     at: float
     what: str
@@ -111,4 +113,16 @@
     seconds: float
 
 
-Record = Asked | Answered | Dropped | Told | Started | Written | Ended | Held | Credit | Said | Fault
+Record = (
+    RequestReceived
+    | RequestAnswered
+    | RequestDropped
+    | BackendNotified
+    | BackendStarted
+    | Written
+    | AttemptFinished
+    | SharesHeld
+    | CreditsBelieved
+    | MessageLogged
+    | Fault
+)
--- a/tests/tiers/test_links.py
+++ b/tests/tiers/test_links.py
@@ -19,7 +19,7 @@
 from embersill.tiers.planner import Planner
 from embersill.tiers.terms import Terms
 from embersill.tiers.wire import ForwarderSide, FrameReader, Secret, length_prefixed, pack
-from embersill.world.oracles import Rules, judge
+from embersill.world.oracles import Rules, first_violation
 from embersill.world.records import Written
 from tests.bed import run
 from tests.peers import SOON
@@ -235,11 +235,11 @@
         # and by the simulation's checkers, on what clients and backends saw
         books = deployment.books
         rules = Rules(books.rule_terms(), lambda customer: customer)
-        assert judge(sorted(books.records, key=lambda record: record[0]), rules) is None
+        assert first_violation(sorted(books.records, key=lambda record: record[0]), rules) is None
         assert rules.ceilings.lowest < 48.0 and len(books.records) > 1000
         runs = [record for record in books.records if isinstance(record, Written)]
         again = runs[-1]._replace(attempt=99, at=runs[-1].at + 9.0)
-        assert judge([*books.records, again, again], Rules(books.rule_terms())) is not None
+        assert first_violation([*books.records, again, again], Rules(books.rule_terms())) is not None
         assert told["served"] > 0.8 * told["tries"]  # type: ignore[operator]
         assert not list(deployment.logs())
 
