--- a/embersill/lab/council/model.py
+++ b/embersill/lab/council/model.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from embersill.rig.billing import StandInBilling
-from embersill.world.disk import Disk, Stored
+from embersill.world.disk import Disk, StoredFile
 from embersill.world.oracles import Broken
 
 
@@ -16,7 +16,7 @@
 
     def __init__(self, disk: Disk, token: Callable[[], int]) -> None:
         self.disk, self.token = disk, token
-        self.tokens: dict[Stored, int] = {}
+        self.tokens: dict[StoredFile, int] = {}
         self.ill = ""  # a file that takes nothing
 
     def read(self, name: str) -> bytes | None:
@@ -27,10 +27,10 @@
 
     def create(self, name: str) -> None:
         self.disk.create(name)
-        self.tokens[self.disk.names[name]] = self.token()
+        self.tokens[self.disk.files[name]] = self.token()
 
     def identity(self, name: str) -> str:
-        return str(self.tokens.get(self.disk.names[name], 0))
+        return str(self.tokens.get(self.disk.files[name], 0))
 
     def append(self, name: str, data: bytes) -> None:
         if self.ill and name.startswith(self.ill):
@@ -48,19 +48,19 @@
         self.disk.fsync_folder()
 
     def copied(self) -> dict[str, bytes]:
-        return {name: self.disk.read(name) for name in self.disk.names_now()}
+        return {name: self.disk.read(name) for name in self.disk.list_names()}
 
     def put_back(self, files: dict[str, bytes]) -> None:
         """In place of all that is there: files that have the same in them, and are others."""
-        ill, self.disk.fails = self.disk.fails, None  # somebody does that by hand
-        for name in self.disk.names_now():
+        ill, self.disk.error = self.disk.error, None  # somebody does that by hand
+        for name in self.disk.list_names():
             self.disk.remove(name)
         for name, content in files.items():
             self.create(name)
             self.disk.append(name, content)
             self.disk.fsync(name)
         self.disk.fsync_folder()
-        self.disk.fails = ill
+        self.disk.error = ill
 
 
 @dataclass(slots=True)
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -608,11 +608,11 @@
         if "only" in step.args:
             node.files.ill = step.args["only"]
         else:
-            node.disk.fails = OSError(errno.ENOSPC, "no space left on the disk")
+            node.disk.error = OSError(errno.ENOSPC, "no space left on the disk")
         self.kernel.at(self.kernel.now + step.seconds, self.mended, node)
 
     def mended(self, node: MemberNode) -> None:
-        node.disk.fails, node.files.ill = None, ""
+        node.disk.error, node.files.ill = None, ""
         if node.alive and node.desk.broken:  # somebody has made room, and starts it again
             self.die(node)
             self.revive(node)
--- a/embersill/world/disk.py
+++ b/embersill/world/disk.py
@@ -1,13 +1,14 @@
-"""A disk whose crashes are as bad as real ones: for code that keeps state. No I/O.
+"""A simulated disk with realistic crashes, for testing code that persists state. No I/O.
 
-What a POSIX file system promises, and no more (Pillai et al. 2014, "All File Systems Are Not Created Equal"):
+It guarantees what a POSIX file system does and no more (Pillai et al. 2014, "All File Systems Are Not Created
+Equal"):
 
-- `write` reaches a file only for readers; after a crash any subset of the sectors written since the last
-  `fsync` may be there, the others hold what was there before, and a file that grew may be shorter or have
-  zeros where nothing came. One sector may be torn: its first bytes new, its last old.
-- `fsync` makes a file's content safe; on a disk that lies (`lies`) it may not have.
-- a name, made or renamed, is safe once its folder is synced (`fsync_folder`); before that a crash may undo
-  it. `rename` is whole: after a crash the name has the old file or the new one.
+- `write` is visible to readers at once; after a crash any subset of the sectors written since the last
+  `fsync` may be present, the others have their previous content, and a file that grew may be shorter or
+  contain zeros where nothing was written. One sector may be torn: its first bytes new, the rest old.
+- `fsync` makes a file's content durable, unless the disk ignores it (`ignores_fsync`).
+- a directory entry, created or renamed, is durable once its directory is synced (`fsync_folder`); before
+  that a crash may undo it. `rename` is atomic: after a crash the name refers to the old file or the new one.
 - a full disk writes what fits and raises OSError(ENOSPC).
 """
 
@@ -16,128 +17,137 @@
 import errno
 import random
 
-SECTOR = 512  # bytes that reach the medium whole, but for one that is torn
+SECTOR_BYTES = 512  # written atomically, except for the one sector that a crash can tear
 
 
-class Stored:
-    """One file: its content as readers see it, and as it surely stands on the medium."""
+class StoredFile:
+    """One file: its content as readers see it, and as it is durable on the medium."""
 
     def __init__(self) -> None:
         self.content = bytearray()
-        self.safe = b""
+        self.durable = b""
         self.dirty: set[int] = set()  # sectors written since the last sync
 
 
 class Disk:
-    """One machine's files, by name in one folder.
+    """The files of one machine, in a single directory.
 
-    `crash` gives what a next life finds. `capacity` in bytes over all files; None is without bound.
+    `crash` leaves the state that the process finds after a restart. `capacity`: limit in bytes over all
+    files; None is unlimited.
     """
 
     def __init__(self, chance: random.Random, capacity: int | None = None) -> None:
         self.chance, self.capacity = chance, capacity
-        self.lies = False  # fsync says that it did and did not
-        self.fails: OSError | None = None  # raised by writes and syncs while it is set: a failing disk
-        self.names: dict[str, Stored] = {}
-        self.safe_names: dict[str, Stored] = {}
+        self.ignores_fsync = False  # fsync reports success without effect
+        self.error: OSError | None = None  # raised by writes and syncs while it is set: a failing disk
+        self.files: dict[str, StoredFile] = {}  # by name
+        self.durable_files: dict[str, StoredFile] = {}  # the directory as it is durable on the medium
         self.counts = {"writes": 0, "bytes": 0, "syncs": 0, "crashes": 0, "torn": 0}
 
-    def used(self) -> int:
-        return sum(len(file.content) for file in self.names.values())
+    def used_bytes(self) -> int:
+        """Returns the total size of all files."""
+        return sum(len(file.content) for file in self.files.values())
 
-    def names_now(self) -> list[str]:
-        return sorted(self.names)
+    def list_names(self) -> list[str]:
+        """Returns the names of all files, sorted."""
+        return sorted(self.files)
 
     def create(self, name: str) -> None:
-        """An empty file under that name, in place of one that had it."""
-        self.names[name] = Stored()
+        """Creates an empty file, replacing one of the same name."""
+        self.files[name] = StoredFile()
 
     def read(self, name: str) -> bytes:
-        """FileNotFoundError for a name that there is not."""
-        if name not in self.names:
+        """Returns a file's content; raises FileNotFoundError if there is no such file."""
+        if name not in self.files:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
-        return bytes(self.names[name].content)
+        return bytes(self.files[name].content)
 
     def write(self, name: str, at: int, data: bytes) -> None:
-        """OSError if the disk fails; ENOSPC once it is full, with what fits written."""
-        if self.fails is not None:
-            raise self.fails
-        file = self.names[name]
-        grows = max(0, at + len(data) - len(file.content))
-        room = grows if self.capacity is None else max(0, self.capacity - self.used())
-        fits = data[: len(data) - grows + min(grows, room)]
+        """Writes at an offset; a full disk writes what fits and raises OSError(ENOSPC)."""
+        if self.error is not None:
+            raise self.error
+        file = self.files[name]
+        growth = max(0, at + len(data) - len(file.content))
+        free = growth if self.capacity is None else max(0, self.capacity - self.used_bytes())
+        written = data[: len(data) - growth + min(growth, free)]
         if len(file.content) < at:
             file.content.extend(bytes(at - len(file.content)))
-        file.content[at : at + len(fits)] = fits
-        if fits:
-            file.dirty.update(range(at // SECTOR, (at + len(fits) - 1) // SECTOR + 1))
+        file.content[at : at + len(written)] = written
+        if written:
+            file.dirty.update(range(at // SECTOR_BYTES, (at + len(written) - 1) // SECTOR_BYTES + 1))
         self.counts["writes"] += 1
-        self.counts["bytes"] += len(fits)
-        if len(fits) < len(data):
+        self.counts["bytes"] += len(written)
+        if len(written) < len(data):
             raise OSError(errno.ENOSPC, "no space left on the disk", name)
 
     def append(self, name: str, data: bytes) -> None:
-        self.write(name, len(self.names[name].content), data)
+        """Writes at the end of a file."""
+        self.write(name, len(self.files[name].content), data)
 
     def truncate(self, name: str, size: int) -> None:
-        file = self.names[name]
-        old = len(file.content)
+        """Cuts a file to `size` bytes."""
+        file = self.files[name]
+        old_size = len(file.content)
         del file.content[size:]
-        file.dirty.update(range(size // SECTOR, old // SECTOR + 1))
+        file.dirty.update(range(size // SECTOR_BYTES, old_size // SECTOR_BYTES + 1))
 
     def fsync(self, name: str) -> None:
-        if self.fails is not None:
-            raise self.fails
+        """Makes a file's content durable."""
+        if self.error is not None:
+            raise self.error
         self.counts["syncs"] += 1
-        if not self.lies:
-            file = self.names[name]
-            file.safe = bytes(file.content)
+        if not self.ignores_fsync:
+            file = self.files[name]
+            file.durable = bytes(file.content)
             file.dirty.clear()
 
     def fsync_folder(self) -> None:
-        if self.fails is not None:
-            raise self.fails
+        """Makes creations, renames and removals durable."""
+        if self.error is not None:
+            raise self.error
         self.counts["syncs"] += 1
-        if not self.lies:
-            self.safe_names = dict(self.names)
+        if not self.ignores_fsync:
+            self.durable_files = dict(self.files)
 
     def rename(self, old: str, new: str) -> None:
-        self.names[new] = self.names.pop(old)
+        """Renames a file, replacing one of the new name."""
+        self.files[new] = self.files.pop(old)
 
     def remove(self, name: str) -> None:
-        del self.names[name]
+        """Removes a file."""
+        del self.files[name]
 
     def crash(self) -> None:
-        """The machine stops: unsynced names and sectors are there or not, each by chance, one torn."""
+        """Crashes the machine: unsynced names and sectors persist or not at random; one may be torn."""
         self.counts["crashes"] += 1
         chance = self.chance
-        found = dict(self.safe_names)
-        for name in sorted(set(self.names) | set(self.safe_names)):
-            if self.names.get(name) is not self.safe_names.get(name) and chance.random() < 0.5:
-                if name in self.names:
-                    found[name] = self.names[name]
+        surviving = dict(self.durable_files)
+        for name in sorted(set(self.files) | set(self.durable_files)):
+            if self.files.get(name) is not self.durable_files.get(name) and chance.random() < 0.5:
+                if name in self.files:
+                    surviving[name] = self.files[name]
                 else:
-                    found.pop(name)
-        for file in {id(f): f for _, f in sorted(found.items())}.values():
-            self.settle(file)
-        self.names, self.safe_names = found, dict(found)
+                    surviving.pop(name)
+        for file in {id(f): f for _, f in sorted(surviving.items())}.values():
+            self.crash_file(file)
+        self.files, self.durable_files = surviving, dict(surviving)
 
-    def settle(self, file: Stored) -> None:
-        """Which of a file's unsynced sectors came to the medium."""
+    def crash_file(self, file: StoredFile) -> None:
+        """Draws which of a file's unsynced sectors reached the medium."""
         chance = self.chance
         dirty = sorted(file.dirty)
-        came = [sector for sector in dirty if chance.random() < 0.5]
+        persisted = [sector for sector in dirty if chance.random() < 0.5]
         torn = chance.choice(dirty) if dirty and chance.random() < 0.5 else -1
-        # a size is metadata: the old one, the new one, or one between where the file grew
-        sizes = [len(file.safe), len(file.content)]
+        # the size is metadata: the old one, the new one, or one in between
+        sizes = [len(file.durable), len(file.content)]
         size = chance.choice((*sizes, chance.randint(min(sizes), max(sizes))))
-        medium = bytearray(file.safe.ljust(size, b"\0")[:size])
-        for sector in {*came, torn} - {-1}:
-            begin, end = sector * SECTOR, min((sector + 1) * SECTOR, len(file.content), size)
+        medium = bytearray(file.durable.ljust(size, b"\0")[:size])
+        for sector in {*persisted, torn} - {-1}:
+            begin, end = sector * SECTOR_BYTES, min((sector + 1) * SECTOR_BYTES, len(file.content), size)
             if sector == torn and end > begin:
                 self.counts["torn"] += 1
                 end = begin + chance.randint(0, end - begin)
             if end > begin:
                 medium[begin:end] = file.content[begin:end]
-        file.content, file.safe = medium, bytes(medium)
+        file.content, file.durable = medium, bytes(medium)
         file.dirty.clear()
--- a/embersill/world/histories.py
+++ b/embersill/world/histories.py
@@ -1,8 +1,9 @@
-"""Whether a history of reads and writes of one register is linearizable. It knows no code. No I/O.
+"""Linearizability checker for histories of reads and writes of a single register. No I/O.
 
-The search of Wing and Gong (1993, "Testing and Verifying Concurrent Objects") with the memory of Lowe (2017,
-"Testing for Linearizability"): operations that no other one precedes in real time are tried in turn, and a
-set of done operations with a value is not searched twice. Every write has a value of its own.
+It is the search of Wing and Gong (1993, "Testing and Verifying Concurrent Objects") with the memoization of
+Lowe (2017, "Testing for Linearizability"): it tries each operation that no other one precedes in real time,
+and visits a combination of completed operations and register value only once. It is independent of the code
+under test. Every write must have a unique value.
 """
 
 from __future__ import annotations
@@ -10,47 +11,48 @@
 import math
 from dataclasses import dataclass
 
-MOST_OPEN = 24  # operations that overlap at a time: beyond it a history is cut, not judged
+MAX_CONCURRENT_OPS = 24  # overlapping operations; a history that exceeds this is truncated, not checked
 
 
 @dataclass(frozen=True, slots=True)
 class Op:
-    """One operation, by the world's clock.
+    """One operation; times are simulated or measured seconds.
 
-    A read that ended returns `found`. A write that ended put `value` in the place of `found`. One whose end
-    is unknown (`ended` infinite, `sure` False) may have taken effect at any time after it began, or never.
+    A completed read returned `found`. A completed write replaced `found` by `value` (compare and set). An
+    operation without a known end (`ended` infinite, `sure` False) may take effect at any time after it began,
+    or never.
     """
 
     began: float
     ended: float
     found: str | None
-    value: str | None = None  # of a write
+    value: str | None = None  # None for a read
     sure: bool = True
 
 
 def is_linearizable(ops: list[Op]) -> bool:
-    """True if there is an order of all sure operations, and of some others, that explains what was
-    returned."""
+    """True if some order of all completed operations and any of the others explains the returned values."""
     ops = sorted(ops, key=lambda op: op.began)
-    # an unsure write whose value nobody ever found may be left out from the start
+    # a write without a known end whose value was never found can be omitted
     found = {op.found for op in ops if op.sure}
     ops = [op for op in ops if op.sure or op.value in found]
     return search(ops)
 
 
 def search(ops: list[Op]) -> bool:
+    """Searches for a linearization; sets of operations are bit masks over the sorted list."""
     count = len(ops)
-    wanted = sum(1 << n for n, op in enumerate(ops) if op.sure)
+    completed = sum(1 << n for n, op in enumerate(ops) if op.sure)
     seen: set[tuple[int, str | None]] = set()
     stack: list[tuple[int, str | None]] = [(0, None)]
     while stack:
         done, value = stack.pop()
-        if done & wanted == wanted:
+        if done & completed == completed:
             return True
         if (done, value) in seen:
             continue
         seen.add((done, value))
-        # whatever is not done and ended first: nothing that began after that end can come before it
+        # earliest end of the remaining operations: one that began later can't be next
         horizon = min((ops[n].ended for n in range(count) if not done >> n & 1), default=math.inf)
         for n in range(count):
             op = ops[n]
--- a/tests/council/test_export.py
+++ b/tests/council/test_export.py
@@ -124,10 +124,10 @@
     files = world_files()
     book = UseBook(Journal(files, "use", "use", "m0"), Tally(10.0))
     book.open("s")
-    files.disk.fails = OSError(28, "no space left on the disk")
+    files.disk.error = OSError(28, "no space left on the disk")
     book.tally.used("c", 2.0, 1.0)
     assert not book.note() and "space" in book.why
-    files.disk.fails = None
+    files.disk.error = None
     assert book.note() and not book.why
     again = UseBook(Journal(files, "use", "use", "m0"), Tally(10.0))
     again.open("another")
