--- a/embersill/emulator/fleet.py
+++ b/embersill/emulator/fleet.py
@@ -138,7 +138,7 @@
 
     def __init__(self, site: Site, requests: list[CustomerRequest], seed: int) -> None:
         self.site, self.requests = site, requests
-        self.kernel = Kernel(seed, most_events=20_000_000)
+        self.kernel = Kernel(seed, max_events=20_000_000)
         self.counter = LimitedCounter(
             self.kernel,
             site.counter_calls_per_s,
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -165,7 +165,7 @@
                 )
         self.flush()
 
-    def local(self, number: int) -> Callable[[Answer], None]:  # type: ignore[override]
+    def local(self, number: int) -> Callable[[Answer], None]:
         def say(answer: Answer) -> None:
             self.answer_came(number, answer)
 
@@ -566,7 +566,7 @@
 
     def do_leave(self, step: Step) -> None:
         node = self.nodes[step.who]
-        if node.alive and node.runs:
+        if node.alive and node.is_running:
             node.leave()
             self.kernel.at(self.kernel.now + 0.3, self.left, node, node.life, step.seconds)
 
@@ -608,11 +608,11 @@
         if "only" in step.args:
             node.files.ill = step.args["only"]
         else:
-            node.disk.fails = OSError(errno.ENOSPC, "no space left on the disk")
+            node.disk.error = OSError(errno.ENOSPC, "no space left on the disk")
         self.kernel.at(self.kernel.now + step.seconds, self.mended, node)
 
     def mended(self, node: MemberNode) -> None:
-        node.disk.fails, node.files.ill = None, ""
+        node.disk.error, node.files.ill = None, ""
         if node.alive and node.desk.broken:  # somebody has made room, and starts it again
             self.die(node)
             self.revive(node)
--- a/embersill/lab/levels/nodes.py
+++ b/embersill/lab/levels/nodes.py
@@ -36,7 +36,14 @@
 from embersill.tiers.wire import BatchSequence, FrameReader, pack
 from embersill.world.kernel import Node
 from embersill.world.network import Stream
-from embersill.world.records import Answered, Asked, Dropped, Ended, Told, Written
+from embersill.world.records import (
+    AttemptFinished,
+    BackendNotified,
+    RequestAnswered,
+    RequestDropped,
+    RequestReceived,
+    Written,
+)
 
 if TYPE_CHECKING:
     from embersill.lab.levels.world import World
@@ -69,8 +76,8 @@
         if self.coded:
             self.send(node, pack(batch))
         elif self.open[node]:
-            to: Any = self.ends[node]
-            self.carry(to, to.batch_came, self, batch)
+            to: Any = self.peers[node]
+            self.enqueue(to, to.batch_came, self, batch)
 
     def read(self, node: Node, data: bytes) -> list[Batch] | None:
         """The batches that are whole now; None after a frame that can't be, which ends the link."""
@@ -95,7 +102,9 @@
 
     def here(self, backend: Backend) -> Backend:
         """An entry of the list with its start by this node's clock."""
-        return backend if backend.started is None else replace(backend, started=self.local(backend.started))
+        return (
+            backend if backend.started is None else replace(backend, started=self.local_time(backend.started))
+        )
 
     def hear_all(self) -> None:
         known = list(self.world.backends.values())
@@ -111,7 +120,7 @@
 
     def note(self, backend: Backend) -> None:
         serving = backend.status is Status.SERVING
-        self.world.trace.add(Told(self.kernel.now, self.name, backend.address, serving))
+        self.world.trace.add(BackendNotified(self.kernel.now, self.name, backend.address, serving))
 
     def stream_data(self, stream: Stream, data: bytes) -> None:
         assert isinstance(stream, Wire)
@@ -180,7 +189,7 @@
         self.wires.append(wire)
         self.flush()
 
-    def stream_over(self, stream: Stream) -> None:
+    def stream_closed(self, stream: Stream) -> None:
         assert isinstance(stream, Wire)
         if stream in self.wires:
             self.wires.remove(stream)
@@ -298,7 +307,7 @@
         self.wires = {}
         for pending in self.pending.values():
             if not pending.over:
-                self.world.trace.add(Dropped(self.kernel.now, pending.number))
+                self.world.trace.add(RequestDropped(self.kernel.now, pending.number))
 
     def stop(self) -> None:
         """The last words of an orderly stop, once nothing is open."""
@@ -313,7 +322,7 @@
     def connected(self, planner: PlannerNode) -> None:
         network = self.world.network
         cut = network.is_cut(self.name, planner.name) or network.is_cut(planner.name, self.name)
-        if cut or not planner.runs or planner.leaving:
+        if cut or not planner.is_running or planner.leaving:
             return self.dial(planner)
         wire = Wire(self.world, self, planner)
         self.wires[planner.name] = wire
@@ -323,7 +332,7 @@
             self.perform(self.core.link_up(planner.name, life, self.clock()))
         return None
 
-    def stream_over(self, stream: Stream) -> None:
+    def stream_closed(self, stream: Stream) -> None:
         assert isinstance(stream, Wire)
         name = stream.planner.name
         if self.wires.get(name) is stream:
@@ -412,7 +421,9 @@
         request = Request(number, klass, plan, customer, self.clock() + budget - EARLY, units, 2, 0, False)
         pending = self.pending[number] = Pending(number, request, fates)
         self.world.trace.add(
-            Asked(now, number, klass, plan, customer, units, self.name, now + budget * (1 + MAX_CLOCK_DRIFT))
+            RequestReceived(
+                now, number, klass, plan, customer, units, self.name, now + budget * (1 + MAX_CLOCK_DRIFT)
+            )
         )
         self.after(budget - GUARD, self.rescue, pending)
         self.post(request)
@@ -457,7 +468,7 @@
         if action.backend not in self.serving:
             return self.ended(pending, attempt, NEVER)
         self.after(until - self.clock(), self.ended, pending, attempt, Outcome.TIMED_OUT)
-        if fate[2] and self.world.kernel.watched:
+        if fate[2] and self.world.kernel.watchers:
             self.world.kernel.moment(
                 "dialling", sender=attempt.decider or self.name, receiver=self.name, backend=action.backend
             )
@@ -500,7 +511,9 @@
             outcome = NEVER
         attempt.outcome = outcome
         unrun = outcome.never_ran or not attempt.written
-        self.world.trace.add(Ended(self.kernel.now, pending.number, attempt.place, outcome.value, unrun))
+        self.world.trace.add(
+            AttemptFinished(self.kernel.now, pending.number, attempt.place, outcome.value, unrun)
+        )
         if outcome is Outcome.SERVED and not pending.over:
             self.finish(pending, "served")
         self.post(
@@ -520,7 +533,7 @@
     def finish(self, pending: Pending, how: str) -> None:
         pending.over = True
         self.world.counts[how] += 1
-        self.world.trace.add(Answered(self.kernel.now, pending.number, how))
+        self.world.trace.add(RequestAnswered(self.kernel.now, pending.number, how))
         for attempt in pending.attempts:
             if attempt.outcome is None and not attempt.written:
                 self.ended(pending, attempt, Outcome.NOT_SENT)
--- a/embersill/lab/levels/world.py
+++ b/embersill/lab/levels/world.py
@@ -19,7 +19,7 @@
 from embersill.world.kernel import Kernel
 from embersill.world.network import Network, Stream, Weather
 from embersill.world.oracles import Broken, Ceiling, ClassTerms, Rules, RuleTerms
-from embersill.world.records import Credit, Fault, Held, Said, Started
+from embersill.world.records import BackendStarted, CreditsBelieved, Fault, MessageLogged, SharesHeld
 from embersill.world.schedules import Schedule, Step
 from embersill.world.swarm import Coverage
 from embersill.world.trace import Trace
@@ -68,7 +68,7 @@
         self.settings = settings_for(shape)
         self.plans = {p.name: p for p in self.settings.plans}
         self.rules = Rules(rule_terms(self.settings), plan_of)
-        self.trace.listeners.append(self.rules.see)
+        self.trace.listeners.append(self.rules.check)
         self.backends = {
             f"b{n}": Backend(f"b{n}", "z", "k", n % 2, Status.SERVING, 1.0, None)
             for n in range(shape.get("backends", 4))
@@ -99,12 +99,12 @@
                 self.coverage.met(type(message).__name__, state)
 
     def said(self, phase: str, sender: Member, receiver: Member, messages: Sequence[AnyMessage]) -> None:
-        watched = self.kernel.watched
+        watched = self.kernel.watchers
         for message in messages:
             moment = MOMENTS[phase, type(message)]
             if self.trace.keep:
                 kind = type(message).__name__
-                self.trace.add(Said(self.kernel.now, phase, kind, sender.name, receiver.name))
+                self.trace.add(MessageLogged(self.kernel.now, phase, kind, sender.name, receiver.name))
             if moment in watched:
                 self.kernel.moment(
                     moment, sender=sender.name, receiver=receiver.name, backend=backend_of(message)
@@ -171,7 +171,7 @@
                 users.setdefault(node.name, []).append(f"{node.name}.{node.life}")
             if users:
                 told = tuple((lender, tuple(by)) for lender, by in users.items())
-                self.trace.add(Held(self.kernel.now, number, told))
+                self.trace.add(SharesHeld(self.kernel.now, number, told))
 
     def look_again(self) -> None:
         self.look()
@@ -202,7 +202,7 @@
             if throttle is not None and (node.core.parts[number].holder is None or throttle.queue):
                 left = max(left, throttle.filled((throttle.cap, throttle.stamp), node.clock()))
             beliefs.append((f"{node.name}.{node.life}", left))
-        self.trace.add(Credit(self.kernel.now, customer, tuple(beliefs)))
+        self.trace.add(CreditsBelieved(self.kernel.now, customer, tuple(beliefs)))
 
     # steps
 
@@ -235,7 +235,7 @@
     def play_ask(self, step: Step, who: str, to: str) -> None:
         node = self.members[who]
         assert isinstance(node, ForwarderNode)
-        if not node.runs or node.retiring:
+        if not node.is_running or node.retiring:
             return
         self.counts["tries"] += 1
         a = step.args
@@ -252,7 +252,7 @@
         """A suspended machine: its clock stands still with it."""
         if who in self.members and self.members[who].alive:
             self.members[who].pause(step.seconds)
-            self.members[who].clocks.stand_still(step.seconds)
+            self.members[who].clocks.suspend(step.seconds)
 
     def play_hold(self, step: Step, who: str, to: str) -> None:
         self.network.hold_for(who, to, step.seconds)
@@ -285,7 +285,7 @@
             streams = one.paths
         elif isinstance(one, ForwarderNode):
             streams = one.wires.values()
-        for stream in [s for s in streams if s.ends[one] is other]:
+        for stream in [s for s in streams if s.peers[one] is other]:
             stream.close(one, reset)
 
     def play_leave(self, step: Step, who: str, to: str) -> None:
@@ -293,7 +293,7 @@
 
     def leave(self, who: str, seconds: float) -> None:
         node = self.members.get(who)
-        if not isinstance(node, PlannerNode) or not node.runs or node.leaving:
+        if not isinstance(node, PlannerNode) or not node.is_running or node.leaving:
             return
         node.leave()
         node.after(0.05, self.look_whether_left, node, self.kernel.now + 2.0, seconds)
@@ -309,7 +309,7 @@
 
     def retire(self, who: str, seconds: float) -> None:
         node = self.members.get(who)
-        if not isinstance(node, ForwarderNode) or not node.runs or node.retiring:
+        if not isinstance(node, ForwarderNode) or not node.is_running or node.retiring:
             return
         node.retiring = True
         self.look_whether_done(node, seconds)
@@ -348,7 +348,7 @@
         self.down.discard(who)
         now = self.kernel.now
         self.backends[who] = replace(self.backends[who], started=now)
-        self.trace.add(Started(now, who, self.shape.get("capacity", 20.0)))
+        self.trace.add(BackendStarted(now, who, self.shape.get("capacity", 20.0)))
         self.change(who, Status.SERVING, step)
 
     def change(self, who: str, status: Status, step: Step) -> None:
@@ -384,7 +384,7 @@
                 wait += 0.1
             if why:
                 raise Broken("all heals", self.kernel.now, why)
-            self.rules.end(self.kernel.now)
+            self.rules.finish(self.kernel.now)
         except (Broken, ValueError):
             raise
         except Exception as error:  # a core that falls over has broken a rule of its own
