--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -20,9 +20,9 @@
 from embersill.rig.billing import BillingBehaviour
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.ownership import Claims, judge_billing, listen, owner_of, wait_booked, wait_owner
-from embersill.rig.playing import COUNCIL, RULES, Play, shape_of
+from embersill.rig.playing import COUNCIL_TABLES, RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, Scenario, ShapeTable
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 from embersill.world.oracles import Rules, first_violation
 
 RELAYED = ("@planner>@planner", "@planner>billing", "@forwarder>@planner")
@@ -60,7 +60,7 @@
     deployment = Deployment(shape_of(made, status_every=0.05))
     if billing is not None:
         deployment.billing.behaviour = billing
-    player = Play(made, deployment)
+    player = ScenarioRun(made, deployment)
     told: dict[str, Any] = {}
     claims: list[Claims] = []
 
@@ -106,14 +106,14 @@
 
     deployment.stop = stop  # type: ignore[method-assign]
     figures = await player.run(meanwhile)
-    books = deployment.books
+    audit = deployment.audit
     told |= judge_billing(deployment.billing)
     told["served_share"] = figures["served_share"]
     told["faults"] = player.counts.total() + told.get("kills", 0)
     told["fault_kinds"] = dict(player.counts)
-    told["units_served"] = sum(asked.units for asked in books.tries.values() if asked.sent)
+    told["units_served"] = sum(asked.units for asked in audit.requests.values() if asked.sent)
     broken = first_violation(
-        sorted(books.records, key=lambda r: r[0]), Rules(books.rule_terms(), lambda c: c)
+        sorted(audit.records, key=lambda r: r[0]), Rules(audit.rule_terms(), lambda c: c)
     )
     told["rule_breaches"] = sum(int(figures[rule]) for rule in RULES) + (broken is not None)
     told["bad_ends"] = figures["bad_ends"]
@@ -130,8 +130,8 @@
             customers=24,
             rate=100.0,
             status_every=0.2,
-            behaviour=Behaviour(0.01, 0.03),
-            council_tables=COUNCIL,
+            behaviour=BackendBehaviour(0.01, 0.03),
+            council_tables=COUNCIL_TABLES,
         )
     )
     try:
@@ -139,7 +139,7 @@
         traffic = asyncio.create_task(deployment.traffic.run(seconds + 12.0))
         await wait_owner(deployment, "probes")
         deployment.backends[0].close()
-        for connection in list(deployment.backends[0].open):
+        for connection in list(deployment.backends[0].connections):
             connection.close()
         async with asyncio.timeout(30.0):
             while not probes_of(deployment):
@@ -166,7 +166,7 @@
         MIX,
         options.seed,
         0.0,
-        BillingBehaviour(silent=0.05, late=0.05, twice=0.05, busy=0.05),
+        BillingBehaviour(unanswered_share=0.05, late_share=0.05, duplicate_share=0.05, busy_share=0.05),
     )
     gaps = sorted(killed["gaps_ms"])
     handovers = [gap for gap in gaps if gap > 20]
--- a/benchmarks/partition.py
+++ b/benchmarks/partition.py
@@ -17,11 +17,11 @@
 import msgspec
 import uvloop
 
-from embersill.rig.causes import Causes
+from embersill.rig.causes import RefusalCauses
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import RULES, Play, shape_of
+from embersill.rig.playing import RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, FaultTable, Scenario, ShapeTable
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 
 RELAYED = ("@forwarder>@planner", "@planner>@planner")
 LINKS = ["@forwarder>@planner"]
@@ -83,12 +83,12 @@
     shape = ShapeTable(FORWARDERS, planners, 0, 6, CUSTOMERS, False, {}, RELAYED)
     made = Scenario(row, seed, seconds, 200.0, 0.0, shape, faults, drawn)
     deployment = Deployment(shape_of(made, status_every=0.1, tell_refusals=True, helpers=2))
-    player = Play(made, deployment)
-    causes: list[Causes] = []
+    player = ScenarioRun(made, deployment)
+    causes: list[RefusalCauses] = []
     last: dict[str, Any] = {}
 
     async def listen(deployment: Deployment) -> None:
-        causes.append(Causes(deployment))
+        causes.append(RefusalCauses(deployment))
         await asyncio.sleep(seconds)
         last.update({name: dict(member.status) for name, member in deployment.members.items()})
 
@@ -115,7 +115,8 @@
 
 def cpu_a_try(deployment: Deployment, tries: float) -> float:
     """Milliseconds of processor time of all processes for each try."""
-    return round(1000 * sum(member.spent for member in deployment.members.values()) / max(tries, 1.0), 3)
+    cpu_s = sum(member.earlier_cpu_s for member in deployment.members.values())
+    return round(1000 * cpu_s / max(tries, 1.0), 3)
 
 
 async def hop(cut: bool, seconds: float) -> dict[str, float]:
@@ -123,8 +124,8 @@
     faults = [FaultTable("cut", 0.5, seconds, ways=["g0>p0"])] if cut else []
     shape = ShapeTable(1, 2, 0, 4, 60, False, {}, RELAYED)
     made = Scenario("hop", 1, seconds, 400.0, 0.0, shape, faults, [])
-    deployment = Deployment(shape_of(made, plans=("free",), behaviour=Behaviour(0.0, 0.0), helpers=2))
-    figures = await Play(made, deployment).run()
+    deployment = Deployment(shape_of(made, plans=("free",), behaviour=BackendBehaviour(0.0, 0.0), helpers=2))
+    figures = await ScenarioRun(made, deployment).run()
     return {"median_ms": figures["median_ms"], "cpu_ms_a_try": cpu_a_try(deployment, figures["tries"])}
 
 
--- a/benchmarks/ratelimit.py
+++ b/benchmarks/ratelimit.py
@@ -23,7 +23,7 @@
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.processes import processor_time, resident_kb
 from embersill.lab.limiter import Limiter
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 
 CLIENTS = 3  # processes that load a server
 
@@ -94,10 +94,10 @@
 
 async def loaded(text: str, connections: int, seconds: float) -> dict[str, float]:
     deployment = Deployment(
-        Shape(fronts=1, planners=0, backends=4, behaviour=Behaviour(0.0, 0.0), operator=text)
+        Shape(fronts=1, planners=0, backends=4, behaviour=BackendBehaviour(0.0, 0.0), operator=text)
     )
     for backend in deployment.backends:
-        backend.told = lambda arrival, runs: None
+        backend.on_arrival = lambda arrival, runs: None
     try:
         await deployment.start()
         load = ClosedLoop(connections)
@@ -105,9 +105,9 @@
         await asyncio.sleep(1.0)
         load.reset()
         front = deployment.members[deployment.fronts[0].name]
-        before = front.cpu()
+        before = front.cpu_seconds()
         await asyncio.sleep(seconds)
-        spent, served = front.cpu() - before, load.served
+        spent, served = front.cpu_seconds() - before, load.served
         load.stop()
     finally:
         deployment.close()
--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -34,9 +34,9 @@
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.hall import CORE, Backend, Hall
 from embersill.rig.ownership import judge_billing, wait_booked, wait_owner, wait_writer
-from embersill.rig.playing import COUNCIL, RULES
+from embersill.rig.playing import COUNCIL_TABLES, RULES
 from embersill.rig.processes import Member
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 
 GATEWAYS = 5
 PLAY_TIMEOUT_S = 120.0
@@ -200,7 +200,7 @@
         """Ends all gateways with SIGTERM; their exit codes."""
         for gateway in self.gateways:
             gateway.send(signal.SIGTERM)
-        return [await gateway.ended() for gateway in self.gateways]
+        return [await gateway.wait_exit() for gateway in self.gateways]
 
 
 async def play_state(checks: Checks, label: str, writer: Path, reader: Path) -> None:
@@ -311,8 +311,8 @@
             customers=12,
             rate=60.0,
             status_every=0.05,
-            behaviour=Behaviour(0.01, 0.03),
-            council_tables=COUNCIL if council else "",
+            behaviour=BackendBehaviour(0.01, 0.03),
+            council_tables=COUNCIL_TABLES if council else "",
         ),
         builds,
     )
@@ -323,14 +323,14 @@
         await between(deployment)
         await asyncio.sleep(TRAFFIC_S)
         traffic.cancel()
-        await deployment.traffic.drained(8.0)
+        await deployment.traffic.wait_answered(8.0)
         if council:
             await wait_owner(deployment, "export")
             await wait_booked(deployment)
         codes = await deployment.stop()
     finally:
         deployment.close()
-    figures = deployment.books.figures()
+    figures = deployment.audit.figures()
     broken = {rule: figures[rule] for rule in RULES if figures[rule]}
     checks.expect(f"{label}: no rule broken", not broken, broken)
     checks.expect(f"{label}: ends in order", not codes, codes)
@@ -348,12 +348,12 @@
 
     async def replace(deployment: BuildsDeployment) -> None:
         await wait_writer(deployment)
-        highest = deployment.billing.highest
+        highest = deployment.billing.highest_number
         planners = deployment.planners()
         for planner in planners:
             planner.send(signal.SIGTERM)
         for planner in planners:
-            await planner.ended()
+            await planner.wait_exit()
             planner.environ.update(environment_of(reader))
         await asyncio.gather(*(planner.start() for planner in planners))
         async with asyncio.timeout(APPLY_TIMEOUT_S):
@@ -362,7 +362,7 @@
         learned = {planner.name: planner.status["council"]["learned"] for planner in planners}
         checks.expect(f"{label}: journals read", not any(learned.values()), learned)
         await wait_writer(deployment)
-        checks.expect(f"{label}: the number grows", deployment.billing.highest > highest)
+        checks.expect(f"{label}: the number grows", deployment.billing.highest_number > highest)
 
     await play_deployment(checks, label, {"forwarder": writer, "planner": writer}, True, replace)
 
--- a/embersill/rig/deployment.py
+++ b/embersill/rig/deployment.py
@@ -18,15 +18,15 @@
 
 from embersill.interface import Settings
 from embersill.rig.billing import StandInBilling
-from embersill.rig.books import Books
+from embersill.rig.books import TrafficAudit
 from embersill.rig.processes import Member, free_ports
-from embersill.rig.relay import Way
-from embersill.rig.scenarios import Names
+from embersill.rig.relay import Relay
+from embersill.rig.scenarios import Topology
 from embersill.rig.settings import settings_object
 from embersill.rig.standins import (
     HOST,
     Arrival,
-    Behaviour,
+    BackendBehaviour,
     DiscoveryView,
     StandInBackend,
     StandInCounter,
@@ -48,7 +48,7 @@
     customers: int = 60
     rate: float = 200.0
     seed: int = 1
-    behaviour: Behaviour = field(default_factory=Behaviour)
+    behaviour: BackendBehaviour = field(default_factory=BackendBehaviour)
     plans: tuple[str, ...] = ("basis", "pro", "free")
     settings: dict[str, Any] | None = None
     status_every: float = 0.5
@@ -68,7 +68,7 @@
         self.random = random.Random(shape.seed)
         self.object = shape.settings or settings_object(shape.fronts)
         self.settings: Settings = read_settings(self.object)
-        self.books = Books(self.settings)
+        self.audit = TrafficAudit(self.settings)
         self.discovery, self.counter, self.billing = StandInDiscovery(), StandInCounter(), StandInBilling()
         self.backends = [
             StandInBackend(f"b{n}", shape.behaviour, shape.seed, self.arrived) for n in range(shape.backends)
@@ -78,13 +78,13 @@
         self.members: dict[str, Member] = {}
         self.ports: dict[str, int] = {}  # of planners, for forwarders
         self.council_ports: dict[str, int] = {}  # of planners, for each other
-        self.ways: dict[str, Way] = {}
-        self.link_ways: dict[str, Way] = {}  # between planners: over which they carry forwarders' connections
+        self.relays: dict[str, Relay] = {}
+        self.link_relays: dict[str, Relay] = {}  # between planners, for forwarders' connections
         self.views: list[DiscoveryView] = []
         self.traffic: Traffic
         self.folder = tempfile.TemporaryDirectory(prefix="embersill-lab-")
         kind = "forwarder" if shape.planners else "gateway"
-        self.names = Names(
+        self.topology = Topology(
             {
                 **{f"g{n}": kind for n in range(shape.fronts)},
                 **{f"p{n}": "planner" for n in range(shape.planners)},
@@ -97,19 +97,19 @@
         )
 
     def arrived(self, arrival: Arrival, runs: bool) -> None:
-        self.books.arrived(arrival, runs)
+        self.audit.attempt_arrived(arrival, runs)
 
     async def start(self) -> None:
         shape = self.shape
         for part in (self.discovery, self.counter, self.billing, *self.backends):
             await part.start()
         for n, backend in enumerate(self.backends):
-            zone = self.names.zone_of(backend.name) or "z"
+            zone = self.topology.zone_of(backend.name) or "z"
             self.discovery.entries[backend.name] = self.discovery.entry(backend, n % 2, zone=zone)
-            self.books.cells[backend.name] = n % 2
+            self.audit.cells[backend.name] = n % 2
         ports = free_ports(shape.fronts)
         self.fronts = [Front(f"g{n}", port, idle=[]) for n, port in enumerate(ports)]
-        await self.lay_ways()
+        await self.start_relays()
         if shape.planners:
             await self.start_planners([front.name for front in self.fronts])
         for front in self.fronts:
@@ -117,7 +117,7 @@
         await asyncio.gather(*(self.members[front.name].start() for front in self.fronts))
         await asyncio.gather(*(self.wait_ready(front) for front in self.fronts))
         self.traffic = Traffic(
-            self.settings, self.books, self.fronts, self.customers(), shape.rate, shape.seed
+            self.settings, self.audit, self.fronts, self.customers(), shape.rate, shape.seed
         )
 
     # ways
@@ -125,32 +125,32 @@
     def relayed(self) -> list[str]:
         """The ways that go over relays: only processes dial."""
         return [
-            way
-            for way in self.names.ways(self.shape.relayed)
-            if self.names.roles[way.partition(">")[0]] in ("planner", "forwarder", "gateway")
+            link
+            for link in self.topology.links(self.shape.relayed)
+            if self.topology.roles[link.partition(">")[0]] in ("planner", "forwarder", "gateway")
         ]
 
-    async def lay_ways(self) -> None:
+    async def start_relays(self) -> None:
         for name in self.relayed():
             begin, _, end = name.partition(">")
-            way = self.ways[name] = Way(name, self.target_of(begin, end), self.shape.seed)
-            await way.start()
-            if {self.names.roles[begin], self.names.roles[end]} == {"planner"}:
-                link = self.link_ways[name] = Way(f"{name} link", self.link_of(end), self.shape.seed)
+            relay = self.relays[name] = Relay(name, self.target_of(begin, end), self.shape.seed)
+            await relay.start()
+            if {self.topology.roles[begin], self.topology.roles[end]} == {"planner"}:
+                link = self.link_relays[name] = Relay(f"{name} link", self.link_of(end), self.shape.seed)
                 await link.start()
 
     def link_of(self, planner: str) -> Callable[[], tuple[str, int]]:
         return lambda: (HOST, self.ports[planner])
 
-    def ways_of(self, name: str) -> list[Way]:
+    def relays_of(self, name: str) -> list[Relay]:
         """What a fault on a way lies on: all that processes dial over it."""
-        return [ways[name] for ways in (self.ways, self.link_ways) if name in ways]
+        return [relays[name] for relays in (self.relays, self.link_relays) if name in relays]
 
     def target_of(self, begin: str, end: str) -> Callable[[], tuple[str, int]]:
         def target() -> tuple[str, int]:
-            role = self.names.roles[end]
+            role = self.topology.roles[end]
             if role == "planner":
-                ports = self.council_ports if self.names.roles[begin] == "planner" else self.ports
+                ports = self.council_ports if self.topology.roles[begin] == "planner" else self.ports
                 return HOST, ports[end]
             parts = {
                 "discovery": self.discovery,
@@ -164,8 +164,8 @@
 
     def dialled(self, begin: str, end: str, address: str) -> str:
         """Where a process dials another: a relay if one lies between them."""
-        way = self.ways.get(f"{begin}>{end}")
-        return address if way is None else way.address
+        relay = self.relays.get(f"{begin}>{end}")
+        return address if relay is None else relay.address
 
     async def start_planners(self, forwarders: list[str]) -> dict[str, int]:
         """Starts the planners for forwarders by these names; tells the ports."""
@@ -184,7 +184,7 @@
         return self.ports
 
     def write_operator(self, name: str, role: str, forwarders: list[str]) -> None:
-        ways = self.ways if role == "forwarder" else self.link_ways
+        ways = self.relays if role == "forwarder" else self.link_relays
         planners = {
             p: ways[f"{name}>{p}"].address if f"{name}>{p}" in ways else f"{HOST}:{port}"
             for p, port in self.ports.items()
@@ -235,7 +235,7 @@
 
         The planner stands still meanwhile: its files are renamed while it runs, and a copy would miss some.
         """
-        async with self.members[name].held():
+        async with self.members[name].while_suspended():
             if self.state_of(name).exists():
                 shutil.copytree(self.state_of(name), target)
 
@@ -244,9 +244,9 @@
         folder = Path(self.folder.name)
         discovery, known = self.discovery.address, self.discovery.listing()
         places = {
-            b.name: self.ways[f"{name}>{b.name}"].address
+            b.name: self.relays[f"{name}>{b.name}"].address
             for b in self.backends
-            if f"{name}>{b.name}" in self.ways
+            if f"{name}>{b.name}" in self.relays
         }
         if places:
             view = DiscoveryView(self.discovery, places)
@@ -339,18 +339,18 @@
         await asyncio.gather(*tasks)
 
     async def kill_and_restart(self, member: Member, down: float) -> None:
-        self.books.counts["planner_kills"] += 1
+        self.audit.counts["planner_kills"] += 1
         await member.kill()
         await asyncio.sleep(down)
         await member.start()
 
     async def pause(self, member: Member, seconds: float) -> None:
-        self.books.counts["planner_pauses"] += 1
-        await member.stand(seconds)
+        self.audit.counts["planner_pauses"] += 1
+        await member.pause(seconds)
 
     async def restart_front(self, front: Front, down: float) -> None:
         """Kills a front machine; what it held is its clients' to retry."""
-        self.books.counts["front_kills"] += 1
+        self.audit.counts["front_kills"] += 1
         front.up = False
         await self.members[front.name].kill()
         await asyncio.sleep(down)
@@ -364,12 +364,12 @@
             await asyncio.sleep(every)
             place = turn % len(self.backends)
             backend = self.backends[place]
-            await self.discovery.set(self.discovery.changed_entry(backend.name, "DRAINING"))
-            self.books.drains(backend.name, loop.time())
-            self.books.counts["drains"] += 1
+            await self.discovery.update(self.discovery.entry_with_status(backend.name, "DRAINING"))
+            self.audit.backend_draining(backend.name, loop.time())
+            self.audit.counts["drains"] += 1
             await asyncio.sleep(every)
-            self.books.serves(backend.name, loop.time())
-            await self.discovery.set(self.discovery.changed_entry(backend.name, "SERVING"))
+            self.audit.backend_serving(backend.name, loop.time())
+            await self.discovery.update(self.discovery.entry_with_status(backend.name, "SERVING"))
             turn += 1
 
     # the end
@@ -380,11 +380,11 @@
         for roles in (("forwarder", "gateway"), ("planner",)):
             ending = [m for m in self.members.values() if m.role in roles and m.running]
             for member in ending:
-                member.spent += member.cpu()
-                member.go_on()
+                member.earlier_cpu_s += member.cpu_seconds()
+                member.resume()
                 member.send(signal.SIGTERM)
             for member in ending:
-                code = await member.ended()
+                code = await member.wait_exit()
                 if code:
                     codes[member.name] = code
         self.close()
@@ -392,11 +392,11 @@
 
     def close(self) -> None:
         for member in self.members.values():
-            member.finish()
+            member.kill_now()
         for part in (self.discovery, self.counter, self.billing, *self.backends, *self.views):
             part.close()
-        for way in (*self.ways.values(), *self.link_ways.values()):
-            way.close()
+        for relay in (*self.relays.values(), *self.link_relays.values()):
+            relay.close()
         self.folder.cleanup()
 
     def logs(self) -> Iterable[str]:
@@ -426,17 +426,17 @@
         await deployment.traffic.run(seconds)
         await asyncio.gather(*faults)
         longest = max(c.deadline for c in deployment.settings.classes)
-        await deployment.traffic.drained(longest + 1.0)
+        await deployment.traffic.wait_answered(longest + 1.0)
         codes = await deployment.stop()
     finally:
         deployment.close()
-    counts = deployment.books.counts
-    told: dict[str, Any] = deployment.books.figures()
+    counts = deployment.audit.counts
+    told: dict[str, Any] = deployment.audit.figures()
     for name in ("planner_kills", "planner_pauses", "front_kills", "drains", "no_front"):
         if counts[name]:
             told[name] = counts[name]
     told["bad_ends"] = codes
-    told["breaches"] = deployment.books.breaches[:10]
+    told["breaches"] = deployment.audit.breaches[:10]
     return told
 
 
--- a/tests/council/test_register_processes.py
+++ b/tests/council/test_register_processes.py
@@ -8,7 +8,7 @@
 import uvloop
 
 from embersill.rig.clerks import Clerks
-from embersill.rig.relay import Direction, Trouble, Verb
+from embersill.rig.relay import Direction, LinkFault, LinkFaultKind
 from embersill.world.histories import is_linearizable
 
 
@@ -37,16 +37,16 @@
     if chance.random() < 0.3:
         member = clerks.members[chance.choice(clerks.names)]
         if chance.random() < 0.5:
-            return await member.stand(0.3)
+            return await member.pause(0.3)
         await member.kill()
         return await member.start()
-    verb = chance.choice((Verb.CUT, Verb.SWALLOW, Verb.DELAY, Verb.HALF))
-    ways = chance.sample(list(clerks.ways.values()), 2)
+    kind = chance.choice((LinkFaultKind.CUT, LinkFaultKind.SWALLOW, LinkFaultKind.DELAY, LinkFaultKind.HALF))
+    relays = chance.sample(list(clerks.relays.values()), 2)
     direction = chance.choice(list(Direction))
-    laid = [(way, await way.put(Trouble(verb, direction, 0.1, 0.2))) for way in ways]
+    faults = [(relay, await relay.add_fault(LinkFault(kind, direction, 0.1, 0.2))) for relay in relays]
     await asyncio.sleep(chance.uniform(0.1, 0.5))
-    for way, number in laid:
-        await way.take_off(number)
+    for relay, fault_id in faults:
+        await relay.remove_fault(fault_id)
 
 
 def test_what_processes_read_and_write_in_trouble_is_linearizable() -> None:
@@ -54,7 +54,7 @@
     histories = clerks.histories()
     sure = sum(op.sure for ops in histories.values() for op in ops)
     assert len(histories) == 3 and sure > 150, sure
-    assert sum(member.lives for member in clerks.members.values()) > 4
+    assert sum(member.start_count for member in clerks.members.values()) > 4
     for key, ops in histories.items():
         assert is_linearizable(ops), key
 
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -406,7 +406,7 @@
                 codes = set(await asyncio.gather(*calls))
                 # calls that arrive during the stop are refused by the library, with either of its messages
                 assert codes <= {grpc.StatusCode.OK, grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.CANCELLED}
-                assert await member.ended() == 0
+                assert await member.wait_exit() == 0
                 with pytest.raises(ConnectionRefusedError), socket.socket() as probe:
                     probe.connect((HOST, port))
             assert not list(deployment.logs())
@@ -425,10 +425,10 @@
             async with deployed(text, planners) as deployment:
                 await until_led(deployment, planners)
                 await deployment.traffic.run(1.0)
-                await deployment.traffic.drained(SOON)
-                told = deployment.books.figures()
+                await deployment.traffic.wait_answered(SOON)
+                told = deployment.audit.figures()
                 assert told["answers_none"] == 0 and told["served"] > 0
-                pro = [t for t in deployment.books.tries.values() if t.plan == "pro"]
+                pro = [t for t in deployment.audit.requests.values() if t.plan == "pro"]
                 assert len(limiter.asked) == len(pro) > 0
 
     run(test)
--- a/tests/rig/test_playing.py
+++ b/tests/rig/test_playing.py
@@ -7,14 +7,14 @@
 import uvloop
 
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import Play, shape_of
+from embersill.rig.playing import ScenarioRun, shape_of
 from embersill.rig.scenarios import Scenario, read_scenario
 from embersill.world.records import Fault
 
 
-def played(scenario: Scenario) -> tuple[Play, dict[str, object]]:
-    async def test() -> tuple[Play, dict[str, object]]:
-        play = Play(scenario, Deployment(shape_of(scenario)))
+def played(scenario: Scenario) -> tuple[ScenarioRun, dict[str, object]]:
+    async def test() -> tuple[ScenarioRun, dict[str, object]]:
+        play = ScenarioRun(scenario, Deployment(shape_of(scenario)))
         async with asyncio.timeout(60.0):
             return play, await play.run()
 
@@ -52,10 +52,10 @@
     )
     assert not told["breaches"] and not told["bad_ends"], told
     assert play.counts["kill"] == play.counts["stop"] == 1 and play.counts.total() > 9
-    ways = play.deployment.ways.values()
+    ways = play.deployment.relays.values()
     assert len(ways) == 3 * (2 + 4) and all(way.counts["connections"] for way in ways)
     assert sum(way.counts["reset"] for way in ways) or not play.counts["cut"]
-    records = [record for record in play.deployment.books.records if isinstance(record, Fault)]
+    records = [record for record in play.deployment.audit.records if isinstance(record, Fault)]
     assert len(records) == sum(len(fault.ways) + len(fault.who) for fault in play.faults)
 
 
@@ -74,4 +74,4 @@
         """)
     )
     assert not told["breaches"] and told["served"], told
-    assert play.deployment.ways["g0>counter"].counts["connections"]
+    assert play.deployment.relays["g0>counter"].counts["connections"]
--- a/tests/tiers/test_partition.py
+++ b/tests/tiers/test_partition.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from embersill.rig.causes import Causes
+from embersill.rig.causes import RefusalCauses
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import RULES, Play, shape_of
+from embersill.rig.playing import RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, FaultTable, Scenario, ShapeTable
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 from tests.bed import run
 
 RELAYED = ("@forwarder>@planner", "@planner>@planner")
@@ -70,23 +70,23 @@
             status_every=0.05,
             tell_refusals=True,
             helpers=2,
-            behaviour=Behaviour(*spell),
+            behaviour=BackendBehaviour(*spell),
             terms=terms or {},
         )
     )
-    heard: list[Causes] = []
+    heard: list[RefusalCauses] = []
     last: dict[str, dict[str, Any]] = {}
 
     async def listen(deployment: Deployment) -> None:
         loop = asyncio.get_running_loop()
-        heard.append(Causes(deployment))
+        heard.append(RefusalCauses(deployment))
         end = loop.time() + seconds - 0.2
         while loop.time() < end:
             await asyncio.sleep(0.05)
             look(deployment)
         last.update({name: dict(member.status) for name, member in deployment.members.items()})
 
-    told = await Play(scenario, deployment).run(listen)
+    told = await ScenarioRun(scenario, deployment).run(listen)
     told["last"] = last
     told["causes"] = heard[0].table()
     assert not told["breaches"] and not told["bad_ends"], told
