--- a/embersill/council/chair.py
+++ b/embersill/council/chair.py
@@ -54,7 +54,7 @@
                             self.uses.why)
         register = Register(name, told.members)
         self.load(register)
-        register.begin(os.urandom(8).hex())
+        register.begin_life(os.urandom(8).hex())
         self.seat = Seat(
             register, told.terms, random.Random(os.urandom(16)), clock(), prefer=told.prefer,
             tally=self.uses.tally if self.uses is not None else None, probes=told.probes)
--- a/embersill/council/desk.py
+++ b/embersill/council/desk.py
@@ -45,7 +45,7 @@
         self.seat, self.register = seat, seat.register
         self.waiting: list[tuple[Answer, Say]] = []
         self.busy = False
-        self.anew = not seat.register.remembers  # there is no journal that could be gone on with
+        self.anew = not seat.register.memory_complete  # there is no journal that could be gone on with
         self.broken = ""  # the disk's last word: from then on nothing is answered
         seat.member.on_learned = self.learned
 
@@ -66,12 +66,12 @@
         if self.busy or self.broken or not (self.waiting or register.records):
             return None
         records, register.records = register.records, []
-        if not register.remembers:  # what it meets while it has no memory need not be kept
+        if not register.memory_complete:  # what it meets while it has no memory need not be kept
             records = []
-        anew = (self.anew or grown) and register.remembers
+        anew = (self.anew or grown) and register.memory_complete
         if anew:
             self.anew = False
-            records = [register.whole()]
+            records = [register.snapshot()]
         answers, self.waiting = self.waiting, []
         self.busy = True
         return Batch([msgspec.msgpack.encode(record) for record in records], anew, register.mark, answers)
@@ -79,7 +79,7 @@
     def written(self, batch: Batch) -> None:
         """It is on disk: its answers may go."""
         self.busy = False
-        self.register.saved(batch.mark)
+        self.register.mark_durable(batch.mark)
         for answer, say in batch.answers:
             say(answer)
 
@@ -93,4 +93,4 @@
 
     def may_speak(self) -> bool:
         """Under this life: it is on disk, so that the next life can't have the same number."""
-        return self.register.life_mark <= self.register.safe
+        return self.register.life_mark <= self.register.durable_mark
--- a/embersill/council/member.py
+++ b/embersill/council/member.py
@@ -136,7 +136,7 @@
         self.on_learned: Callable[[], None] = no_journal  # it is to be written anew
         self.on_retired: Callable[[Life], None] = nobody_asks
         self.why = "starting"
-        if register.remembers and not self.others:
+        if register.memory_complete and not self.others:
             register.votes = True
         self.writes_took: deque[float] = deque(maxlen=KEPT_WRITES)  # seconds each
         self.took = 0.0  # seconds of a read or write that nobody disturbed, smoothed
@@ -236,7 +236,7 @@
         operation = self.operations.get(number)
         if operation is None or name not in self.register.members:
             return None
-        if name in self.peers and not self.register.meet(answer.origin):
+        if name in self.peers and not self.register.note_origin(answer.origin):
             return None
         if isinstance(answer, Told):
             self.told(operation, name, answer)
@@ -351,11 +351,11 @@
     def welcomed(self, name: str, here: Here) -> None:
         if name not in self.peers:
             return
-        if here.origin.life.boot and not self.register.meet(here.origin):
+        if here.origin.life.boot and not self.register.note_origin(here.origin):
             return
         self.peers[name].here = here
         register = self.register
-        if register.remembers and not register.votes and self.is_behind(here.life, here.mark):
+        if register.memory_complete and not register.votes and self.is_behind(here.life, here.mark):
             self.forget(f"{name} knows of more than this member's memory has")
         self.vote()
 
@@ -376,9 +376,9 @@
         register = self.register
         if register.votes or register.retired:
             return
-        if not register.remembers:
+        if not register.memory_complete:
             if self.is_new():
-                register.found(f"{self.chance.getrandbits(64):016x}")
+                register.initialize(f"{self.chance.getrandbits(64):016x}")
                 self.why = "founded"
                 self.hello_at = self.now
             return self.learn()
@@ -398,7 +398,7 @@
         """Asks all others to take the old lives to be over and to tell all they know; again and again."""
         heres = [peer.here for peer in self.peers.values()]
         known = [here for here in heres if here is not None and here.remembers]
-        if self.register.remembers or self.now < self.learn_at or len(known) < self.needed:
+        if self.register.memory_complete or self.now < self.learn_at or len(known) < self.needed:
             return
         self.learn_at = self.now + LEARN_AGAIN * (0.5 + self.chance.random())
         latest = max([self.register.known_boot(self.me), *(here.life.boot for here in known),
@@ -406,7 +406,7 @@
         self.learning = Life(latest + 1, f"{self.chance.getrandbits(64):016x}")
         self.states = {}
         for name in self.others:
-            self.outbox.append((name, 0, Join(Origin(self.me, self.learning, self.register.safe))))
+            self.outbox.append((name, 0, Join(Origin(self.me, self.learning, self.register.durable_mark))))
 
     def state_came(self, name: str, state: State) -> None:
         learning = self.learning
@@ -428,7 +428,7 @@
         if self.learning is not None and answer.life == self.learning:
             return
         if not register.votes:  # it has just started, on a memory that is not the last
-            if register.remembers:
+            if register.memory_complete:
                 self.forget(f"{answer.origin.name} knows a later life of this member")
             elif self.learning is not None and answer.life.boot >= self.learning.boot:
                 self.learning, self.learn_at = None, self.now
--- a/embersill/council/seat.py
+++ b/embersill/council/seat.py
@@ -52,7 +52,7 @@
         self.now = now
         self.offer_at = self.suspect_at = now
         self.probing = 0  # the number under which this seat's verdicts were found
-        register.on_entry = self.entry_seen
+        register.on_accepted = self.entry_seen
 
     @property
     def outbox(self) -> list[tuple[str, int, Ask]]:
@@ -72,13 +72,13 @@
         if not isinstance(ask, Offer | Suspect | Verdicts):
             return self.register.handle(ask)
         register = self.register
-        origin, boots, sender = register.answering, register.boots(), ask.origin.name
+        origin, boots, sender = register.answer_origin, register.known_boots(), ask.origin.name
         if isinstance(ask, Offer):  # of whatever life: what was used was used
             done = None if self.exporter is None else self.exporter.offer(ask.stream, ask.batch, ask.entries)
             if done is None:
                 return Taken(origin, boots, "the export is not owned here")
             return Confirmed(origin, boots, ask.stream, done)
-        if sender != register.me and not register.meet(ask.origin):
+        if sender != register.me and not register.note_origin(ask.origin):
             return Taken(origin, boots, "a life that is over")
         if isinstance(ask, Suspect):
             if self.prober is None or not self.posts[PROBES].held(self.now):
--- a/embersill/edge/consensus/agreement.py
+++ b/embersill/edge/consensus/agreement.py
@@ -18,7 +18,7 @@
 
 from embersill.council.member import How, Member, Result
 from embersill.council.messages import AnyAnswer, AnyAsk, Answer, Ask, Entry
-from embersill.council.register import Register, Whole
+from embersill.council.register import Register, Snapshot
 from embersill.council.terms import CouncilTerms
 from embersill.edge.configuration.document import EMPTY, State
 from embersill.edge.consensus.handover import Handover
@@ -102,7 +102,7 @@
             self.persistence.save()
         self.on_roster(roster)
 
-    def take_seat(self, whole: Whole | None, loaded: bool) -> None:
+    def take_seat(self, whole: Snapshot | None, loaded: bool) -> None:
         """Takes this member's seat in the epoch, if it has one. `loaded`: the epoch came from the disk.
 
         A member without records has never answered in this epoch if its disk is the one that the roster
@@ -117,11 +117,11 @@
         if whole is not None:
             register.load([])
             register.replay(whole)
-            register.safe = register.mark
-            register.begin(nonce)
+            register.durable_mark = register.mark
+            register.begin_life(nonce)
         elif seat.store == self.store:
             register.load([])
-            register.found(nonce)
+            register.initialize(nonce)
         else:
             register.load(None)
         self.member = Member(register, TERMS, self.chance, self.now)
@@ -178,7 +178,7 @@
         """Sends the member's requests; its own register is asked under the same durability rule."""
         member, roster, persistence = self.member, self.roster, self.persistence
         while member is not None and roster is not None and persistence is not None and member.outbox:
-            if member.register.safe < member.register.life_mark:
+            if member.register.durable_mark < member.register.life_mark:
                 persistence.save()  # nothing is sent in this life before the life itself is on disk
                 return
             out, member.outbox = member.outbox, []
--- a/embersill/edge/consensus/persistence.py
+++ b/embersill/edge/consensus/persistence.py
@@ -47,14 +47,14 @@
         register.records.clear()
         if not self.epoch_on_disk:
             values[EPOCH_KEY] = msgspec.json.encode(EpochStart(self.roster, self.base))
-        if register.remembers:
+        if register.memory_complete:
             values[REGISTER_KEY] = msgspec.msgpack.encode(
-                RegisterSnapshot(self.roster.epoch, register.whole())
+                RegisterSnapshot(self.roster.epoch, register.snapshot())
             )
         if not values:
             return
         self.saving = True
-        mark, remembered, waiting, self.waiting = register.mark, register.remembers, self.waiting, []
+        mark, remembered, waiting, self.waiting = register.mark, register.memory_complete, self.waiting, []
 
         def on_written(ok: bool) -> None:
             self.saving = False
@@ -65,7 +65,7 @@
                 for on_saved in waiting:
                     on_saved()
             # after a failed write the dependent answers are not sent: the askers retry
-            if register.remembers and register.safe < register.mark and (ok or self.waiting):
+            if register.memory_complete and register.durable_mark < register.mark and (ok or self.waiting):
                 self.save()
 
         name, data = values.popitem()
@@ -74,7 +74,7 @@
     def written(self, mark: int | None) -> None:
         """Notes that the register's first `mark` records and the epoch are on disk; None: the epoch alone."""
         if mark is not None:
-            self.register.saved(mark)
+            self.register.mark_durable(mark)
         if not self.epoch_on_disk:
             self.epoch_on_disk = True
             self.on_epoch_saved()
@@ -82,9 +82,9 @@
     def after_save(self, on_saved: Callable[[], None]) -> None:
         """Calls `on_saved` once the whole register is on disk."""
         register = self.register
-        if not register.remembers:
+        if not register.memory_complete:
             return on_saved()  # none of its answers depends on stored data
-        if not register.records and register.safe >= register.mark:
+        if not register.records and register.durable_mark >= register.mark:
             return on_saved()
         self.waiting.append(on_saved)
         return self.save()
--- a/embersill/edge/records.py
+++ b/embersill/edge/records.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from embersill.council.register import Whole
+from embersill.council.register import Snapshot
 from embersill.edge.configuration.document import State
 
 Message = dict[str, Any]
@@ -46,7 +46,7 @@
     """Stored on disk: the full contents of this member's register in one epoch."""
 
     epoch: int
-    whole: Whole
+    whole: Snapshot
 
 
 class VoteBallot(msgspec.Struct, frozen=True, order=True, array_like=True):
--- a/embersill/lab/council/fences.py
+++ b/embersill/lab/council/fences.py
@@ -15,7 +15,7 @@
         REGISTER,
         "a member accepts what is below a ballot that it promised",
         """        if ask.ballot < cell.promised:
-            return Refused(self.answering, self.boots(), cell.promised, ask.ballot, cell.accepted)
+            return Refused(self.answer_origin, self.known_boots(), cell.promised, ask.ballot, cell.accepted)
         cell.accepted, cell.entry""",
         "        cell.accepted, cell.entry",
     ),
@@ -89,33 +89,36 @@
         "memory",
         REGISTER,
         "a member whose disk is lost votes as if it had promised nothing",
-        "self.remembers = records is not None",
-        "self.remembers = True",
+        "self.memory_complete = records is not None",
+        "self.memory_complete = True",
         (
             (
                 REGISTER,
-                "            return Superseded(\n                self.answering, self.boots(), "
-                'self.lives.get(name, Life(0, "")), self.marks.get(name, 0))',
+                "            return Superseded(\n                self.answer_origin,\n"
+                "                self.known_boots(),\n"
+                '                self.lives.get(name, Life(0, "")),\n'
+                "                self.marks.get(name, 0),\n            )",
                 "            pass",
             ),
             (MEMBER, "return known.boot > mine.boot", "return False and known.boot > mine.boot"),
             (MEMBER, "            or mark > self.register.mark", ""),
-            (DESK, "self.anew = not seat.register.remembers", "self.anew = True"),
+            (DESK, "self.anew = not seat.register.memory_complete", "self.anew = True"),
             (
                 REGISTER,
-                "if known is not None and (origin.life.boot < known.boot",
-                "if known is not None and (False",
+                "if known is not None and (\n            origin.life.boot < known.boot",
+                "if known is not None and (\n            False",
             ),
             (
                 REGISTER,
-                "or origin.life.boot == known.boot and origin.life.nonce != known.nonce):\n"
+                "            or origin.life.boot == known.boot\n"
+                "            and origin.life.nonce != known.nonce\n        ):\n"
                 "            return False",
-                "):\n            return False",
+                "        ):\n            return False",
             ),
             (MEMBER, "if answer.origin.life.boot >= boots[name]}", "}"),
             (
                 REGISTER,
-                "                return Superseded(self.answering, self.boots(), *known)",
+                "                return Superseded(self.answer_origin, self.known_boots(), *known)",
                 "                pass",
             ),
         ),
@@ -124,20 +127,22 @@
         "behind",
         MEMBER,
         "a memory of which others have seen more is taken for whole",
-        "if register.remembers and not register.votes and self.is_behind(here.life, here.mark):",
+        "if register.memory_complete and not register.votes and self.is_behind(here.life, here.mark):",
         "if False:",
         (
             (JOURNAL, "if place.file != self.files.identity(self.name):", "if False:"),
             (
                 MEMBER,
-                '            if register.remembers:\n                self.forget(f"{answer.origin.name}',
+                "            if register.memory_complete:\n"
+                '                self.forget(f"{answer.origin.name}',
                 '            if False:\n                self.forget(f"{answer.origin.name}',
             ),
             (
                 REGISTER,
-                "                                  or origin.life.boot == known.boot and "
-                "origin.life.nonce != known.nonce):\n            return False",
-                "                                  ):\n            return True",
+                "            or origin.life.boot == known.boot\n"
+                "            and origin.life.nonce != known.nonce\n        ):\n"
+                "            return False",
+                "        ):\n            return True",
             ),
         ),
     ),
@@ -160,7 +165,7 @@
         "learn-accepted",
         REGISTER,
         "who lost its memory does not learn what was accepted",
-        "if told.accepted > cell.accepted:",
+        "if key_state.accepted > cell.accepted:",
         "if False:",
     ),
     # the disk
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -86,13 +86,13 @@
         self.uses = UseBook(Journal(self.files, "use", "use", me), Tally(10.0))
         self.uses.open(f"{me}.{self.chance.getrandbits(32):08x}")
         self.tally = self.uses.tally
-        register.begin(f"{self.chance.getrandbits(64):016x}")
+        register.begin_life(f"{self.chance.getrandbits(64):016x}")
         self.seat = Seat(
             register, world.terms, self.chance, now, tally=self.tally, probes=ProbeSettings(), others=(WORK,)
         )
         for post in self.seat.posts.values():
             post.on_change = self.changed
-        register.on_entry = self.entry_seen
+        register.on_accepted = self.entry_seen
         self.desk = Desk(self.seat)
         self.flush(at_once=True)
         self.after(TICK, self.tick)
--- a/embersill/lab/edge/control_fences.py
+++ b/embersill/lab/edge/control_fences.py
@@ -160,7 +160,7 @@
             PERSISTENCE,
             "a member votes in an epoch that its disk does not have",
             "if not self.epoch_on_disk:\n            values[EPOCH_KEY]",
-            "if not self.epoch_on_disk and not self.register.remembers:\n            values[EPOCH_KEY]",
+            "if not self.epoch_on_disk and not self.register.memory_complete:\n            values[EPOCH_KEY]",
         ),
     ),
     Guarded(
@@ -179,7 +179,7 @@
             "disk-first",
             PERSISTENCE,
             "a member answers before its records are on disk",
-            "if not register.records and register.safe >= register.mark:",
+            "if not register.records and register.durable_mark >= register.mark:",
             "if True:",
         ),
         DAYS,
--- a/tests/council/helpers.py
+++ b/tests/council/helpers.py
@@ -30,7 +30,7 @@
     def start(self, name: str, records: list[bytes] | None) -> Member:
         register = Register(name, self.names)
         register.load(records)
-        register.begin(f"n{random.Random(f'{name} {self.now}').random()}")
+        register.begin_life(f"n{random.Random(f'{name} {self.now}').random()}")
         member = Member(register, self.terms, random.Random(f"bench {name}"), self.now)
         self.members[name] = member
         return member
@@ -46,7 +46,7 @@
                 if receiver is None or self.drop(name, to, ask):
                     continue
                 answer = receiver.register.handle(ask)
-                receiver.register.saved(receiver.register.mark)
+                receiver.register.mark_durable(receiver.register.mark)
                 if not self.drop(to, name, answer) and self.members.get(name) is member:
                     member.answered(number, answer, self.now)
         return said
--- a/tests/council/test_member.py
+++ b/tests/council/test_member.py
@@ -152,7 +152,7 @@
 def test_an_entry_that_comes_twice_is_accepted_twice_and_written_once() -> None:
     register = Register("m0", ["m0"])
     register.load([])
-    register.begin("n")
+    register.begin_life("n")
     register.votes = True
     origin = Origin("m0", register.life, 0)
     ballot = Ballot(1, "m0", 1)
@@ -167,7 +167,7 @@
 def test_numbers_from_nowhere_and_keys_beyond_the_bound_are_refused() -> None:
     register = Register("m0", ["m0"])
     register.load([])
-    register.begin("n")
+    register.begin_life("n")
     register.votes = True
     origin = Origin("m0", register.life, 0)
     far = Prepare(origin, "k", Ballot(MOST_AHEAD + 1, "m0", 1))
@@ -178,7 +178,7 @@
 
 
 def records_of(bench: Bench, name: str) -> list[bytes]:
-    return [msgspec.msgpack.encode(bench.members[name].register.whole())]
+    return [msgspec.msgpack.encode(bench.members[name].register.snapshot())]
 
 
 def test_a_member_that_comes_back_with_its_memory_votes_again() -> None:
@@ -260,7 +260,7 @@
     assert set(operation.told) == {"m0"}
     life = Life(7, "x")
     m2 = bench.members["m2"].register
-    m2.meet(Origin("m0", life, 0))
+    m2.note_origin(Origin("m0", life, 0))
     answer = m2.handle(Prepare(Origin("m1", m1.register.life, 0), "k", operation.ballot))
     m1.answered(operation.number, answer, bench.now)
     assert not operation.accepted and operation.phase.value == "prepare"
@@ -284,7 +284,7 @@
 def test_nobody_learns_from_one_who_has_no_vote() -> None:
     register = Register("m0", ["m0", "m1"])
     register.load([])
-    register.begin("n")
+    register.begin_life("n")
     answer = register.handle(Join(Origin("m1", Life(1, "n"), 0)))
     assert isinstance(answer, NotYet) and answer.reason == "starting"
     register.votes = True
@@ -292,7 +292,7 @@
 
 
 def test_a_record_that_is_none_is_refused() -> None:
-    with pytest.raises(ValueError, match="a record"):
+    with pytest.raises(ValueError, match="undecodable journal record"):
         Register("m0", ["m0"]).load([b"\xc1"])
 
 
--- a/tests/council/test_offices.py
+++ b/tests/council/test_offices.py
@@ -25,7 +25,7 @@
             for name, member in self.members.items()
         }
         for name, member in self.members.items():
-            member.register.on_entry = self.seen(name)
+            member.register.on_accepted = self.seen(name)
         self.stopped = set(self.names[1:])
         self.most = 0
         self.go(0.2)  # the first one takes it
--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -44,7 +44,7 @@
             "disk-first",
             PERSISTENCE,
             "a member acknowledges a change before its log records are on disk",
-            "if not register.records and register.safe >= register.mark:",
+            "if not register.records and register.durable_mark >= register.mark:",
             "if True:",
         ),
     ),
--- a/tests/edge/test_store.py
+++ b/tests/edge/test_store.py
@@ -39,7 +39,7 @@
         {
             "begun": msgspec.json.encode(EpochStart(roster, EMPTY)),
             "state": msgspec.msgpack.encode(state),
-            "remembered": msgspec.msgpack.encode(RegisterSnapshot(3, register.whole())),
+            "remembered": msgspec.msgpack.encode(RegisterSnapshot(3, register.snapshot())),
             "backends": msgspec.msgpack.encode([one]),
             "gateways": b"14",
         }
