--- a/embersill/council/chair.py
+++ b/embersill/council/chair.py
@@ -16,14 +16,14 @@
 
 import aiohttp
 
-from embersill.council.desk import Batch, Desk
+from embersill.council.desk import Batch, GroupCommit
 from embersill.council.export import Answered, Call, meta_of
 from embersill.council.journal import Damaged, Folder, Journal
 from embersill.council.links import MemberLine, MemberServer, council_digest
 from embersill.council.messages import Answer, Question, Reply
 from embersill.council.probes import PROBE_WITHIN
 from embersill.council.register import Register
-from embersill.council.seat import Seat
+from embersill.council.seat import CouncilCore
 from embersill.council.settings import Council
 from embersill.council.usage import Tally, UseBook
 from embersill.interface import Outcome
@@ -55,10 +55,10 @@
         register = Register(name, told.members)
         self.load(register)
         register.begin_life(os.urandom(8).hex())
-        self.seat = Seat(
+        self.core = CouncilCore(
             register, told.terms, random.Random(os.urandom(16)), clock(), prefer=told.prefer,
             tally=self.uses.tally if self.uses is not None else None, probes=told.probes)
-        self.desk = Desk(self.seat)
+        self.group_commit = GroupCommit(self.core)
         secret = Secret(key, council_digest(told.members, told.terms))
         self.server = MemberServer(secret, name, frozenset(told.members), self.asked)
         self.secret = secret
@@ -81,10 +81,10 @@
 
     async def start(self) -> None:
         await self.server.start(self.told.members[self.name])
-        batch = self.desk.take()
+        batch = self.group_commit.next_batch()
         if batch is not None:
             batch.save(self.journal)
-            self.desk.written(batch)
+            self.group_commit.batch_written(batch)
         for name, address in self.told.members.items():
             if name != self.name:
                 self.lines[name] = MemberLine(
@@ -95,26 +95,26 @@
     # questions and answers
 
     def asked(self, name: str, question: Question, say: Callable[[Answer], None]) -> None:
-        self.desk.handle(question.ask, say, self.clock())
+        self.group_commit.handle(question.ask, say, self.clock())
         self.write()
 
     def answered(self, reply: Reply) -> None:
-        self.seat.answered(reply.number, reply.answer, self.clock())
+        self.core.answered(reply.number, reply.answer, self.clock())
         self.send()
 
     def own(self, number: int) -> Callable[[Answer], None]:
         def say(answer: Answer) -> None:
-            self.seat.answered(number, answer, self.clock())
+            self.core.answered(number, answer, self.clock())
             self.loop.call_soon(self.send)
 
         return say
 
     def send(self) -> None:
-        if not self.desk.may_speak():
+        if not self.group_commit.may_send():
             return self.write()
-        for to, number, ask in self.seat.outbox:
+        for to, number, ask in self.core.outbox:
             if to == self.name:
-                self.desk.handle(ask, self.own(number), self.clock())
+                self.group_commit.handle(ask, self.own(number), self.clock())
             else:
                 self.lines[to].ask(Question(number, ask))  # type: ignore[arg-type]
         return self.write()
@@ -123,11 +123,11 @@
 
     def write(self) -> None:
         """Begins to write what waits, unless that is under way."""
-        batch = self.desk.take(self.journal.grown)
+        batch = self.group_commit.next_batch(self.journal.grown)
         if batch is None:
             return
-        if not batch.anew and not batch.records:
-            self.desk.written(batch)
+        if not batch.compact and not batch.records:
+            self.group_commit.batch_written(batch)
             self.loop.call_soon(self.write)
             return
         future = self.loop.run_in_executor(self.writer, batch.save, self.journal)
@@ -140,8 +140,8 @@
         if error is not None:
             why = error.strerror if isinstance(error, OSError) and error.strerror else str(error)
             log.error("this planner has no vote in the council any more: its disk: %s", why)
-            return self.desk.failed(why)
-        self.desk.written(batch)
+            return self.group_commit.disk_failed(why)
+        self.group_commit.batch_written(batch)
         return self.send()
 
     def note(self) -> None:
@@ -177,17 +177,17 @@
 
     def tick(self) -> None:
         self.ticker = self.loop.call_later(TICK_EVERY, self.tick)
-        seat, now = self.seat, self.clock()
+        core, now = self.core, self.clock()
         self.note()
-        seat.tick(now)
+        core.tick(now)
         self.settle()
         self.tell_changes()
-        for backend in seat.probes_due(now):
+        for backend in core.probes_due(now):
             self.begin(self.probe(backend))
-        if seat.advice.out_until or seat.advice.out:  # else there is nothing to look through all backends for
-            for backend, out in seat.advice.changes({name: True for name in self.places()}, now):
+        if core.advice.out_until or core.advice.out:  # otherwise nothing can change
+            for backend, out in core.advice.changes({name: True for name in self.places()}, now):
                 self.leave_out(backend, out)
-        exporter = seat.exporter
+        exporter = core.exporter
         if exporter is not None and exporter.call is not None:
             call, exporter.call, exporter.out = exporter.call, None, True
             self.begin(self.bill(call))
@@ -195,7 +195,7 @@
 
     def tell_changes(self) -> None:
         """In the log, once: that this member has no vote, and why."""
-        why = self.seat.member.why if not self.seat.register.votes else ""
+        why = self.core.member.why if not self.core.register.votes else ""
         if why != self.was and why not in ("starting", "founded"):
             log.warning("council: %s", f"no vote: {why}" if why else "this member votes again")
         self.was = why if why not in ("starting", "founded") else self.was
@@ -211,7 +211,7 @@
         """One call, written before the office's lease is over or not at all."""
         assert self.session is not None and self.told.export is not None
         headers = {"Office-Number": str(call.permit.act.number), "If-Position": str(call.position),
-                   "Office-Holder": f"{self.name}/{self.seat.register.life.boot}"}
+                   "Office-Holder": f"{self.name}/{self.core.register.life.boot}"}
         answer = Answered(0)
         if self.clock() < call.permit.write_by:
             path, method = ("/usage/owner", "PUT") if call.body is None else ("/usage", "POST")
@@ -222,14 +222,14 @@
                     answer = Answered(response.status, int(told.get("position", -1)), meta_of(told))
             except (aiohttp.ClientError, TimeoutError, OSError, ValueError, AttributeError, TypeError):
                 pass  # whether it is booked is not known: it is asked again
-        exporter = self.seat.exporter
+        exporter = self.core.exporter
         assert exporter is not None
         exporter.answered(call, answer, self.clock())
         self.send()
 
     async def probe(self, backend: str) -> None:
         """A connection, or an answer below 500 on the path that is named."""
-        place, prober = self.places().get(backend), self.seat.prober
+        place, prober = self.places().get(backend), self.core.prober
         assert prober is not None
         if place is None:
             return prober.gone(backend)
@@ -258,19 +258,19 @@
     def outcome(self, backend: str, outcome: Outcome) -> None:
         if outcome is Outcome.SERVED or outcome in ILL:
             gone = outcome is Outcome.NO_CONNECTION
-            self.seat.suspicions.ended(backend, outcome is Outcome.SERVED, self.clock(), gone)
+            self.core.suspicions.ended(backend, outcome is Outcome.SERVED, self.clock(), gone)
 
     def status(self) -> dict[str, object]:
-        return self.seat.status()
+        return self.core.status()
 
     # the end
 
     async def stop(self) -> None:
         """Gives up in order what it holds, and leaves all use on disk."""
-        self.seat.leave(self.clock())
+        self.core.leave(self.clock())
         self.send()
         end = self.loop.time() + LEFT_WITHIN
-        while not self.seat.left() and self.loop.time() < end:
+        while not self.core.has_left() and self.loop.time() < end:
             await asyncio.sleep(TICK_EVERY)
         if self.ticker is not None:
             self.ticker.cancel()
--- a/embersill/council/desk.py
+++ b/embersill/council/desk.py
@@ -1,8 +1,8 @@
-"""The order between a member's disk and its words: nothing is answered before it is written down. No I/O.
+"""Group commit: holds answers back until the journal records behind them are on disk. No I/O.
 
-Questions are handled at once and their answers wait for the disk, together with all that came meanwhile: one
-sync serves all of them (group commit). Answers go out in the order of their questions, also those that write
-nothing, since they may tell what an earlier one has written.
+Requests are handled at once, and their answers wait for the disk together with all that arrive meanwhile, so
+that one sync serves all of them. Answers are sent in the order of their requests, including those that wrote
+nothing, since they may contain what an earlier request has written.
 """
 
 from __future__ import annotations
@@ -14,83 +14,87 @@
 
 from embersill.council.journal import Journal
 from embersill.council.messages import Answer, Ask
-from embersill.council.seat import Seat
+from embersill.council.seat import CouncilCore
 
-MOST_WAITING = 4096  # answers that wait for the disk: further questions are dropped, and asked again
+MAX_WAITING_ANSWERS = 4096  # for the disk; beyond it requests are dropped, and their senders retry
 
-Say = Callable[[Answer], None]
+SendAnswer = Callable[[Answer], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """What is to be written in one go. `anew`: in place of the whole journal."""
+    """Records to write at once, and the answers that wait for them. `compact`: they replace the journal."""
 
     records: list[bytes]
-    anew: bool
+    compact: bool
     mark: int
-    answers: list[tuple[Answer, Say]]
+    answers: list[tuple[Answer, SendAnswer]]
 
     def save(self, journal: Journal) -> None:
-        """On disk once this returns. OSError as the system raises it."""
-        if self.anew:
+        """Writes and syncs the records. OSError as the system raises it."""
+        if self.compact:
             journal.rewrite(self.records)
         elif self.records:
             journal.write(self.records)
 
 
-class Desk:
-    """Between a seat and its disk. One batch is under way at a time: `take`, write it, then `written`."""
+class GroupCommit:
+    """Puts the disk between a member's requests and its answers. One batch is written at a time:
+    `next_batch`, write it, then `batch_written`."""
 
-    def __init__(self, seat: Seat) -> None:
-        self.seat, self.register = seat, seat.register
-        self.waiting: list[tuple[Answer, Say]] = []
-        self.busy = False
-        self.anew = not seat.register.memory_complete  # there is no journal that could be gone on with
-        self.broken = ""  # the disk's last word: from then on nothing is answered
-        seat.member.on_learned = self.learned
+    def __init__(self, core: CouncilCore) -> None:
+        self.core, self.register = core, core.register
+        self.waiting: list[tuple[Answer, SendAnswer]] = []
+        self.writing = False
+        # without complete state there is no journal to append to
+        self.compact = not core.register.memory_complete
+        self.disk_error = ""  # once set, no request is answered any more
+        core.member.on_learned = self.on_recovered
 
-    def learned(self) -> None:
-        self.anew = True
+    def on_recovered(self) -> None:
+        """The state was recovered from other members: the next batch rewrites the journal with it."""
+        self.compact = True
 
-    def handle(self, ask: Ask, say: Say, now: float) -> None:
-        """`say` is called with the answer once it may be given, or never."""
-        if not self.broken and len(self.waiting) < MOST_WAITING:
-            self.waiting.append((self.seat.handle(ask, now), say))
+    def handle(self, ask: Ask, send: SendAnswer, now: float) -> None:
+        """Handles a request; `send` is called with the answer once it may be sent, or never."""
+        if not self.disk_error and len(self.waiting) < MAX_WAITING_ANSWERS:
+            self.waiting.append((self.core.handle(ask, now), send))
 
-    def take(self, grown: bool = False) -> Batch | None:
-        """The next batch, if there is anything to write or to say and none is under way.
+    def next_batch(self, needs_compaction: bool = False) -> Batch | None:
+        """The next batch, if there is anything to write or to send and no batch is being written.
 
-        `grown`: the journal is to be written anew with all that still matters.
+        `needs_compaction`: the journal is to be rewritten with only what still matters.
         """
         register = self.register
-        if self.busy or self.broken or not (self.waiting or register.records):
+        if self.writing or self.disk_error or not (self.waiting or register.records):
             return None
         records, register.records = register.records, []
-        if not register.memory_complete:  # what it meets while it has no memory need not be kept
+        if not register.memory_complete:  # lives learned before the state is recovered need not be stored
             records = []
-        anew = (self.anew or grown) and register.memory_complete
-        if anew:
-            self.anew = False
+        compact = (self.compact or needs_compaction) and register.memory_complete
+        if compact:
+            self.compact = False
             records = [register.snapshot()]
         answers, self.waiting = self.waiting, []
-        self.busy = True
-        return Batch([msgspec.msgpack.encode(record) for record in records], anew, register.mark, answers)
+        self.writing = True
+        return Batch([msgspec.msgpack.encode(record) for record in records], compact, register.mark, answers)
 
-    def written(self, batch: Batch) -> None:
-        """It is on disk: its answers may go."""
-        self.busy = False
+    def batch_written(self, batch: Batch) -> None:
+        """The batch is on disk: sends its answers."""
+        self.writing = False
         self.register.mark_durable(batch.mark)
-        for answer, say in batch.answers:
-            say(answer)
+        for answer, send in batch.answers:
+            send(answer)
 
-    def failed(self, why: str) -> None:
-        """The disk does not take it: this member has no vote any more, and answers nothing."""
-        self.busy, self.broken = False, why
+    def disk_failed(self, reason: str) -> None:
+        """A write failed: this member loses its vote and answers no more requests."""
+        self.writing, self.disk_error = False, reason
         self.register.votes = False
         self.register.retired = True
-        self.seat.member.why = f"its disk: {why}"
+        self.core.member.why = f"its disk: {reason}"
         self.waiting.clear()
 
-    def may_speak(self) -> bool:
-        """Under this life: it is on disk, so that the next life can't have the same number."""
+    def may_send(self) -> bool:
+        """Whether this life is on disk. Before that nothing may be sent, or a restart could begin another
+        life with the same number."""
         return self.register.life_mark <= self.register.durable_mark
--- a/embersill/council/seat.py
+++ b/embersill/council/seat.py
@@ -1,7 +1,7 @@
-"""One planner's seat in the council: member, offices and duties put together, still without I/O.
+"""One planner's part in the council without its I/O: the member, its leases, the export and the probes.
 
-Whoever drives it brings questions and answers, ticks, and carries out what is asked for: `outbox` (questions
-to members), `exporter.call` (to billing), `prober.due` (probes), `changes` (backends to leave out).
+The caller passes in requests and answers, calls `tick`, and performs the output: `outbox` (requests to
+members), `exporter.call` (a call to billing), `probes_due` (probes), `advice.changes` (backends to hold out).
 """
 
 from __future__ import annotations
@@ -14,7 +14,14 @@
 from embersill.council.fences import Fence, Why
 from embersill.council.member import Member
 from embersill.council.messages import (
-    Answer, Ask, Confirmed, Entry, Offer, Suspect, Taken, Verdicts,
+    Answer,
+    Ask,
+    Confirmed,
+    Entry,
+    Offer,
+    Suspect,
+    Taken,
+    Verdicts,
 )
 from embersill.council.offices import PREFIX, NotHeld, Post
 from embersill.council.probes import OFFICE as PROBES
@@ -23,57 +30,68 @@
 from embersill.council.terms import CouncilTerms
 from embersill.council.usage import Tally
 
-OFFER_EVERY = 0.2  # seconds
-SEARCH_EVERY = 1.0  # seconds, while it is not known whom to offer it to
-OFFERED = 8  # batches at a time
-SUSPECT_EVERY = 0.5  # seconds
-AGAIN = 0.3  # seconds after which what an owner has not answered is asked again
+OFFER_INTERVAL_S = 0.2
+OWNER_SEARCH_INTERVAL_S = 1.0  # between offers to every member while the export's owner is not known
+MAX_OFFERED_BATCHES = 8  # in one offer
+SUSPECT_INTERVAL_S = 0.5
+RETRY_S = 0.3  # after which a request that an owner has not answered is sent again
 
 
-class Seat:
-    """`prefer`: by office, who is to have it before others. Duties that are not wanted are None."""
+class CouncilCore:
+    """The member, its leases and the work done under them. `exporter` and `prober` are None if not
+    configured."""
 
     def __init__(
-        self, register: Register, terms: CouncilTerms, chance: random.Random, now: float, *,
-        prefer: Mapping[str, list[str]] | None = None, tally: Tally | None = None,
-        probes: ProbeSettings | None = None, others: tuple[str, ...] = (),
+        self,
+        register: Register,
+        terms: CouncilTerms,
+        chance: random.Random,
+        now: float,
+        *,
+        prefer: Mapping[str, list[str]] | None = None,
+        tally: Tally | None = None,
+        probes: ProbeSettings | None = None,
+        others: tuple[str, ...] = (),
     ) -> None:
-        """`others`: offices without a duty of this package's."""
+        """`prefer`: by office, the members that take it before others. `others`: offices whose work is not
+        part of this package."""
         self.register, self.terms = register, terms
         self.member = Member(register, terms, chance, now)
         names = [*([EXPORT] if tally is not None else []), *([PROBES] if probes is not None else []), *others]
-        self.posts = {name: Post(name, self.member, terms, now, prefer=(prefer or {}).get(name, ()))
-                      for name in names}
+        self.offices = {
+            name: Post(name, self.member, terms, now, prefer=(prefer or {}).get(name, ())) for name in names
+        }
         self.fence = Fence(frozenset(names))
         self.tally = tally
-        self.exporter = Exporter(self.posts[EXPORT], self.member) if tally is not None else None
+        self.exporter = Exporter(self.offices[EXPORT], self.member) if tally is not None else None
         self.prober = Prober(probes) if probes is not None else None
         self.suspicions, self.advice = Suspicions(), Advice()
         self.now = now
-        self.offer_at = self.suspect_at = now
-        self.probing = 0  # the number under which this seat's verdicts were found
-        register.on_accepted = self.entry_seen
+        self.next_offer_at = self.next_suspect_at = now
+        self.probe_number = 0  # the office number under which the current verdicts were found
+        register.on_accepted = self.entry_accepted
 
     @property
     def outbox(self) -> list[tuple[str, int, Ask]]:
-        """Taken by whoever sends it."""
+        """Returns and clears the requests to send: receiver, operation number, request."""
         out, self.member.outbox = self.member.outbox, []
         return out
 
-    def entry_seen(self, key: str, entry: Entry) -> None:
-        if key.startswith(PREFIX) and key[len(PREFIX):] in self.posts:
-            self.posts[key[len(PREFIX):]].observe(entry, self.now, read=False)
+    def entry_accepted(self, key: str, entry: Entry) -> None:
+        """Passes an entry that this member's register has accepted to the lease that it belongs to."""
+        if key.startswith(PREFIX) and key[len(PREFIX) :] in self.offices:
+            self.offices[key[len(PREFIX) :]].observe(entry, self.now, read=False)
 
-    # what members ask
+    # requests of members
 
     def handle(self, ask: Ask, now: float) -> Answer:
-        """The answer; what `register.records` has by then must be on disk before it is sent."""
+        """Returns the answer to a request; `register.records` must be on disk before it is sent."""
         self.now = max(self.now, now)
         if not isinstance(ask, Offer | Suspect | Verdicts):
             return self.register.handle(ask)
         register = self.register
         origin, boots, sender = register.answer_origin, register.known_boots(), ask.origin.name
-        if isinstance(ask, Offer):  # of whatever life: what was used was used
+        if isinstance(ask, Offer):  # from any life, since its usage is valid in any case
             done = None if self.exporter is None else self.exporter.offer(ask.stream, ask.batch, ask.entries)
             if done is None:
                 return Taken(origin, boots, "the export is not owned here")
@@ -81,27 +99,29 @@
         if sender != register.me and not register.note_origin(ask.origin):
             return Taken(origin, boots, "a life that is over")
         if isinstance(ask, Suspect):
-            if self.prober is None or not self.posts[PROBES].held(self.now):
+            if self.prober is None or not self.offices[PROBES].held(self.now):
                 return Taken(origin, boots, "the probes are not owned here")
             self.prober.suspect(ask.backends, self.now)
             return Taken(origin, boots, "")
-        why = self.fence.check(ask.act, sender, self.known)
+        why = self.fence.check(ask.act, sender, self.known_owner)
         if why is Why.TAKEN:
             self.advice.take(ask.verdicts, self.now)
         elif why is Why.UNKNOWN:
-            self.posts[ask.act.office].look(self.now)  # it has changed hands, and that was not heard here
+            self.offices[ask.act.office].look(self.now)  # its owner changed, and this member missed it
         return Taken(origin, boots, why.value)
 
-    def known(self, office: str) -> tuple[int, str]:
-        post = self.posts[office]
+    def known_owner(self, office: str) -> tuple[int, str]:
+        """The number and holder of an office as last seen in the register."""
+        post = self.offices[office]
         return post.known_number(), post.seen.held.holder if post.seen is not None else ""
 
     def answered(self, number: int, answer: Answer, now: float) -> None:
+        """Processes a member's answer to request `number`."""
         self.now = max(self.now, now)
         if isinstance(answer, Confirmed):
             if self.tally is not None and answer.stream == self.tally.name:
                 self.tally.confirm(answer.batch)
-                self.offer_at = min(self.offer_at, self.now + OFFER_EVERY / 4)
+                self.next_offer_at = min(self.next_offer_at, self.now + OFFER_INTERVAL_S / 4)
             return
         if not isinstance(answer, Taken):
             self.member.answered(number, answer, self.now)
@@ -109,47 +129,51 @@
     # time
 
     def tick(self, now: float) -> None:
+        """Advances time; to be called some fifty times a second."""
         self.now = now = max(self.now, now)
         self.member.tick(now)
-        for post in self.posts.values():
+        for post in self.offices.values():
             post.tick(now)
         if self.tally is not None:
             self.tally.tick(now)
-            self.offer(now)
+            self.send_offers(now)
         if self.exporter is not None:
             self.exporter.tick(now)
         if self.prober is not None:
             self.probe(now)
 
-    def ask(self, name: str, ask: Ask) -> None:
+    def enqueue(self, name: str, ask: Ask) -> None:
+        """Adds a request that belongs to no register operation to the outbox."""
         self.member.outbox.append((name, 0, ask))
 
-    def offer(self, now: float) -> None:
-        """What waits to be booked goes to the owner, until it says that it is; to all while none is known.
+    def send_offers(self, now: float) -> None:
+        """Offers unconfirmed batches of usage to the export's owner, or to all members if it is not known.
 
-        One that has no vote any more does not hear who it is, and its use has to be booked all the same.
+        A member that has lost its vote no longer learns who the owner is, but its usage still has to be
+        booked.
         """
         assert self.tally is not None
-        if now < self.offer_at:
+        if now < self.next_offer_at:
             return
-        owner = self.posts[EXPORT].holder(now)
-        self.offer_at = now + (OFFER_EVERY if owner else SEARCH_EVERY)
-        for batch, entries in self.tally.offers(OFFERED):
+        owner = self.offices[EXPORT].holder(now)
+        self.next_offer_at = now + (OFFER_INTERVAL_S if owner else OWNER_SEARCH_INTERVAL_S)
+        for batch, entries in self.tally.offers(MAX_OFFERED_BATCHES):
             for name in [owner] if owner else sorted(self.register.members):
-                self.ask(name, Offer(self.register.origin, self.tally.name, batch, entries))
+                self.enqueue(name, Offer(self.register.origin, self.tally.name, batch, entries))
 
     def probe(self, now: float) -> None:
+        """Sends suspicions to the probes' owner; publishes verdicts if this member is the owner."""
         assert self.prober is not None
-        post = self.posts[PROBES]
-        if now >= self.suspect_at and (owner := post.holder(now)):
-            self.suspect_at = now + SUSPECT_EVERY
+        post = self.offices[PROBES]
+        if now >= self.next_suspect_at and (owner := post.holder(now)):
+            self.next_suspect_at = now + SUSPECT_INTERVAL_S
             suspected = self.suspicions.suspected(now)
             if suspected:
-                self.ask(owner, Suspect(self.register.origin, suspected))
+                self.enqueue(owner, Suspect(self.register.origin, suspected))
         if not post.held(now) or post.mine is None:
             return
-        if post.mine.number != self.probing:
-            self.probing = post.mine.number
+        if post.mine.number != self.probe_number:
+            self.probe_number = post.mine.number
             self.prober.reset()
         verdicts = self.prober.verdicts(now)
         if verdicts:
@@ -158,33 +182,35 @@
             except NotHeld:
                 return
             for name in sorted(self.register.members):
-                self.ask(name, Verdicts(self.register.origin, permit.act, verdicts))
+                self.enqueue(name, Verdicts(self.register.origin, permit.act, verdicts))
 
     def probes_due(self, now: float) -> list[str]:
-        """Whom to probe now, while this seat owns the probes."""
-        if self.prober is None or not self.posts[PROBES].held(now):
+        """The backends to probe now, if this member owns the probes."""
+        if self.prober is None or not self.offices[PROBES].held(now):
             return []
         return self.prober.due(now)
 
-    # the end
+    # shutdown
 
     def leave(self, now: float) -> None:
-        """Gives up in order what it holds."""
+        """Releases all leases held here, so that others need not wait for them to expire."""
         self.now = max(self.now, now)
-        for post in self.posts.values():
+        for post in self.offices.values():
             post.leave(self.now)
 
-    def left(self) -> bool:
-        return not any(post.mine is not None or post.busy for post in self.posts.values())
+    def has_left(self) -> bool:
+        """Whether all leases are released and no write of them is under way."""
+        return not any(post.mine is not None or post.busy for post in self.offices.values())
 
     def status(self) -> dict[str, object]:
-        """What an operator watches; docs/operate/offices.md explains each figure."""
-        told: dict[str, object] = {
+        """Figures for operators; docs/operate/offices.md explains each of them."""
+        status: dict[str, object] = {
             "council": self.member.status(),
-            "offices": [post.status(self.now) for post in self.posts.values()],
-            "refused_effects": self.fence.refused()}
+            "offices": [post.status(self.now) for post in self.offices.values()],
+            "refused_effects": self.fence.refused(),
+        }
         if self.exporter is not None and self.tally is not None:
-            told["export"] = {**self.exporter.status(), **self.tally.status()}
+            status["export"] = {**self.exporter.status(), **self.tally.status()}
         if self.prober is not None:
-            told["probes"] = {**self.prober.counts, **self.advice.counts, "out": sorted(self.advice.out)}
-        return told
+            status["probes"] = {**self.prober.counts, **self.advice.counts, "out": sorted(self.advice.out)}
+        return status
--- a/embersill/lab/council/fences.py
+++ b/embersill/lab/council/fences.py
@@ -102,7 +102,7 @@
             ),
             (MEMBER, "return known.boot > mine.boot", "return False and known.boot > mine.boot"),
             (MEMBER, "            or mark > self.register.mark", ""),
-            (DESK, "self.anew = not seat.register.memory_complete", "self.anew = True"),
+            (DESK, "self.compact = not core.register.memory_complete", "self.compact = True"),
             (
                 REGISTER,
                 "if known is not None and (\n            origin.life.boot < known.boot",
@@ -173,8 +173,8 @@
         "written-first",
         DESK,
         "an answer goes out before what it says is on disk",
-        "            self.waiting.append((self.seat.handle(ask, now), say))",
-        "            say(self.seat.handle(ask, now))",
+        "            self.waiting.append((self.core.handle(ask, now), send))",
+        "            send(self.core.handle(ask, now))",
     ),
     # offices
     Fence(
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from embersill.council.desk import Batch, Desk
+from embersill.council.desk import Batch, GroupCommit
 from embersill.council.export import Answered, Call, meta_of
 from embersill.council.journal import Damaged, Journal
 from embersill.council.member import How, Result
@@ -29,7 +29,7 @@
 from embersill.council.offices import PREFIX, NotHeld, Post, read_held
 from embersill.council.probes import ProbeSettings
 from embersill.council.register import Register
-from embersill.council.seat import Seat
+from embersill.council.seat import CouncilCore
 from embersill.council.terms import CouncilTerms, majority
 from embersill.council.usage import Tally, UseBook
 from embersill.lab.council.model import Books, Effect, Receiver, WorldFiles
@@ -65,8 +65,8 @@
         self.disk = Disk(world.kernel.stream(f"disk {name}"))
         self.files = WorldFiles(self.disk, world.token)
         self.backup: dict[str, bytes] | None = None
-        self.seat: Seat
-        self.desk: Desk
+        self.core: CouncilCore
+        self.group_commit: GroupCommit
         self.journal: Journal
         self.uses: UseBook
         self.tally: Tally
@@ -87,13 +87,13 @@
         self.uses.open(f"{me}.{self.chance.getrandbits(32):08x}")
         self.tally = self.uses.tally
         register.begin_life(f"{self.chance.getrandbits(64):016x}")
-        self.seat = Seat(
+        self.core = CouncilCore(
             register, world.terms, self.chance, now, tally=self.tally, probes=ProbeSettings(), others=(WORK,)
         )
-        for post in self.seat.posts.values():
+        for post in self.core.offices.values():
             post.on_change = self.changed
         register.on_accepted = self.entry_seen
-        self.desk = Desk(self.seat)
+        self.group_commit = GroupCommit(self.core)
         self.flush(at_once=True)
         self.after(TICK, self.tick)
         self.after(ACT_EVERY, self.act)
@@ -104,14 +104,14 @@
         self.world.changed(self, post)
 
     def entry_seen(self, key: str, entry: Entry) -> None:
-        self.seat.entry_seen(key, entry)
+        self.core.entry_accepted(key, entry)
         self.world.entry_seen(self, key, entry)
 
     # the disk
 
     def flush(self, at_once: bool = False) -> None:
         grown = self.journal.size > 4 * max(self.journal.kept, 1 << 13)  # sooner than a real one, to be met
-        batch = self.desk.take(grown)
+        batch = self.group_commit.next_batch(grown)
         if batch is None:
             return
         if at_once:
@@ -124,8 +124,8 @@
         try:
             batch.save(self.journal)
         except OSError as error:
-            return self.desk.failed(error.strerror or "it failed")
-        self.desk.written(batch)
+            return self.group_commit.disk_failed(error.strerror or "it failed")
+        self.group_commit.batch_written(batch)
         return self.flush()
 
     def save_use(self) -> None:
@@ -139,14 +139,14 @@
     # what it does
 
     def tick(self) -> None:
-        seat = self.seat
+        core = self.core
         now = self.clock()
-        seat.tick(now)
+        core.tick(now)
         self.world.look()
-        assert seat.prober is not None
-        for name in seat.probes_due(now):
-            self.after(0.05 * self.chance.random(), seat.prober.probed, name, name not in self.world.bad)
-        seat.advice.changes({f"b{n}": True for n in range(12)}, now)
+        assert core.prober is not None
+        for name in core.probes_due(now):
+            self.after(0.05 * self.chance.random(), core.prober.probed, name, name not in self.world.bad)
+        core.advice.changes({f"b{n}": True for n in range(12)}, now)
         self.export()
         self.save_use()
         self.send()
@@ -154,11 +154,11 @@
         self.after(TICK, self.tick)
 
     def send(self) -> None:
-        if not self.desk.may_speak():
+        if not self.group_commit.may_send():
             return
-        for to, number, ask in self.seat.outbox:
+        for to, number, ask in self.core.outbox:
             if to == self.member_name:
-                self.desk.handle(ask, self.local(number), self.clock())
+                self.group_commit.handle(ask, self.local(number), self.clock())
             else:
                 self.world.datagrams.send(
                     self, self.world.nodes[to], self.world.asked, self, self.life, number, ask, to
@@ -176,18 +176,18 @@
             self.world.answered(self, ask, answer)
             self.world.datagrams.send(self, sender, self.world.replied, sender, life, number, answer)
 
-        self.desk.handle(ask, say, self.clock())
+        self.group_commit.handle(ask, say, self.clock())
         self.flush()
 
     def answer_came(self, number: int, answer: Answer) -> None:
-        self.seat.answered(number, answer, self.clock())
+        self.core.answered(number, answer, self.clock())
         self.world.look()
         self.send()
 
     def act(self) -> None:
         """The work of an office: an effect on somebody outside, which may come late."""
         self.after(ACT_EVERY, self.act)
-        post = self.seat.posts[WORK]
+        post = self.core.offices[WORK]
         try:
             permit = post.act(self.clock())
         except NotHeld:
@@ -208,7 +208,7 @@
         self.tally.used(customer, units, self.clock())
         self.world.books.used(self.tally.name, units)
         backend = f"b{self.chance.randrange(12)}"
-        self.seat.suspicions.ended(backend, backend not in self.world.bad, self.clock())
+        self.core.suspicions.ended(backend, backend not in self.world.bad, self.clock())
 
     def client(self) -> None:
         self.after(CLIENT_EVERY * (0.5 + self.chance.random()), self.client)
@@ -216,7 +216,7 @@
             self.world.client(self)
 
     def export(self) -> None:
-        exporter = self.seat.exporter
+        exporter = self.core.exporter
         assert exporter is not None
         call, exporter.call = exporter.call, None
         if call is None:
@@ -235,7 +235,7 @@
         self.world.call_billing(self, call, come)
 
     def leave(self) -> None:
-        self.seat.leave(self.clock())
+        self.core.leave(self.clock())
         self.send()
 
 
@@ -288,7 +288,7 @@
     def asked(self, sender: MemberNode, life: int, number: int, ask: Ask, to: str) -> None:
         node = self.nodes[to]
         if self.coverage is not None:
-            register = node.seat.register
+            register = node.core.register
             state = "retired" if register.retired else "votes" if register.votes else "waits"
             self.coverage.met(type(ask).__name__, state)
         node.question_came(sender, life, number, ask)
@@ -340,7 +340,7 @@
             holders = [
                 node.name
                 for node in self.all_nodes()
-                if node.alive and node.life and node.seat.posts[office].held(node.clock())
+                if node.alive and node.life and node.core.offices[office].held(node.clock())
             ]
             if holders:
                 self.held_at[office] = self.kernel.now
@@ -357,7 +357,7 @@
         self.counts["acts"] += 1
         owner = self.takes.get((act.office, act.number), "")
         if not owner:  # it may have written itself in, and not have heard that it did: the register says so
-            seen = node.seat.posts[act.office].seen
+            seen = node.core.offices[act.office].seen
             owner = seen.held.holder if seen is not None and seen.held.number == act.number else ""
         if owner.partition("/")[0].partition("+")[0] != ask.origin.name:
             raise Broken(
@@ -380,7 +380,7 @@
         self.clients += 1
         number, key, began = self.clients, node.chance.choice(KEYS), self.kernel.now
         self.counts["tries"] += 1
-        seat, draw = node.seat, node.chance.random()
+        core, draw = node.core, node.chance.random()
         writes, picky = draw < 0.6, draw < 0.2
         values: list[tuple[str | None, str]] = []
 
@@ -410,9 +410,9 @@
 
         self.open[number] = (key, values, began, node, node.life)
         if writes:
-            seat.member.write(key, change, done, node.clock())
+            core.member.write(key, change, done, node.clock())
         else:
-            seat.member.read(key, done, node.clock())
+            core.member.read(key, done, node.clock())
         node.send()
 
     def unsure(self, history: list[Op], began: float, values: list[tuple[str | None, str]]) -> None:
@@ -477,7 +477,7 @@
                 (
                     node.name
                     for node in self.nodes.values()
-                    if node.alive and node.seat.posts[step.who[1:]].held(node.clock())
+                    if node.alive and node.core.offices[step.who[1:]].held(node.clock())
                 ),
                 "",
             )
@@ -542,7 +542,7 @@
     def may_lose(self, node: MemberNode) -> bool:
         """Whether a majority would still have its memory: with fewer the council stands still, as it says."""
         have = sum(
-            other is not node and other.life > 0 and other.seat.register.votes
+            other is not node and other.life > 0 and other.core.register.votes
             for other in self.nodes.values()
         )
         return have >= majority(len(self.names))
@@ -590,14 +590,14 @@
         node = self.nodes[step.who]
         if not node.alive:
             return
-        post = node.seat.posts["probes"]
+        post = node.core.offices["probes"]
         number = step.args["number"] or post.known_number()  # nought: the one that goes
         if post.busy or post.mine is not None and number == post.mine.number:
             return  # it may be about to hold that office, or does
         act = Act("probes", number, 1 << 30)
         for to in self.names:
             if to != step.who:
-                ask = Verdicts(node.seat.register.origin, act, [("b0", False, 0.0)])
+                ask = Verdicts(node.core.register.origin, act, [("b0", False, 0.0)])
                 self.datagrams.send(node, self.nodes[to], self.asked, node, node.life, 0, ask, to)
 
     def do_billing(self, step: Step) -> None:
@@ -613,7 +613,7 @@
 
     def mended(self, node: MemberNode) -> None:
         node.disk.fails, node.files.ill = None, ""
-        if node.alive and node.desk.broken:  # somebody has made room, and starts it again
+        if node.alive and node.group_commit.disk_error:  # somebody has made room, and starts it again
             self.die(node)
             self.revive(node)
 
@@ -644,7 +644,7 @@
             if node.alive:
                 self.die(node)
         for node in self.nodes.values():
-            if node.alive and (node.seat.register.retired or node.seat.posts[WORK].leaving):
+            if node.alive and (node.core.register.retired or node.core.offices[WORK].leaving):
                 self.die(node)  # whoever looks after it starts it again, now that the other is gone
             self.revive(node)
         self.kernel.run(self.seconds + SETTLES)
@@ -654,13 +654,13 @@
         self.judge_histories()
         if self.shape.get("hopeless"):
             return
-        votes = [node for node in self.nodes.values() if node.seat.register.votes]
+        votes = [node for node in self.nodes.values() if node.core.register.votes]
         if len(votes) < majority(len(self.names)):
             raise Broken(
                 "all heals",
                 now,
                 f"only {len(votes)} of {len(self.names)} members vote: "
-                + "; ".join(node.seat.member.why for node in self.nodes.values()),
+                + "; ".join(node.core.member.why for node in self.nodes.values()),
             )
         for office in OFFICES:
             if self.held_at.get(office, 0.0) < now - EMPTY_AT_MOST:
@@ -670,7 +670,7 @@
     def figures(self) -> dict[str, float]:
         nodes = self.all_nodes()
         self.counts["late"] = sum(r.late for r in self.receivers) + self.billing.counts["late_refused"]
-        self.counts["learned"] = sum(node.seat.member.counts["learned"] for node in nodes)
+        self.counts["learned"] = sum(node.core.member.counts["learned"] for node in nodes)
         self.counts["appends"] = len(self.billing.log)
         return {**self.counts, "events": self.kernel.events, "lowest": 0.0}
 
--- a/embersill/rig/clerks.py
+++ b/embersill/rig/clerks.py
@@ -88,9 +88,9 @@
 
         self.say(op=number, key=key, begin="write" if writes else "read")
         if writes:
-            self.chair.seat.member.write(key, change, done, self.chair.clock())
+            self.chair.core.member.write(key, change, done, self.chair.clock())
         else:
-            self.chair.seat.member.read(key, done, self.chair.clock())
+            self.chair.core.member.read(key, done, self.chair.clock())
         self.chair.send()
 
 
