--- a/embersill/council/chair.py
+++ b/embersill/council/chair.py
@@ -99,12 +99,12 @@
         self.write()
 
     def answered(self, reply: Reply) -> None:
-        self.core.answered(reply.number, reply.answer, self.clock())
+        self.core.on_answer(reply.number, reply.answer, self.clock())
         self.send()
 
     def own(self, number: int) -> Callable[[Answer], None]:
         def say(answer: Answer) -> None:
-            self.core.answered(number, answer, self.clock())
+            self.core.on_answer(number, answer, self.clock())
             self.loop.call_soon(self.send)
 
         return say
@@ -112,11 +112,11 @@
     def send(self) -> None:
         if not self.group_commit.may_send():
             return self.write()
-        for to, number, ask in self.core.outbox:
+        for to, number, request in self.core.outbox:
             if to == self.name:
-                self.group_commit.handle(ask, self.own(number), self.clock())
+                self.group_commit.handle(request, self.own(number), self.clock())
             else:
-                self.lines[to].ask(Question(number, ask))  # type: ignore[arg-type]
+                self.lines[to].ask(Question(number, request))  # type: ignore[arg-type]
         return self.write()
 
     # the disk
@@ -195,7 +195,7 @@
 
     def tell_changes(self) -> None:
         """In the log, once: that this member has no vote, and why."""
-        why = self.core.member.why if not self.core.register.votes else ""
+        why = self.core.member.reason if not self.core.register.votes else ""
         if why != self.was and why not in ("starting", "founded"):
             log.warning("council: %s", f"no vote: {why}" if why else "this member votes again")
         self.was = why if why not in ("starting", "founded") else self.was
--- a/embersill/council/desk.py
+++ b/embersill/council/desk.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from embersill.council.journal import Journal
-from embersill.council.messages import Answer, Ask
+from embersill.council.messages import Answer, Request
 from embersill.council.seat import CouncilCore
 
 MAX_WAITING_ANSWERS = 4096  # for the disk; beyond it requests are dropped, and their senders retry
@@ -49,16 +49,16 @@
         # without complete state there is no journal to append to
         self.compact = not core.register.memory_complete
         self.disk_error = ""  # once set, no request is answered any more
-        core.member.on_learned = self.on_recovered
+        core.member.on_recovered = self.on_recovered
 
     def on_recovered(self) -> None:
         """The state was recovered from other members: the next batch rewrites the journal with it."""
         self.compact = True
 
-    def handle(self, ask: Ask, send: SendAnswer, now: float) -> None:
+    def handle(self, request: Request, send: SendAnswer, now: float) -> None:
         """Handles a request; `send` is called with the answer once it may be sent, or never."""
         if not self.disk_error and len(self.waiting) < MAX_WAITING_ANSWERS:
-            self.waiting.append((self.core.handle(ask, now), send))
+            self.waiting.append((self.core.handle(request, now), send))
 
     def next_batch(self, needs_compaction: bool = False) -> Batch | None:
         """The next batch, if there is anything to write or to send and no batch is being written.
@@ -91,7 +91,7 @@
         self.writing, self.disk_error = False, reason
         self.register.votes = False
         self.register.retired = True
-        self.core.member.why = f"its disk: {reason}"
+        self.core.member.reason = f"its disk: {reason}"
         self.waiting.clear()
 
     def may_send(self) -> bool:
--- a/embersill/council/links.py
+++ b/embersill/council/links.py
@@ -12,7 +12,9 @@
 import os
 from collections.abc import Callable, Iterable
 
-from embersill.council.messages import VERSION, Answer, Question, Reply, packed, read_question, read_reply
+from embersill.council.messages import (
+    VERSION, Answer, Question, Reply, decode_question, decode_reply, encode_frame,
+)
 from embersill.council.terms import CouncilTerms
 from embersill.tiers.frames import AcceptedProtocol, Dialler, FrameProtocol
 from embersill.tiers.messages import BadFrame
@@ -45,12 +47,12 @@
         self.server.links.add(self)
 
     def frame_received(self, frame: bytes) -> None:
-        question = read_question(frame)
+        question = decode_question(frame)
         if question.ask.origin.name != self.name:
             raise BadFrame(f"{self.name!r} asks in the name of {question.ask.origin.name!r}")
 
         def say(answer: Answer) -> None:
-            self.write(length_prefixed(packed(Reply(question.number, answer))))  # type: ignore[arg-type]
+            self.write(length_prefixed(encode_frame(Reply(question.number, answer))))  # type: ignore[arg-type]
 
         self.server.asked(self.name, question, say)
 
@@ -103,7 +105,7 @@
         return None
 
     def frame_received(self, frame: bytes) -> None:
-        reply = read_reply(frame)
+        reply = decode_reply(frame)
         if reply.answer.origin.name != self.line.name:
             raise BadFrame(f"{self.line.name!r} answers in the name of {reply.answer.origin.name!r}")
         self.asked_at = None
@@ -114,7 +116,7 @@
         if self.asked_at is not None and now - self.asked_at > SILENT_FOR:
             return self.close()
         self.asked_at = self.asked_at or now
-        return self.write(length_prefixed(packed(question)))
+        return self.write(length_prefixed(encode_frame(question)))
 
     def reject(self, reason: str) -> None:
         if reason != self.line.last_reason:
--- a/embersill/council/member.py
+++ b/embersill/council/member.py
@@ -1,8 +1,8 @@
-"""A member of the council: its reads and writes, its start, and how it learns what it has lost. No I/O.
+"""A member of the council: its reads and writes, its start, and the recovery of lost state. No I/O.
 
-Whoever drives it sends `outbox` (one's own register is asked like the others', by way of the same disk),
-brings each answer to `answered`, and calls `tick` some fifty times a second. All times are this process's
-own clock.
+The caller sends `outbox` (including requests to this member's own register, which go through the same disk
+path as the others), passes each answer to `on_answer`, and calls `tick` some fifty times a second. All times
+are from this process's own clock.
 """
 
 from __future__ import annotations
@@ -16,16 +16,32 @@
 import msgspec
 
 from embersill.council.messages import (
-    NOUGHT, Accept, Accepted, Answer, Ask, Ballot, Entry, Hello, Here, Join, Life, Origin, Peek, Prepare,
-    Refused, State, Superseded, Told,
+    ZERO_BALLOT,
+    Accept,
+    Accepted,
+    Answer,
+    Request,
+    Ballot,
+    Entry,
+    Hello,
+    HelloReply,
+    Join,
+    Life,
+    Origin,
+    Peek,
+    Prepare,
+    Refused,
+    JoinReply,
+    Superseded,
+    CellReply,
 )
 from embersill.council.register import Cell, Register
 from embersill.council.terms import CouncilTerms, majority
 
-KEPT_WRITES = 1000  # whose times are kept, for whoever looks on
-TOOK_PART = 0.2  # of what a read or write took that goes into the smoothed figure
-MOST_OPERATIONS = 256  # open at a time; a further one fails at once
-LEARN_AGAIN = 0.5  # seconds after which a member without its memory asks anew
+MAX_LATENCY_SAMPLES = 1000  # write latencies kept for the status
+LATENCY_SMOOTHING = 0.2  # weight of the newest operation in the smoothed latency
+MAX_OPERATIONS = 256  # open at a time; a further one fails at once
+RECOVERY_RETRY_S = 0.5  # after which a member without complete state sends its requests again
 
 Change = Callable[[Entry | None], bytes | None]
 
@@ -34,29 +50,31 @@
     """How a read or a write ended."""
 
     DONE = "done"  # a majority has it
-    REFUSED = "refused"  # the change did not want what it found: nothing was written
-    UNKNOWN = "unknown"  # no majority answered in time, and some member may have it
-    FAILED = "failed"  # no majority answered in time, and none has it
+    REFUSED = "refused"  # the change function declined the value it was given: nothing was written
+    UNKNOWN = "unknown"  # no majority answered in time, and some member may have accepted it
+    FAILED = "failed"  # no majority answered in time, and no member has accepted it
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """`entry`: the key's value, as written or found; None if there is none. `began`: when it was asked
-    for."""
+    """How an operation ended. `entry`: the key's value, as written or found; None if there is none. `began`:
+    when the operation was started."""
 
     how: How
     entry: Entry | None
     began: float
 
 
-Done = Callable[[Result, float], None]
+OnResult = Callable[[Result, float], None]
 
 
 class Phase(Enum):
+    """What an operation is waiting for."""
+
     PEEK = "peek"
     PREPARE = "prepare"
     ACCEPT = "accept"
-    WAIT = "wait"  # for the next round, after one that was lost
+    WAIT = "wait"  # back-off before the next round, after one that failed
 
 
 @dataclass(slots=True)
@@ -66,34 +84,35 @@
     number: int
     key: str
     change: Change | None
-    done: Done
+    on_result: OnResult
     began: float
-    until: float
+    deadline: float
     phase: Phase = Phase.WAIT
-    ballot: Ballot = NOUGHT
-    entry: Entry | None = None  # that is put to the vote
-    refused: bool = False  # the change did not want what was found
-    told: dict[str, Told] = field(default_factory=dict)
+    ballot: Ballot = ZERO_BALLOT
+    entry: Entry | None = None  # the proposed entry
+    refused: bool = False  # the change function declined the value found
+    replies: dict[str, CellReply] = field(default_factory=dict)
     accepted: dict[str, Accepted] = field(default_factory=dict)
-    phase_until: float = 0.0
+    phase_deadline: float = 0.0
     rounds: int = 0
-    known: Cell = field(default_factory=Cell)  # what this member had accepted as it asked
-    hidden: dict[str, int] = field(default_factory=dict)  # own entries that may be in: writer and version
-    writers: dict[Ballot, str] = field(default_factory=dict)  # of these, by the ballot that they were put to
-    refusals: dict[Ballot, set[str]] = field(default_factory=dict)  # who refused each ballot
+    local: Cell = field(default_factory=Cell)  # what this member had accepted when it sent the request
+    # own entries that some member may have accepted: version by writer
+    undecided: dict[str, int] = field(default_factory=dict)
+    writers: dict[Ballot, str] = field(default_factory=dict)  # of these entries, by the ballot of each
+    refusals: dict[Ballot, set[str]] = field(default_factory=dict)  # members that refused each ballot
 
 
 @dataclass(slots=True)
 class Peer:
     """What is known of another member."""
 
-    heard: float = float("-inf")  # last answer
-    since: float = float("-inf")  # from when on it has answered and voted without a break
-    here: Here | None = None  # its last word on this member's own life
+    last_answer_at: float = float("-inf")
+    answering_since: float = float("-inf")  # since when it has answered, voting, without a gap
+    hello: HelloReply | None = None  # its latest answer to a Hello
 
 
-def alive_boots(answers: Iterable[Answer]) -> dict[str, int]:
-    """By name, the latest life that any of these answers knows of."""
+def latest_boots(answers: Iterable[Answer]) -> dict[str, int]:
+    """The number of the latest life of each member that any of these answers lists, by name."""
     boots: dict[str, int] = {}
     for answer in answers:
         for name, boot in (*answer.lives.items(), (answer.origin.name, answer.origin.life.boot)):
@@ -101,350 +120,407 @@
     return boots
 
 
-def counting(answers: Mapping[str, Answer]) -> set[str]:
-    """Who of those that answered counts: an answer of a life that is known to be over does not."""
-    boots = alive_boots(answers.values())
+def valid_voters(answers: Mapping[str, Answer]) -> set[str]:
+    """The members whose answers count towards a majority; one from a life known to be over does not."""
+    boots = latest_boots(answers.values())
     return {name for name, answer in answers.items() if answer.origin.life.boot >= boots[name]}
 
 
-def no_journal() -> None:
-    """What is called after a member has learned, where there is none."""
+def ignore_recovery() -> None:
+    """The default `on_recovered` callback, which does nothing."""
 
 
-def nobody_asks(life: Life) -> None:
-    """What is called as a member retires, where nobody wants to know."""
+def ignore_life(life: Life) -> None:
+    """The default `on_retired` callback, which does nothing."""
 
 
 class Member:
+    """Proposer and client of the register, and the start and recovery of this member's own acceptor."""
+
     def __init__(self, register: Register, terms: CouncilTerms, chance: random.Random, now: float) -> None:
-        """`register`: loaded and begun. `chance`: for back-off and nonces."""
+        """`register`: already loaded, with its life begun. `chance`: for back-off and nonces."""
         self.register, self.terms, self.chance = register, terms, chance
         self.me = register.me
         self.others = sorted(register.members - {self.me})
         self.needed = majority(len(register.members))
         self.peers = {name: Peer() for name in self.others}
-        self.outbox: list[tuple[str, int, Ask]] = []  # to whom, the operation's number, what
+        self.outbox: list[tuple[str, int, Request]] = []  # receiver, operation number, request
         self.operations: dict[int, Operation] = {}
         self.number = 0
-        self.highest = 0  # round seen, of any ballot
-        self.ready: dict[str, tuple[Ballot, Entry, dict[str, Told]]] = {}  # promised ahead, by key
-        self.now = self.born = now
-        self.hello_at = now
-        self.states: dict[str, State] = {}
-        self.learning: Life | None = None
-        self.learn_at = now
-        self.on_learned: Callable[[], None] = no_journal  # it is to be written anew
-        self.on_retired: Callable[[Life], None] = nobody_asks
-        self.why = "starting"
+        self.highest_round = 0  # of any ballot seen
+        self.prepared: dict[str, tuple[Ballot, Entry, dict[str, CellReply]]] = {}  # ahead, by key
+        self.now = self.started_at = now
+        self.next_hello_at = now
+        self.join_replies: dict[str, JoinReply] = {}
+        self.new_life: Life | None = None
+        self.next_recovery_at = now
+        self.on_recovered: Callable[[], None] = ignore_recovery  # the journal must be rewritten
+        self.on_retired: Callable[[Life], None] = ignore_life
+        self.reason = "starting"
         if register.memory_complete and not self.others:
             register.votes = True
-        self.writes_took: deque[float] = deque(maxlen=KEPT_WRITES)  # seconds each
-        self.took = 0.0  # seconds of a read or write that nobody disturbed, smoothed
+        self.write_latencies: deque[float] = deque(maxlen=MAX_LATENCY_SAMPLES)  # in seconds
+        self.latency = 0.0  # seconds that an operation of a single round takes, smoothed
         self.counts = {"reads": 0, "writes": 0, "rounds": 0, "lost": 0, "learned": 0}
 
     # operations
 
-    def read(self, key: str, done: Done, now: float, within: float | None = None) -> None:
-        """The key's value: what it tells was true at some moment after it was asked for."""
-        self.begin(key, None, done, now, within)
+    def read(self, key: str, on_result: OnResult, now: float, within: float | None = None) -> None:
+        """Reads a key (linearizable): the result was current at some moment after this call."""
+        self.start(key, None, on_result, now, within)
 
-    def write(self, key: str, change: Change, done: Done, now: float, within: float | None = None) -> None:
-        """Puts `change` of the key's value in its place; None from it refuses.
+    def write(
+        self, key: str, change: Change, on_result: OnResult, now: float, within: float | None = None
+    ) -> None:
+        """Replaces the key's value by what `change` makes of it; if `change` returns None, the write is
+        refused.
 
-        `change` may be called several times, and only what a majority took counts.
+        `change` may be called several times; only the value that a majority accepts counts.
         """
-        self.begin(key, change, done, now, within)
+        self.start(key, change, on_result, now, within)
 
-    def begin(self, key: str, change: Change | None, done: Done, now: float, within: float | None) -> None:
+    def start(
+        self, key: str, change: Change | None, on_result: OnResult, now: float, within: float | None
+    ) -> None:
+        """Starts an operation; it fails at once if this member cannot serve it."""
         self.now = max(self.now, now)
         within = self.terms.within if within is None else min(within, self.terms.within)
-        if not self.register.votes or self.register.retired or len(self.operations) >= MOST_OPERATIONS:
-            return done(Result(How.FAILED, None, self.now), self.now)
+        if not self.register.votes or self.register.retired or len(self.operations) >= MAX_OPERATIONS:
+            return on_result(Result(How.FAILED, None, self.now), self.now)
         self.number += 1
-        operation = Operation(self.number, key, change, done, self.now, self.now + within)
+        operation = Operation(self.number, key, change, on_result, self.now, self.now + within)
         self.operations[self.number] = operation
         self.counts["reads" if change is None else "writes"] += 1
-        return self.round(operation)
+        return self.start_round(operation)
 
-    def ask_all(self, operation: Operation, ask: Ask, phase: Phase) -> None:
-        operation.phase, operation.phase_until = phase, self.now + self.terms.attempt
+    def broadcast(self, operation: Operation, request: Request, phase: Phase) -> None:
+        """Adds a request to all members, this one included, to the outbox."""
+        operation.phase, operation.phase_deadline = phase, self.now + self.terms.attempt
         for name in (self.me, *self.others):
-            self.outbox.append((name, operation.number, ask))
+            self.outbox.append((name, operation.number, request))
 
-    def round(self, operation: Operation) -> None:
+    def start_round(self, operation: Operation) -> None:
+        """Starts an operation's next round: a Peek, an Accept on a ballot promised ahead, or a Prepare."""
         operation.rounds += 1
         self.counts["rounds"] += 1
-        operation.told, operation.accepted = {}, {}
+        operation.replies, operation.accepted = {}, {}
         cell = self.register.cells.get(operation.key)
         if operation.change is None and operation.rounds == 1:
-            operation.known = Cell() if cell is None else Cell(accepted=cell.accepted, entry=cell.entry)
-            ask = Peek(self.register.origin, operation.key, operation.known.accepted)
-            return self.ask_all(operation, ask, Phase.PEEK)
-        ahead = self.ready.pop(operation.key, None)
-        if ahead is not None and operation.change is not None and operation.rounds == 1 and (
-                cell is None or cell.promised <= ahead[0]):  # nobody else has been there, as far as is known
-            operation.ballot, operation.told = ahead[0], ahead[2]
+            operation.local = Cell() if cell is None else Cell(accepted=cell.accepted, entry=cell.entry)
+            request = Peek(self.register.origin, operation.key, operation.local.accepted)
+            return self.broadcast(operation, request, Phase.PEEK)
+        prepared = self.prepared.pop(operation.key, None)
+        if (
+            prepared is not None
+            and operation.change is not None
+            and operation.rounds == 1
+            and (cell is None or cell.promised <= prepared[0])
+        ):  # no other proposer is known to have intervened
+            operation.ballot, operation.replies = prepared[0], prepared[2]
             return self.propose(operation, fresh=False)
-        self.highest += 1
-        operation.ballot = Ballot(self.highest, self.me, self.register.life.boot)
+        self.highest_round += 1
+        operation.ballot = Ballot(self.highest_round, self.me, self.register.life.boot)
         prepare = Prepare(self.register.origin, operation.key, operation.ballot)
-        return self.ask_all(operation, prepare, Phase.PREPARE)
+        return self.broadcast(operation, prepare, Phase.PREPARE)
 
     def propose(self, operation: Operation, fresh: bool = True) -> None:
-        """A majority has promised: what it had accepted is changed and put to the vote.
+        """A majority has promised: applies the change to the latest accepted entry and proposes the result.
 
-        `fresh` is False where it promised before the operation began: another may have written since, so what
-        is found shows nothing until a majority has accepted it.
+        `fresh` is False if the promises were made before the operation began: another member may have written
+        since, so the entry found proves nothing until a majority has accepted it again.
         """
-        latest = max(operation.told.values(), key=lambda told: told.accepted)
+        latest = max(operation.replies.values(), key=lambda reply: reply.accepted)
         found = latest.entry
-        if found is not None and found.writer in operation.hidden:
-            operation.entry = found  # one's own of a round that seemed lost: it has to come to a majority
-        elif operation.hidden and found is not None and found.version >= min(operation.hidden.values()):
-            return self.end(operation, How.UNKNOWN, found)  # one's own may be in, beneath another's
+        if found is not None and found.writer in operation.undecided:
+            operation.entry = found  # its own, of an earlier round: bring it to a majority
+        elif operation.undecided and found is not None and found.version >= min(operation.undecided.values()):
+            return self.finish(operation, How.UNKNOWN, found)  # an own entry may lie beneath another's
         else:
             data = operation.change(found) if operation.change is not None else None
             operation.refused = operation.change is not None and data is None
             if data is None:
-                settled = all(told.accepted == latest.accepted for told in operation.told.values())
+                settled = all(reply.accepted == latest.accepted for reply in operation.replies.values())
                 if found is None or settled and fresh:
-                    return self.end(operation, How.REFUSED if operation.refused else How.DONE, found)
-                operation.entry = found  # it may be with a minority only: it is brought to a majority
+                    return self.finish(operation, How.REFUSED if operation.refused else How.DONE, found)
+                operation.entry = found  # perhaps accepted by a minority only: bring it to a majority
             else:
                 writer = f"{self.me}.{self.register.life.boot}.{operation.number}.{operation.rounds}"
                 version = 1 if found is None else found.version + 1
                 operation.entry = Entry(version, writer, data)
-                operation.hidden[writer] = version
+                operation.undecided[writer] = version
                 operation.writers[operation.ballot] = writer
         following = operation.ballot._replace(round=operation.ballot.round + 1)
-        self.highest = max(self.highest, following.round)
-        ask = Accept(self.register.origin, operation.key, operation.ballot, operation.entry, following)
-        return self.ask_all(operation, ask, Phase.ACCEPT)
+        self.highest_round = max(self.highest_round, following.round)
+        request = Accept(self.register.origin, operation.key, operation.ballot, operation.entry, following)
+        return self.broadcast(operation, request, Phase.ACCEPT)
 
-    def answered(self, number: int, answer: Answer, now: float) -> None:
-        """An answer to what was sent as `number`; nought for those that belong to no operation."""
+    def on_answer(self, number: int, answer: Answer, now: float) -> None:
+        """Processes the answer to request `number`; 0 if it belongs to no operation."""
         self.now = max(self.now, now)
         name = answer.origin.name
         if name in self.peers:
-            self.heard(name, answer)
+            self.note_answer(name, answer)
         if isinstance(answer, Superseded):
-            return self.superseded(answer)
-        if isinstance(answer, Here):
-            return self.welcomed(name, answer)
-        if isinstance(answer, State):
-            return self.state_came(name, answer)
+            return self.on_superseded(answer)
+        if isinstance(answer, HelloReply):
+            return self.on_hello_reply(name, answer)
+        if isinstance(answer, JoinReply):
+            return self.on_join_reply(name, answer)
         operation = self.operations.get(number)
         if operation is None or name not in self.register.members:
             return None
         if name in self.peers and not self.register.note_origin(answer.origin):
             return None
-        if isinstance(answer, Told):
-            self.told(operation, name, answer)
+        if isinstance(answer, CellReply):
+            self.on_cell_reply(operation, name, answer)
         elif isinstance(answer, Accepted):
             if operation.phase is Phase.ACCEPT and answer.ballot == operation.ballot:
                 operation.accepted[name] = answer
-                self.settle(operation)
+                self.check_accepted(operation)
         elif isinstance(answer, Refused):
-            self.highest = max(self.highest, answer.promised.round)
-            self.refused(operation, name, answer)
+            self.highest_round = max(self.highest_round, answer.promised.round)
+            self.on_refused(operation, name, answer)
             if operation.phase in (Phase.PREPARE, Phase.ACCEPT) and answer.ballot == operation.ballot:
-                self.lost(operation)
+                self.retry_later(operation)
         return None
 
-    def refused(self, operation: Operation, name: str, answer: Refused) -> None:
-        """An entry that all members have refused is nowhere, and never will be."""
+    def on_refused(self, operation: Operation, name: str, answer: Refused) -> None:
+        """Notes a refusal. An entry that all members have refused is accepted nowhere, and never will be."""
         if answer.accepted >= answer.ballot:
-            return  # this member may have accepted it before it promised more
+            return  # this member may have accepted it before it promised a higher ballot
         by = operation.refusals.setdefault(answer.ballot, set())
         by.add(name)
         writer = operation.writers.get(answer.ballot, "")
-        if by == self.register.members and writer in operation.hidden:
-            del operation.hidden[writer]
+        if by == self.register.members and writer in operation.undecided:
+            del operation.undecided[writer]
 
-    def told(self, operation: Operation, name: str, answer: Told) -> None:
-        self.highest = max(self.highest, answer.promised.round, answer.accepted.round)
+    def on_cell_reply(self, operation: Operation, name: str, answer: CellReply) -> None:
+        """Processes the answer to a Peek or a Prepare."""
+        self.highest_round = max(self.highest_round, answer.promised.round, answer.accepted.round)
         if operation.phase is Phase.PEEK:
-            if answer.accepted == operation.known.accepted:  # a ballot is put to the vote with one entry only
-                answer = msgspec.structs.replace(answer, entry=operation.known.entry)
-            operation.told[name] = answer
-            if len(counting(operation.told)) >= self.needed:
-                latest = max(operation.told.values(), key=lambda told: told.accepted)
-                same = {n: t for n, t in operation.told.items() if t.accepted == latest.accepted}
-                if len(counting(operation.told) & same.keys()) >= self.needed:
-                    self.end(operation, How.DONE, latest.entry)
-                elif len(operation.told) == len(self.register.members):
-                    self.round(operation)  # some write is half done: it is brought to its end
+            if answer.accepted == operation.local.accepted:  # a ballot is proposed with one entry only
+                answer = msgspec.structs.replace(answer, entry=operation.local.entry)
+            operation.replies[name] = answer
+            if len(valid_voters(operation.replies)) >= self.needed:
+                latest = max(operation.replies.values(), key=lambda reply: reply.accepted)
+                same = {n: t for n, t in operation.replies.items() if t.accepted == latest.accepted}
+                if len(valid_voters(operation.replies) & same.keys()) >= self.needed:
+                    self.finish(operation, How.DONE, latest.entry)
+                elif len(operation.replies) == len(self.register.members):
+                    self.start_round(operation)  # a write is incomplete: complete it
         elif operation.phase is Phase.PREPARE and answer.promised == operation.ballot:
-            operation.told[name] = answer
-            if len(counting(operation.told)) >= self.needed:
-                operation.told = {n: operation.told[n] for n in counting(operation.told)}
+            operation.replies[name] = answer
+            if len(valid_voters(operation.replies)) >= self.needed:
+                operation.replies = {n: operation.replies[n] for n in valid_voters(operation.replies)}
                 self.propose(operation)
 
-    def settle(self, operation: Operation) -> None:
-        """Ends an operation once a majority has accepted."""
-        counts = counting(operation.accepted)
-        if len(counts) < self.needed:
+    def check_accepted(self, operation: Operation) -> None:
+        """Finishes an operation once a majority has accepted its entry."""
+        voters = valid_voters(operation.accepted)
+        if len(voters) < self.needed:
             return
         entry = operation.entry
         assert entry is not None
         following = operation.ballot._replace(round=operation.ballot.round + 1)
-        # who accepted has promised the next ballot too: the next write of this key needs no first round
-        self.ready[operation.key] = following, entry, {
-            name: Told(accepted.origin, accepted.lives, following, operation.ballot, entry)
-            for name, accepted in operation.accepted.items() if name in counts}
-        self.end(operation, How.REFUSED if operation.refused else How.DONE, entry)
-
-    def lost(self, operation: Operation) -> None:
-        """A round that another's went over: tried again after a while, so that both don't go on for ever."""
+        # these members also promised the next ballot, so the next write of this key needs no Prepare
+        self.prepared[operation.key] = (
+            following,
+            entry,
+            {
+                name: CellReply(accepted.origin, accepted.lives, following, operation.ballot, entry)
+                for name, accepted in operation.accepted.items()
+                if name in voters
+            },
+        )
+        self.finish(operation, How.REFUSED if operation.refused else How.DONE, entry)
+
+    def retry_later(self, operation: Operation) -> None:
+        """A round was overridden by another proposer's: retries after a randomized back-off, since both
+        would otherwise go on overriding each other."""
         self.counts["lost"] += 1
-        self.ready.pop(operation.key, None)
+        self.prepared.pop(operation.key, None)
         wait = min(self.terms.back_off * 2.0 ** min(operation.rounds, 10), self.terms.most_back_off)
         operation.phase = Phase.WAIT
-        operation.phase_until = self.now + wait * (0.5 + self.chance.random())
+        operation.phase_deadline = self.now + wait * (0.5 + self.chance.random())
 
-    def end(self, operation: Operation, how: How, entry: Entry | None) -> None:
+    def finish(self, operation: Operation, how: How, entry: Entry | None) -> None:
+        """Ends an operation and reports its result."""
         self.operations.pop(operation.number, None)
         if how is How.DONE and operation.change is not None:
-            self.writes_took.append(self.now - operation.began)
+            self.write_latencies.append(self.now - operation.began)
         if how is How.DONE and operation.rounds == 1:
-            self.took += TOOK_PART * (self.now - operation.began - self.took)
-        operation.done(Result(how, entry, operation.began), self.now)
+            self.latency += LATENCY_SMOOTHING * (self.now - operation.began - self.latency)
+        operation.on_result(Result(how, entry, operation.began), self.now)
 
     def close(self) -> None:
-        """Ends all reads and writes: this member takes part no more, and whoever waits has to ask again."""
+        """Ends all operations: this member no longer takes part, and callers have to retry elsewhere."""
         for operation in list(self.operations.values()):
-            self.end(operation, How.UNKNOWN if operation.hidden else How.FAILED, None)
+            self.finish(operation, How.UNKNOWN if operation.undecided else How.FAILED, None)
 
     # time
 
     def tick(self, now: float) -> None:
+        """Advances time: ends operations past their deadline, retries rounds, sends Hellos."""
         self.now = max(self.now, now)
         for operation in list(self.operations.values()):
-            if self.now >= operation.until:
-                taken = operation.change is not None and operation.hidden
-                self.end(operation, How.UNKNOWN if taken else How.FAILED, None)
-            elif self.now >= operation.phase_until:
+            if self.now >= operation.deadline:
+                uncertain = operation.change is not None and operation.undecided
+                self.finish(operation, How.UNKNOWN if uncertain else How.FAILED, None)
+            elif self.now >= operation.phase_deadline:
                 if operation.phase is Phase.WAIT:
-                    self.round(operation)
+                    self.start_round(operation)
                 else:
-                    self.lost(operation)
-        if self.now >= self.hello_at and not self.register.retired:
-            self.hello_at = self.now + self.terms.hello_every
+                    self.retry_later(operation)
+        if self.now >= self.next_hello_at and not self.register.retired:
+            self.next_hello_at = self.now + self.terms.hello_every
             for name in self.others:
                 self.outbox.append((name, 0, Hello(self.register.origin)))
-        self.vote()
+        self.try_to_vote()
 
-    # others, and one's own start
+    # peers, start and recovery
 
-    def heard(self, name: str, answer: Answer) -> None:
+    def note_answer(self, name: str, answer: Answer) -> None:
+        """Records that a peer has answered; a gap or a lost vote restarts its time of answering."""
         peer = self.peers[name]
-        if self.now - peer.heard > 3 * self.terms.hello_every or (
-                isinstance(answer, Here) and not answer.votes or peer.since == float("-inf")):
-            peer.since = self.now
-        peer.heard = self.now
-
-    def well_since(self, name: str) -> float:
-        """From when on a member has answered without a break; infinite if it does not now."""
+        if self.now - peer.last_answer_at > 3 * self.terms.hello_every or (
+            isinstance(answer, HelloReply) and not answer.votes or peer.answering_since == float("-inf")
+        ):
+            peer.answering_since = self.now
+        peer.last_answer_at = self.now
+
+    def answering_since(self, name: str) -> float:
+        """The time since which a member has answered without a gap; infinite if it does not answer now."""
         peer = self.peers[name]
-        return peer.since if self.now - peer.heard <= 3 * self.terms.hello_every else float("inf")
-
-    def welcomed(self, name: str, here: Here) -> None:
+        return (
+            peer.answering_since
+            if self.now - peer.last_answer_at <= 3 * self.terms.hello_every
+            else float("inf")
+        )
+
+    def on_hello_reply(self, name: str, hello: HelloReply) -> None:
+        """Processes what a peer knows of this member; it may show that the state here is incomplete."""
         if name not in self.peers:
             return
-        if here.origin.life.boot and not self.register.note_origin(here.origin):
+        if hello.origin.life.boot and not self.register.note_origin(hello.origin):
             return
-        self.peers[name].here = here
+        self.peers[name].hello = hello
         register = self.register
-        if register.memory_complete and not register.votes and self.is_behind(here.life, here.mark):
-            self.forget(f"{name} knows of more than this member's memory has")
-        self.vote()
+        if register.memory_complete and not register.votes and self.is_behind(hello.life, hello.mark):
+            self.forget(f"{name} has seen records that are missing from this member's journal")
+        self.try_to_vote()
 
     def is_behind(self, known: Life, mark: int) -> bool:
-        """Somebody knows of a later life of this member, or of more that it wrote, than stands here."""
+        """Whether another member knows of a later life of this member, or of more records, than it has."""
         mine = self.register.life
-        return known.boot > mine.boot or (known.boot == mine.boot and known.nonce != mine.nonce) \
+        return (
+            known.boot > mine.boot
+            or (known.boot == mine.boot and known.nonce != mine.nonce)
             or mark > self.register.mark
+        )
 
-    def forget(self, why: str) -> None:
-        """What is here is not all that was answered for: it must be learned from the others."""
-        self.why = why
+    def forget(self, reason: str) -> None:
+        """The state here is incomplete and must be recovered from the other members."""
+        self.reason = reason
         self.register.forget()
-        self.states, self.learning, self.learn_at = {}, None, self.now
+        self.join_replies, self.new_life, self.next_recovery_at = {}, None, self.now
 
-    def vote(self) -> None:
-        """Takes part as soon as enough others have agreed that the memory here is all there is."""
+    def try_to_vote(self) -> None:
+        """Gains the vote as soon as enough other members have confirmed that the state here is complete."""
         register = self.register
         if register.votes or register.retired:
             return
         if not register.memory_complete:
             if self.is_new():
                 register.initialize(f"{self.chance.getrandbits(64):016x}")
-                self.why = "founded"
-                self.hello_at = self.now
-            return self.learn()
-        told = [peer.here for peer in self.peers.values() if peer.here is not None and peer.here.remembers]
-        if len(told) == len(self.others) or (
-                len(told) >= self.needed - 1 and self.now >= self.born + self.terms.settle):
-            register.votes, self.why = True, ""
+                self.reason = "founded"
+                self.next_hello_at = self.now
+            return self.recover()
+        confirming = [
+            peer.hello
+            for peer in self.peers.values()
+            if peer.hello is not None and peer.hello.memory_complete
+        ]
+        if len(confirming) == len(self.others) or (
+            len(confirming) >= self.needed - 1 and self.now >= self.started_at + self.terms.settle
+        ):
+            register.votes, self.reason = True, ""
 
     def is_new(self) -> bool:
-        """Nobody has ever met this member, all others say so, and none of them knows of any key."""
-        if self.learning is not None or self.register.known_boot(self.me) or self.register.cells:
+        """Whether all others have said that they never met this member and know of no key."""
+        if self.new_life is not None or self.register.known_boot(self.me) or self.register.cells:
             return False
-        heres = [peer.here for peer in self.peers.values()]
-        return all(here is not None and not here.life.boot and not here.keys for here in heres)
-
-    def learn(self) -> None:
-        """Asks all others to take the old lives to be over and to tell all they know; again and again."""
-        heres = [peer.here for peer in self.peers.values()]
-        known = [here for here in heres if here is not None and here.remembers]
-        if self.register.memory_complete or self.now < self.learn_at or len(known) < self.needed:
+        hellos = [peer.hello for peer in self.peers.values()]
+        return all(hello is not None and not hello.life.boot and not hello.keys for hello in hellos)
+
+    def recover(self) -> None:
+        """Requests all others to declare this member's earlier lives over and send their state; repeated
+        until a majority has."""
+        hellos = [peer.hello for peer in self.peers.values()]
+        known = [hello for hello in hellos if hello is not None and hello.memory_complete]
+        if self.register.memory_complete or self.now < self.next_recovery_at or len(known) < self.needed:
             return
-        self.learn_at = self.now + LEARN_AGAIN * (0.5 + self.chance.random())
-        latest = max([self.register.known_boot(self.me), *(here.life.boot for here in known),
-                      self.learning.boot if self.learning is not None else 0])
-        self.learning = Life(latest + 1, f"{self.chance.getrandbits(64):016x}")
-        self.states = {}
+        self.next_recovery_at = self.now + RECOVERY_RETRY_S * (0.5 + self.chance.random())
+        latest = max(
+            [
+                self.register.known_boot(self.me),
+                *(hello.life.boot for hello in known),
+                self.new_life.boot if self.new_life is not None else 0,
+            ]
+        )
+        self.new_life = Life(latest + 1, f"{self.chance.getrandbits(64):016x}")
+        self.join_replies = {}
         for name in self.others:
-            self.outbox.append((name, 0, Join(Origin(self.me, self.learning, self.register.durable_mark))))
+            self.outbox.append((name, 0, Join(Origin(self.me, self.new_life, self.register.durable_mark))))
 
-    def state_came(self, name: str, state: State) -> None:
-        learning = self.learning
-        if learning is None or name not in self.peers or state.lives.get(self.me) != learning.boot:
+    def on_join_reply(self, name: str, state: JoinReply) -> None:
+        """Collects the peers' states; the recovery completes with those of a majority."""
+        new_life = self.new_life
+        if new_life is None or name not in self.peers or state.lives.get(self.me) != new_life.boot:
             return
-        self.states[name] = state
-        counts = counting(self.states)
-        if len(counts) >= self.needed:  # a majority of all, and none of it is this member
-            self.register.learn(learning, [self.states[n] for n in sorted(counts)])
-            self.learning, self.states = None, {}
+        self.join_replies[name] = state
+        voters = valid_voters(self.join_replies)
+        if len(voters) >= self.needed:  # a majority of all members, without this one
+            self.register.learn(new_life, [self.join_replies[n] for n in sorted(voters)])
+            self.new_life, self.join_replies = None, {}
             self.counts["learned"] += 1
-            self.on_learned()
-            self.register.votes, self.why = True, ""
+            self.on_recovered()
+            self.register.votes, self.reason = True, ""
 
-    def superseded(self, answer: Superseded) -> None:
+    def on_superseded(self, answer: Superseded) -> None:
+        """A later life of this member is known elsewhere: retires, or recovers if it has just started."""
         register = self.register
         if register.retired or not self.is_behind(answer.life, 0):
             return
-        if self.learning is not None and answer.life == self.learning:
+        if self.new_life is not None and answer.life == self.new_life:
             return
-        if not register.votes:  # it has just started, on a memory that is not the last
+        if not register.votes:  # it has just started, on outdated state
             if register.memory_complete:
                 self.forget(f"{answer.origin.name} knows a later life of this member")
-            elif self.learning is not None and answer.life.boot >= self.learning.boot:
-                self.learning, self.learn_at = None, self.now
+            elif self.new_life is not None and answer.life.boot >= self.new_life.boot:
+                self.new_life, self.next_recovery_at = None, self.now
                 register.lives[self.me] = answer.life
             return
         register.retired, register.votes = True, False
-        self.why = "another process was started under this name"
+        self.reason = "another process was started under this name"
         self.close()
         self.on_retired(answer.life)
 
     def status(self) -> dict[str, object]:
-        """What an operator watches; docs/operate/offices.md explains each figure."""
-        hears = sum(self.well_since(name) <= self.now for name in self.others)
+        """Figures for operators; docs/operate/offices.md explains each of them."""
+        hears = sum(self.answering_since(name) <= self.now for name in self.others)
         register = self.register
-        took = sorted(self.writes_took)
-        times = {f"write_ms_p{part}": round(1000 * took[part * (len(took) - 1) // 100], 2) if took else 0.0
-                 for part in (50, 99)}
-        return {"votes": register.votes, "why": self.why, "life": register.life.boot, "hears": hears,
-                "members": len(register.members), "keys": len(register.cells), **times, **self.counts}
+        took = sorted(self.write_latencies)
+        times = {
+            f"write_ms_p{part}": round(1000 * took[part * (len(took) - 1) // 100], 2) if took else 0.0
+            for part in (50, 99)
+        }
+        return {
+            "votes": register.votes,
+            "why": self.reason,
+            "life": register.life.boot,
+            "hears": hears,
+            "members": len(register.members),
+            "keys": len(register.cells),
+            **times,
+            **self.counts,
+        }
--- a/embersill/council/messages.py
+++ b/embersill/council/messages.py
@@ -1,8 +1,9 @@
-"""What the council's members ask each other, and their answers: msgspec structs, as MessagePack arrays.
+"""Requests between the council's members, and the answers to them: msgspec structs, as MessagePack arrays.
 
-Every question begins with who asks (`Origin`): name, life (a number that grows with each start, and a nonce)
-and mark (how many records it has written). Every answer tells the same of who answers, and which lives of the
-others it knows: answers of a life that somebody in the same majority knows to be over count for nothing.
+Every request begins with its sender (`Origin`): name, life (a number that grows with each start, and a nonce)
+and mark (the number of records it has written). Every answer begins with the same of its sender, and with the
+lives of other members that the sender knows: an answer from a life that another member of the same majority
+knows to be over does not count.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 from embersill.tiers.messages import MAX_TEXT_CHARS, BadFrame
 
 VERSION = 1
-MOST_ENTRIES = 4096  # of a batch of use; lists of other things are shorter
-# by how much a number may run ahead of those known, in one step: a figure gone wrong must not use them up
-MOST_AHEAD = 1 << 32
+MAX_ENTRIES = 4096  # in a batch of usage; other lists are shorter
+# how far a number may exceed those known, in one step: a corrupt number must not exhaust the range
+MAX_AHEAD = 1 << 32
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
 Text = Annotated[str, msgspec.Meta(max_length=MAX_TEXT_CHARS)]
@@ -28,39 +29,41 @@
 
 
 class Ballot(NamedTuple):
-    """Greater ones go before lower ones; no two lives ever have the same."""
+    """A ballot; higher ones take precedence, and no two lives ever use the same."""
 
     round: Number
     member: Text
     boot: Number
 
 
-NOUGHT = Ballot(0, "", 0)
+ZERO_BALLOT = Ballot(0, "", 0)
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """A key's value: how often it was written, by which write last, and what it is."""
+    """A key's value: how often it was written, the last write's name, and the data."""
 
     version: Number
-    writer: Text  # names the write, so that whoever made it knows it again
+    writer: Text  # names the write, so that its author recognizes it
     data: Data
 
 
 class Life(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One start of a member. Two with the same number are told apart by the nonce."""
+    """One start of a member. The nonce distinguishes two starts with the same number."""
 
     boot: Number
     nonce: Text
 
 
 class Origin(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """The sender of a message; `mark`: how many records it has written."""
+
     name: Text
     life: Life
     mark: Number
 
 
-class Kept(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """All that one member knows of one key."""
+class KeyState(msgspec.Struct, array_like=True, frozen=True, gc=False):
+    """One member's complete state of one key."""
 
     key: Key
     promised: Ballot
@@ -68,30 +71,32 @@
     entry: Entry | None
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=True, gc=False):
+class Request(msgspec.Struct, array_like=True, frozen=True, tag=True, gc=False):
+    """The base of all requests."""
+
     origin: Origin
 
 
-class Hello(Ask, frozen=True, tag=1):
-    """I am here; what do you know of me?"""
+class Hello(Request, frozen=True, tag=1):
+    """Announces a member, and asks what the receiver knows of it."""
 
 
-class Peek(Ask, frozen=True, tag=2):
-    """What did you accept last for this key? The entry that I have, by its ballot, need not be told again."""
+class Peek(Request, frozen=True, tag=2):
+    """Asks for the entry accepted last for a key, unless its ballot is `known`: that one the sender has."""
 
     key: Key
-    known: Ballot = NOUGHT
+    known: Ballot = ZERO_BALLOT
 
 
-class Prepare(Ask, frozen=True, tag=3):
-    """Promise to accept nothing below this ballot, and tell what you accepted last."""
+class Prepare(Request, frozen=True, tag=3):
+    """Asks for a promise to accept nothing below this ballot, and for the entry accepted last."""
 
     key: Key
     ballot: Ballot
 
 
-class Accept(Ask, frozen=True, tag=4):
-    """Accept this entry; and promise the next ballot to the same member in one go."""
+class Accept(Request, frozen=True, tag=4):
+    """Asks to accept an entry, and to promise the next ballot to the same member at once."""
 
     key: Key
     ballot: Ballot
@@ -99,56 +104,61 @@
     following: Ballot
 
 
-class Join(Ask, frozen=True, tag=5):
-    """My memory is lost, and this is a new life: take my old ones to be over, and tell me all."""
+class Join(Request, frozen=True, tag=5):
+    """From a member that has lost its state, in a new life: asks to declare its earlier lives over and to
+    send all state."""
 
 
 class Act(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """What every message of an office carries. Only `offices.Post.act` makes one."""
+    """Identifies an action under an office's lease. Only `offices.Post.act` creates one."""
 
     office: Key
     number: Number
     sequence: Number
 
 
-class Offer(Ask, frozen=True, tag=6):
-    """To the owner of the export: a batch of one planner's use, until it is confirmed."""
+class Offer(Request, frozen=True, tag=6):
+    """To the owner of the export: a batch of one planner's usage; repeated until it is confirmed."""
 
     stream: Text
     batch: Number
-    entries: Annotated[list[tuple[Text, Number, Units]], msgspec.Meta(max_length=MOST_ENTRIES)]
+    entries: Annotated[list[tuple[Text, Number, Units]], msgspec.Meta(max_length=MAX_ENTRIES)]
 
 
-class Suspect(Ask, frozen=True, tag=7):
-    """To the owner of the probes: backends that have failed here."""
+class Suspect(Request, frozen=True, tag=7):
+    """To the owner of the probes: backends whose requests have failed at the sender."""
 
     backends: Annotated[list[Text], msgspec.Meta(max_length=1024)]
 
 
-class Verdicts(Ask, frozen=True, tag=8):
-    """From the owner of the probes: (backend, whether it can be used, seconds since it was probed last)."""
+class Verdicts(Request, frozen=True, tag=8):
+    """From the owner of the probes: (backend, whether it is usable, seconds since its last probe)."""
 
     act: Act
     verdicts: Annotated[list[tuple[Text, bool, Span]], msgspec.Meta(max_length=1024)]
 
 
 class Answer(msgspec.Struct, array_like=True, frozen=True, tag=True, gc=False):
+    """The base of all answers."""
+
     origin: Origin
-    lives: Annotated[dict[Text, Number], msgspec.Meta(max_length=MOST_MEMBERS)]  # boots known, by name
+    lives: Annotated[
+        dict[Text, Number], msgspec.Meta(max_length=MOST_MEMBERS)
+    ]  # numbers of known lives, by name
 
 
-class Here(Answer, frozen=True, tag=1):
-    """To a Hello: what is known of whoever asked."""
+class HelloReply(Answer, frozen=True, tag=1):
+    """To a Hello: the latest life and mark of its sender that are known here."""
 
-    remembers: bool  # whoever answers has its memory
+    memory_complete: bool = msgspec.field(name="remembers")  # the sender has its complete state
     votes: bool
-    keys: Number  # that it knows of
+    keys: Number  # how many the sender knows
     life: Life
     mark: Number
 
 
-class Told(Answer, frozen=True, tag=2):
-    """To a Peek, and to a Prepare that is promised."""
+class CellReply(Answer, frozen=True, tag=2):
+    """To a Peek, and to a Prepare whose ballot is promised: the state of the key."""
 
     promised: Ballot
     accepted: Ballot
@@ -156,64 +166,68 @@
 
 
 class Accepted(Answer, frozen=True, tag=3):
+    """To an Accept: the entry is accepted."""
+
     ballot: Ballot
 
 
 class Refused(Answer, frozen=True, tag=4):
-    """A higher ballot than the one that was asked with was promised to another."""
+    """To a Prepare or an Accept: a higher ballot than the request's is promised to another member."""
 
     promised: Ballot
     ballot: Ballot
-    accepted: Ballot  # last of all: if that is lower, this one never was
+    accepted: Ballot  # the last one: if it is lower than `ballot`, that was never accepted
 
 
 class Superseded(Answer, frozen=True, tag=5):
-    """A later life of whoever asked is known here."""
+    """A later life of the request's sender is known here."""
 
     life: Life
     mark: Number
 
 
-class NotYet(Answer, frozen=True, tag=6):
-    """Whoever answers has no vote: it has lost its memory, or has just started."""
+class NotReady(Answer, frozen=True, tag=6):
+    """The sender has no vote: it has lost its state, or has just started."""
 
     reason: Text
 
 
-class State(Answer, frozen=True, tag=7):
-    """To a Join: all that is known of all keys."""
+class JoinReply(Answer, frozen=True, tag=7):
+    """To a Join: the state of all keys."""
 
-    keys: Annotated[list[Kept], msgspec.Meta(max_length=MOST_KEYS)]
+    keys: Annotated[list[KeyState], msgspec.Meta(max_length=MOST_KEYS)]
     mark: Number
     known: Annotated[dict[Text, Life], msgspec.Meta(max_length=MOST_MEMBERS)]
 
 
 class Confirmed(Answer, frozen=True, tag=8):
-    """To an Offer: batches of that stream up to this one are booked."""
+    """To an Offer: batches of the stream up to this one are booked."""
 
     stream: Text
     batch: Number
 
 
-class Taken(Answer, frozen=True, tag=9):
-    """To an office's message: `why` is empty if it was taken."""
+class OfficeReply(Answer, frozen=True, tag=9):
+    """To a message about an office's work: `reason` is empty if it was accepted."""
 
-    why: Text
+    reason: Text = msgspec.field(name="why")
 
 
-AnyAsk = Hello | Peek | Prepare | Accept | Join | Offer | Suspect | Verdicts
-AnyAnswer = Here | Told | Accepted | Refused | Superseded | NotYet | State | Confirmed | Taken
+AnyRequest = Hello | Peek | Prepare | Accept | Join | Offer | Suspect | Verdicts
+AnyAnswer = (
+    HelloReply | CellReply | Accepted | Refused | Superseded | NotReady | JoinReply | Confirmed | OfficeReply
+)
 
 
 class Question(msgspec.Struct, array_like=True, frozen=True, tag="q"):
-    """A frame towards whoever is asked."""
+    """A frame that carries a request."""
 
     number: Number
-    ask: AnyAsk
+    ask: AnyRequest
 
 
 class Reply(msgspec.Struct, array_like=True, frozen=True, tag="a"):
-    """A frame back."""
+    """A frame that carries an answer."""
 
     number: Number
     answer: AnyAnswer
@@ -224,21 +238,22 @@
 _reply: msgspec.msgpack.Decoder[Reply] = msgspec.msgpack.Decoder(Reply)
 
 
-def packed(frame: Question | Reply) -> bytes:
+def encode_frame(frame: Question | Reply) -> bytes:
+    """Encodes a frame's content."""
     return _encoder.encode(frame)
 
 
-def read_question(frame: bytes) -> Question:
-    """BadFrame for anything that is not one."""
+def decode_question(frame: bytes) -> Question:
+    """Decodes a request's frame; BadFrame if it is not one."""
     try:
         return _question.decode(frame)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
-        raise BadFrame(f"no question: {error}") from error
+        raise BadFrame(f"not a request frame: {error}") from error
 
 
-def read_reply(frame: bytes) -> Reply:
-    """BadFrame for anything that is not one."""
+def decode_reply(frame: bytes) -> Reply:
+    """Decodes an answer's frame; BadFrame if it is not one."""
     try:
         return _reply.decode(frame)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
-        raise BadFrame(f"no answer: {error}") from error
+        raise BadFrame(f"not an answer frame: {error}") from error
--- a/embersill/council/offices.py
+++ b/embersill/council/offices.py
@@ -201,7 +201,7 @@
         assert self.seen is not None
         wait = self.terms.lease if self.seen.held.holder else 0.0
         # a turn is as long as a read and a write take here, or those in the order get into each other's way
-        turn = max(self.terms.stagger, TURN * self.member.took)
+        turn = max(self.terms.stagger, TURN * self.member.latency)
         return self.seen_at + wait + self.rank() * turn
 
     def missed(self, now: float) -> None:
@@ -311,7 +311,8 @@
         for name in self.order:
             if name == self.member.me:
                 return ""
-            if now - max(self.member.well_since(name), self.lapsed.get(name, 0.0)) >= self.terms.settle_back:
+            if now - max(
+                    self.member.answering_since(name), self.lapsed.get(name, 0.0)) >= self.terms.settle_back:
                 return name
         return ""
 
--- a/embersill/council/register.py
+++ b/embersill/council/register.py
@@ -20,27 +20,27 @@
 import msgspec
 
 from embersill.council.messages import (
-    MOST_AHEAD,
-    NOUGHT,
+    MAX_AHEAD,
+    ZERO_BALLOT,
     Accept,
     Accepted,
     Answer,
-    Ask,
+    Request,
     Ballot,
     Entry,
     Hello,
-    Here,
+    HelloReply,
     Join,
-    Kept,
+    KeyState,
     Life,
-    NotYet,
+    NotReady,
     Origin,
     Peek,
     Prepare,
     Refused,
-    State,
+    JoinReply,
     Superseded,
-    Told,
+    CellReply,
 )
 from embersill.council.terms import MOST_KEYS
 
@@ -76,7 +76,7 @@
     lives: dict[str, Life]
     marks: dict[str, int]
     mark: int
-    keys: list[Kept]
+    keys: list[KeyState]
 
 
 Record = LifeRecord | PromiseRecord | AcceptRecord | Snapshot
@@ -91,8 +91,8 @@
 class Cell:
     """The acceptor state of one key: highest promised ballot, accepted ballot and accepted entry."""
 
-    promised: Ballot = NOUGHT
-    accepted: Ballot = NOUGHT
+    promised: Ballot = ZERO_BALLOT
+    accepted: Ballot = ZERO_BALLOT
     entry: Entry | None = None
 
 
@@ -157,9 +157,9 @@
         """The complete state, with which a rewritten journal begins."""
         return Snapshot(dict(self.lives), dict(self.marks), self.mark, self.key_states())
 
-    def key_states(self) -> list[Kept]:
+    def key_states(self) -> list[KeyState]:
         """The state of every key, in the order of the keys."""
-        return [Kept(key, c.promised, c.accepted, c.entry) for key, c in sorted(self.cells.items())]
+        return [KeyState(key, c.promised, c.accepted, c.entry) for key, c in sorted(self.cells.items())]
 
     # lives
 
@@ -219,7 +219,7 @@
             and origin.life.nonce != known.nonce
         ):
             return False
-        if origin.life.boot > self.known_boot(origin.name) + MOST_AHEAD:
+        if origin.life.boot > self.known_boot(origin.name) + MAX_AHEAD:
             return False
         if known != origin.life and origin.life.boot > 0:
             self.lives[origin.name] = origin.life
@@ -230,15 +230,15 @@
 
     # requests
 
-    def handle(self, ask: Ask) -> Answer:
+    def handle(self, request: Request) -> Answer:
         """Returns the answer to a member's request; any records added to `records` must be on disk before it
         is sent."""
-        name = ask.origin.name
-        if isinstance(ask, Hello):
+        name = request.origin.name
+        if isinstance(request, Hello):
             known = self.lives.get(name, Life(0, "")), self.marks.get(name, 0)
-            if name != self.me and ask.origin.life.boot and not self.note_origin(ask.origin):
+            if name != self.me and request.origin.life.boot and not self.note_origin(request.origin):
                 return Superseded(self.answer_origin, self.known_boots(), *known)
-            return Here(
+            return HelloReply(
                 self.answer_origin,
                 self.known_boots(),
                 self.memory_complete,
@@ -246,17 +246,17 @@
                 len(self.cells),
                 *known,
             )
-        if name != self.me and not self.note_origin(ask.origin):
+        if name != self.me and not self.note_origin(request.origin):
             return Superseded(
                 self.answer_origin,
                 self.known_boots(),
                 self.lives.get(name, Life(0, "")),
                 self.marks.get(name, 0),
             )
-        if isinstance(ask, Join):
+        if isinstance(request, Join):
             if not self.votes or self.retired:  # only with a vote have others confirmed this state complete
-                return self.not_yet()
-            return State(
+                return self.not_ready()
+            return JoinReply(
                 self.answer_origin,
                 self.known_boots(),
                 self.key_states(),
@@ -264,25 +264,25 @@
                 dict(self.lives),
             )
         if not self.votes or self.retired:
-            return self.not_yet()
-        if isinstance(ask, Peek):
-            cell = self.cells.get(ask.key, Cell())
-            return self.cell_reply(cell, cell.accepted == ask.known)
-        if isinstance(ask, Prepare):
-            return self.prepare(ask)
-        if isinstance(ask, Accept):
-            return self.accept(ask)
-        return self.not_yet("not a request to the register")
-
-    def not_yet(self, reason: str = "") -> NotYet:
+            return self.not_ready()
+        if isinstance(request, Peek):
+            cell = self.cells.get(request.key, Cell())
+            return self.cell_reply(cell, cell.accepted == request.known)
+        if isinstance(request, Prepare):
+            return self.prepare(request)
+        if isinstance(request, Accept):
+            return self.accept(request)
+        return self.not_ready("not a request to the register")
+
+    def not_ready(self, reason: str = "") -> NotReady:
         """The answer of a member that cannot serve a request."""
         reason = reason or ("retired" if self.retired else "starting" if self.memory_complete else "learning")
-        return NotYet(self.answer_origin, self.known_boots(), reason)
+        return NotReady(self.answer_origin, self.known_boots(), reason)
 
-    def cell_reply(self, cell: Cell, known: bool = False) -> Told:
+    def cell_reply(self, cell: Cell, known: bool = False) -> CellReply:
         """A key's state; `known`: the requester has the entry and identifies it by its ballot."""
         entry = None if known else cell.entry
-        return Told(self.answer_origin, self.known_boots(), cell.promised, cell.accepted, entry)
+        return CellReply(self.answer_origin, self.known_boots(), cell.promised, cell.accepted, entry)
 
     def cell(self, key: str, ballot: Ballot) -> Cell | None:
         """The key's cell, created if there is room; None if not, or if the ballot is implausibly high."""
@@ -291,41 +291,45 @@
             if len(self.cells) >= MOST_KEYS:
                 return None
             cell = Cell()
-        if ballot.round > cell.promised.round + MOST_AHEAD:
+        if ballot.round > cell.promised.round + MAX_AHEAD:
             return None
         self.cells[key] = cell
         return cell
 
-    def prepare(self, ask: Prepare) -> Answer:
+    def prepare(self, request: Prepare) -> Answer:
         """Promises a ballot unless a higher one is promised."""
-        cell = self.cell(ask.key, ask.ballot)
+        cell = self.cell(request.key, request.ballot)
         if cell is None:
-            return self.not_yet("key limit reached")
-        if ask.ballot < cell.promised:
-            return Refused(self.answer_origin, self.known_boots(), cell.promised, ask.ballot, cell.accepted)
-        if ask.ballot > cell.promised:
-            cell.promised = ask.ballot
-            self.write(PromiseRecord(ask.key, ask.ballot, dict(self.marks)))
+            return self.not_ready("key limit reached")
+        if request.ballot < cell.promised:
+            return Refused(
+                self.answer_origin, self.known_boots(), cell.promised, request.ballot, cell.accepted
+            )
+        if request.ballot > cell.promised:
+            cell.promised = request.ballot
+            self.write(PromiseRecord(request.key, request.ballot, dict(self.marks)))
         return self.cell_reply(cell)
 
-    def accept(self, ask: Accept) -> Answer:
+    def accept(self, request: Accept) -> Answer:
         """Accepts an entry unless a higher ballot is promised."""
-        cell = self.cell(ask.key, ask.ballot)
+        cell = self.cell(request.key, request.ballot)
         if cell is None:
-            return self.not_yet("key limit reached")
-        if cell.accepted == ask.ballot:
-            return Accepted(self.answer_origin, self.known_boots(), ask.ballot)  # a duplicate
-        if ask.ballot < cell.promised:
-            return Refused(self.answer_origin, self.known_boots(), cell.promised, ask.ballot, cell.accepted)
-        cell.accepted, cell.entry = ask.ballot, ask.entry
-        cell.promised = max(ask.ballot, ask.following)
-        self.write(AcceptRecord(ask.key, ask.ballot, ask.entry, cell.promised, dict(self.marks)))
-        self.on_accepted(ask.key, ask.entry)
-        return Accepted(self.answer_origin, self.known_boots(), ask.ballot)
+            return self.not_ready("key limit reached")
+        if cell.accepted == request.ballot:
+            return Accepted(self.answer_origin, self.known_boots(), request.ballot)  # a duplicate
+        if request.ballot < cell.promised:
+            return Refused(
+                self.answer_origin, self.known_boots(), cell.promised, request.ballot, cell.accepted
+            )
+        cell.accepted, cell.entry = request.ballot, request.entry
+        cell.promised = max(request.ballot, request.following)
+        self.write(AcceptRecord(request.key, request.ballot, request.entry, cell.promised, dict(self.marks)))
+        self.on_accepted(request.key, request.entry)
+        return Accepted(self.answer_origin, self.known_boots(), request.ballot)
 
     # recovery of lost state
 
-    def learn(self, life: Life, states: Iterable[State]) -> None:
+    def learn(self, life: Life, states: Iterable[JoinReply]) -> None:
         """Adopts the state that a majority of the others sent after declaring all earlier lives over."""
         for state in states:
             for key_state in state.keys:
--- a/embersill/council/seat.py
+++ b/embersill/council/seat.py
@@ -15,12 +15,12 @@
 from embersill.council.member import Member
 from embersill.council.messages import (
     Answer,
-    Ask,
+    Request,
     Confirmed,
     Entry,
     Offer,
     Suspect,
-    Taken,
+    OfficeReply,
     Verdicts,
 )
 from embersill.council.offices import PREFIX, NotHeld, Post
@@ -72,7 +72,7 @@
         register.on_accepted = self.entry_accepted
 
     @property
-    def outbox(self) -> list[tuple[str, int, Ask]]:
+    def outbox(self) -> list[tuple[str, int, Request]]:
         """Returns and clears the requests to send: receiver, operation number, request."""
         out, self.member.outbox = self.member.outbox, []
         return out
@@ -84,38 +84,42 @@
 
     # requests of members
 
-    def handle(self, ask: Ask, now: float) -> Answer:
+    def handle(self, request: Request, now: float) -> Answer:
         """Returns the answer to a request; `register.records` must be on disk before it is sent."""
         self.now = max(self.now, now)
-        if not isinstance(ask, Offer | Suspect | Verdicts):
-            return self.register.handle(ask)
+        if not isinstance(request, Offer | Suspect | Verdicts):
+            return self.register.handle(request)
         register = self.register
-        origin, boots, sender = register.answer_origin, register.known_boots(), ask.origin.name
-        if isinstance(ask, Offer):  # from any life, since its usage is valid in any case
-            done = None if self.exporter is None else self.exporter.offer(ask.stream, ask.batch, ask.entries)
+        origin, boots, sender = register.answer_origin, register.known_boots(), request.origin.name
+        if isinstance(request, Offer):  # from any life, since its usage is valid in any case
+            done = (
+                None
+                if self.exporter is None
+                else self.exporter.offer(request.stream, request.batch, request.entries)
+            )
             if done is None:
-                return Taken(origin, boots, "the export is not owned here")
-            return Confirmed(origin, boots, ask.stream, done)
-        if sender != register.me and not register.note_origin(ask.origin):
-            return Taken(origin, boots, "a life that is over")
-        if isinstance(ask, Suspect):
+                return OfficeReply(origin, boots, "the export is not owned here")
+            return Confirmed(origin, boots, request.stream, done)
+        if sender != register.me and not register.note_origin(request.origin):
+            return OfficeReply(origin, boots, "a life that is over")
+        if isinstance(request, Suspect):
             if self.prober is None or not self.offices[PROBES].held(self.now):
-                return Taken(origin, boots, "the probes are not owned here")
-            self.prober.suspect(ask.backends, self.now)
-            return Taken(origin, boots, "")
-        why = self.fence.check(ask.act, sender, self.known_owner)
+                return OfficeReply(origin, boots, "the probes are not owned here")
+            self.prober.suspect(request.backends, self.now)
+            return OfficeReply(origin, boots, "")
+        why = self.fence.check(request.act, sender, self.known_owner)
         if why is Why.TAKEN:
-            self.advice.take(ask.verdicts, self.now)
+            self.advice.take(request.verdicts, self.now)
         elif why is Why.UNKNOWN:
-            self.offices[ask.act.office].look(self.now)  # its owner changed, and this member missed it
-        return Taken(origin, boots, why.value)
+            self.offices[request.act.office].look(self.now)  # its owner changed, and this member missed it
+        return OfficeReply(origin, boots, why.value)
 
     def known_owner(self, office: str) -> tuple[int, str]:
         """The number and holder of an office as last seen in the register."""
         post = self.offices[office]
         return post.known_number(), post.seen.held.holder if post.seen is not None else ""
 
-    def answered(self, number: int, answer: Answer, now: float) -> None:
+    def on_answer(self, number: int, answer: Answer, now: float) -> None:
         """Processes a member's answer to request `number`."""
         self.now = max(self.now, now)
         if isinstance(answer, Confirmed):
@@ -123,8 +127,8 @@
                 self.tally.confirm(answer.batch)
                 self.next_offer_at = min(self.next_offer_at, self.now + OFFER_INTERVAL_S / 4)
             return
-        if not isinstance(answer, Taken):
-            self.member.answered(number, answer, self.now)
+        if not isinstance(answer, OfficeReply):
+            self.member.on_answer(number, answer, self.now)
 
     # time
 
@@ -142,9 +146,9 @@
         if self.prober is not None:
             self.probe(now)
 
-    def enqueue(self, name: str, ask: Ask) -> None:
+    def enqueue(self, name: str, request: Request) -> None:
         """Adds a request that belongs to no register operation to the outbox."""
-        self.member.outbox.append((name, 0, ask))
+        self.member.outbox.append((name, 0, request))
 
     def send_offers(self, now: float) -> None:
         """Offers unconfirmed batches of usage to the export's owner, or to all members if it is not known.
--- a/embersill/council/usage.py
+++ b/embersill/council/usage.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from embersill.council.journal import Damaged, Journal
-from embersill.council.messages import MOST_ENTRIES
+from embersill.council.messages import MAX_ENTRIES
 
 BATCH_EVERY = 0.5  # seconds
 MOST_BATCHES = 256  # that wait to be confirmed; beyond that use is gathered on, by customer and period
@@ -135,7 +135,7 @@
         self.close_at = now + BATCH_EVERY
         while self.sums and len(self.batches) < MOST_BATCHES:
             entries = [(customer, period, units)
-                       for (customer, period), units in list(self.sums.items())[:MOST_ENTRIES]]
+                       for (customer, period), units in list(self.sums.items())[:MAX_ENTRIES]]
             self.gather(entries, -1.0)
             self.closed += 1
             self.batches[self.closed] = entries
--- a/embersill/edge/consensus/agreement.py
+++ b/embersill/edge/consensus/agreement.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from embersill.council.member import How, Member, Result
-from embersill.council.messages import AnyAnswer, AnyAsk, Answer, Ask, Entry
+from embersill.council.messages import AnyAnswer, AnyRequest, Answer, Request, Entry
 from embersill.council.register import Register, Snapshot
 from embersill.council.terms import CouncilTerms
 from embersill.edge.configuration.document import EMPTY, State
@@ -128,7 +128,7 @@
         self.persistence = Persistence(
             register, self.roster, self.base, self.effects, loaded, self.handover.saved
         )
-        self.member.on_learned = self.persistence.save
+        self.member.on_recovered = self.persistence.save
         self.lease.set_read_interval(self.read_interval)
         self.read_at = self.now
 
@@ -156,7 +156,7 @@
             return
         if message["kind"] == "ask":
             number, life = message["n"], message["life"]
-            ask = msgspec.convert(message["ask"], AnyAsk)
+            ask = msgspec.convert(message["ask"], AnyRequest)
 
             def reply(answer: Answer) -> None:
                 told = msgspec.to_builtins(answer)
@@ -165,10 +165,10 @@
 
             self.answer(ask, reply)
         else:  # an answer to this run of the process: `Node` drops those to earlier runs
-            member.answered(message["n"], msgspec.convert(message["answer"], AnyAnswer), self.now)
+            member.on_answer(message["n"], msgspec.convert(message["answer"], AnyAnswer), self.now)
             self.deliver()
 
-    def answer(self, ask: Ask, reply: Callable[[Answer], None]) -> None:
+    def answer(self, ask: Request, reply: Callable[[Answer], None]) -> None:
         """Has the register answer; `reply` is called once the data that the answer depends on is on disk."""
         if self.member is not None and self.persistence is not None:
             answer = self.member.register.handle(ask)
@@ -197,7 +197,7 @@
 
                 def to_self(answer: Answer, number: int = number) -> None:
                     if self.member is member:
-                        member.answered(number, answer, self.now)
+                        member.on_answer(number, answer, self.now)
                         self.deliver()
 
                 self.answer(ask, to_self)
@@ -205,7 +205,7 @@
     def peer_linked(self, peer: str) -> None:
         """On a new link, a member that may not vote yet asks the peer at once for its lost promises."""
         if self.member is not None and not self.votes and peer in self.member.peers:
-            self.member.hello_at = self.now
+            self.member.next_hello_at = self.now
 
     def roster_message(self, peer: str) -> Message:
         """The message that tells a peer the epoch; with the initial state if the peer is a member of it."""
--- a/embersill/lab/council/fences.py
+++ b/embersill/lab/council/fences.py
@@ -14,10 +14,8 @@
         "accept-promised",
         REGISTER,
         "a member accepts what is below a ballot that it promised",
-        """        if ask.ballot < cell.promised:
-            return Refused(self.answer_origin, self.known_boots(), cell.promised, ask.ballot, cell.accepted)
-        cell.accepted, cell.entry""",
-        "        cell.accepted, cell.entry",
+        "  # a duplicate\n        if request.ballot < cell.promised:",
+        "  # a duplicate\n        if False:",
     ),
     Fence(
         "majority",
@@ -30,8 +28,8 @@
         "highest-found",
         MEMBER,
         "a write builds on whatever answered first, not on the latest",
-        "        latest = max(operation.told.values(), key=lambda told: told.accepted)\n        found",
-        "        latest = next(iter(operation.told.values()))\n        found",
+        "        latest = max(operation.replies.values(), key=lambda reply: reply.accepted)\n        found",
+        "        latest = next(iter(operation.replies.values()))\n        found",
     ),
     Fence(
         "not-fresh",
@@ -51,14 +49,15 @@
         "same-peek",
         MEMBER,
         "a quick read returns what one of those that answered has accepted",
-        "if len(counting(operation.told) & same.keys()) >= self.needed:",
+        "if len(valid_voters(operation.replies) & same.keys()) >= self.needed:",
         "if True:",
     ),
     Fence(
         "own-beneath",
         MEMBER,
         "a write whose entry may be in, beneath another's, is done a second time",
-        "elif operation.hidden and found is not None and found.version >= " "min(operation.hidden.values()):",
+        "elif operation.undecided and found is not None "
+        "and found.version >= min(operation.undecided.values()):",
         "elif False:",
     ),
     Fence(
@@ -73,13 +72,13 @@
         "own-again",
         MEMBER,
         "a write finds its own entry of a round that seemed lost, and is done twice",
-        "if found is not None and found.writer in operation.hidden:",
+        "if found is not None and found.writer in operation.undecided:",
         "if False:",
         (
             (
                 MEMBER,
-                "elif operation.hidden and found is not None and found.version >= "
-                "min(operation.hidden.values()):",
+                "elif operation.undecided and found is not None and found.version >= "
+                "min(operation.undecided.values()):",
                 "elif False:",
             ),
         ),
@@ -100,7 +99,11 @@
                 "                self.marks.get(name, 0),\n            )",
                 "            pass",
             ),
-            (MEMBER, "return known.boot > mine.boot", "return False and known.boot > mine.boot"),
+            (
+                MEMBER,
+                "            known.boot > mine.boot\n",
+                "            False and known.boot > mine.boot\n",
+            ),
             (MEMBER, "            or mark > self.register.mark", ""),
             (DESK, "self.compact = not core.register.memory_complete", "self.compact = True"),
             (
@@ -127,7 +130,7 @@
         "behind",
         MEMBER,
         "a memory of which others have seen more is taken for whole",
-        "if register.memory_complete and not register.votes and self.is_behind(here.life, here.mark):",
+        "if register.memory_complete and not register.votes and self.is_behind(hello.life, hello.mark):",
         "if False:",
         (
             (JOURNAL, "if place.file != self.files.identity(self.name):", "if False:"),
@@ -157,8 +160,8 @@
         "learn-majority",
         MEMBER,
         "who lost its memory learns from one other member",
-        "if len(counts) >= self.needed:  # a majority of all, and none of it is this member",
-        "if len(counts) >= 1:",
+        "if len(voters) >= self.needed:  # a majority of all members, without this one",
+        "if len(voters) >= 1:",
         ((MEMBER, "or len(known) < self.needed:", "or len(known) < 1:"),),
     ),
     Fence(
@@ -173,8 +176,8 @@
         "written-first",
         DESK,
         "an answer goes out before what it says is on disk",
-        "            self.waiting.append((self.core.handle(ask, now), send))",
-        "            send(self.core.handle(ask, now))",
+        "            self.waiting.append((self.core.handle(request, now), send))",
+        "            send(self.core.handle(request, now))",
     ),
     # offices
     Fence(
--- a/embersill/lab/council/search.py
+++ b/embersill/lab/council/search.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from embersill.council.member import How, Member, Phase, Result
-from embersill.council.messages import Answer, Ask, Entry, Join, Life, Origin, State
+from embersill.council.messages import Answer, Request, Entry, Join, Life, Origin, JoinReply
 from embersill.council.register import Register
 from embersill.council.terms import CouncilTerms
 from embersill.world import search as searching
@@ -28,20 +28,20 @@
     {
         "chance",
         "counts",
-        "took",
-        "writes_took",
-        "done",
+        "latency",
+        "write_latencies",
+        "on_result",
         "change",
         "on_accepted",
-        "on_learned",
+        "on_recovered",
         "on_retired",
         "terms",
-        "born",
-        "hello_at",
+        "started_at",
+        "next_hello_at",
         "peers",
         "began",
-        "until",
-        "phase_until",
+        "deadline",
+        "phase_deadline",
         "now",
         "records",
         "marks",
@@ -70,7 +70,7 @@
     sender: str
     to: str
     number: int
-    what: Ask | Answer
+    what: Request | Answer
 
 
 class Small:
@@ -91,7 +91,7 @@
         register.lives = {other: Life(1, other) for other in NAMES}
         register.life, register.votes = Life(1, name), True
         member = Member(register, CouncilTerms(), random.Random(name), 100.0)
-        member.hello_at = math.inf
+        member.next_hello_at = math.inf
         return member
 
     # what may happen
@@ -101,7 +101,9 @@
         steps = [f"begin {name}" for name in (*bounds.writers, *bounds.readers) if name not in self.begun]
         steps += [f"bring {n}" for n in range(len(self.messages))]
         if self.lates < bounds.lates:
-            steps += [f"late {n}" for n, message in enumerate(self.messages) if isinstance(message.what, Ask)]
+            steps += [
+                f"late {n}" for n, message in enumerate(self.messages) if isinstance(message.what, Request)
+            ]
         steps += [
             f"again {name}"
             for name, member in self.members.items()
@@ -130,18 +132,18 @@
 
     def send(self, who: str) -> None:
         out, self.members[who].outbox = self.members[who].outbox, []
-        own = [(number, ask) for to, number, ask in out if to == who]
-        self.messages += [Message(who, to, number, ask) for to, number, ask in out if to != who]
-        for number, ask in own:
-            self.answer(who, number, self.members[who].register.handle(ask))
+        own = [(number, request) for to, number, request in out if to == who]
+        self.messages += [Message(who, to, number, request) for to, number, request in out if to != who]
+        for number, request in own:
+            self.answer(who, number, self.members[who].register.handle(request))
 
     def answer(self, to: str, number: int, answer: Answer) -> None:
-        self.members[to].answered(number, answer, 100.0)
+        self.members[to].on_answer(number, answer, 100.0)
         self.send(to)
 
     def bring(self, place: str) -> None:
         message = self.messages.pop(int(place))
-        if isinstance(message.what, Ask):
+        if isinstance(message.what, Request):
             answer = self.members[message.to].register.handle(message.what)
             self.answer(message.sender, message.number, answer)
         else:
@@ -150,7 +152,7 @@
     def late(self, place: str) -> None:
         self.lates += 1
         message = self.messages.pop(int(place))
-        assert isinstance(message.what, Ask)
+        assert isinstance(message.what, Request)
         answer = self.members[message.to].register.handle(message.what)
         self.messages.append(Message(message.to, message.sender, message.number, answer))
 
@@ -159,8 +161,8 @@
         member = self.members[who]
         operation = next(iter(member.operations.values()))
         if operation.phase is not Phase.WAIT:
-            member.lost(operation)
-        member.round(operation)
+            member.retry_later(operation)
+        member.start_round(operation)
         self.send(who)
 
     def forget(self, who: str) -> None:
@@ -170,7 +172,7 @@
         for name, other in self.members.items():
             if name != who:
                 answer = other.register.handle(Join(Origin(who, life, 0)))
-                assert isinstance(answer, State)
+                assert isinstance(answer, JoinReply)
                 states.append(answer)
         fresh = self.member(who)
         fresh.register.cells.clear()
@@ -204,7 +206,7 @@
         opened = sorted((who, rank[began], tuple(tried)) for who, (began, tried) in self.open.items())
         messages = sorted(repr((m.sender, m.to, m.number, m.what)) for m in self.messages)
         members = {
-            name: (member.register, member.operations, member.ready, member.highest)
+            name: (member.register, member.operations, member.prepared, member.highest_round)
             for name, member in self.members.items()
         }
         state = (
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -25,7 +25,7 @@
 from embersill.council.export import Answered, Call, meta_of
 from embersill.council.journal import Damaged, Journal
 from embersill.council.member import How, Result
-from embersill.council.messages import Act, Answer, Ask, Entry, Taken, Verdicts
+from embersill.council.messages import Act, Answer, Request, Entry, OfficeReply, Verdicts
 from embersill.council.offices import PREFIX, NotHeld, Post, read_held
 from embersill.council.probes import ProbeSettings
 from embersill.council.register import Register
@@ -156,12 +156,12 @@
     def send(self) -> None:
         if not self.group_commit.may_send():
             return
-        for to, number, ask in self.core.outbox:
+        for to, number, request in self.core.outbox:
             if to == self.member_name:
-                self.group_commit.handle(ask, self.local(number), self.clock())
+                self.group_commit.handle(request, self.local(number), self.clock())
             else:
                 self.world.datagrams.send(
-                    self, self.world.nodes[to], self.world.asked, self, self.life, number, ask, to
+                    self, self.world.nodes[to], self.world.asked, self, self.life, number, request, to
                 )
         self.flush()
 
@@ -171,16 +171,16 @@
 
         return say
 
-    def question_came(self, sender: MemberNode, life: int, number: int, ask: Ask) -> None:
+    def question_came(self, sender: MemberNode, life: int, number: int, request: Request) -> None:
         def say(answer: Answer) -> None:
-            self.world.answered(self, ask, answer)
+            self.world.answered(self, request, answer)
             self.world.datagrams.send(self, sender, self.world.replied, sender, life, number, answer)
 
-        self.group_commit.handle(ask, say, self.clock())
+        self.group_commit.handle(request, say, self.clock())
         self.flush()
 
     def answer_came(self, number: int, answer: Answer) -> None:
-        self.core.answered(number, answer, self.clock())
+        self.core.on_answer(number, answer, self.clock())
         self.world.look()
         self.send()
 
@@ -285,13 +285,13 @@
 
     # messages
 
-    def asked(self, sender: MemberNode, life: int, number: int, ask: Ask, to: str) -> None:
+    def asked(self, sender: MemberNode, life: int, number: int, request: Request, to: str) -> None:
         node = self.nodes[to]
         if self.coverage is not None:
             register = node.core.register
             state = "retired" if register.retired else "votes" if register.votes else "waits"
-            self.coverage.met(type(ask).__name__, state)
-        node.question_came(sender, life, number, ask)
+            self.coverage.met(type(request).__name__, state)
+        node.question_came(sender, life, number, request)
 
     def replied(self, node: MemberNode, life: int, number: int, answer: Answer) -> None:
         if node.life == life:
@@ -347,24 +347,24 @@
             if len(holders) > 1:
                 raise Broken("one owner", self.kernel.now, f"{office} is held by {' and '.join(holders)}")
 
-    def answered(self, node: MemberNode, ask: Ask, answer: Answer) -> None:
-        if not isinstance(ask, Verdicts) or not isinstance(answer, Taken):
+    def answered(self, node: MemberNode, request: Request, answer: Answer) -> None:
+        if not isinstance(request, Verdicts) or not isinstance(answer, OfficeReply):
             return
-        if answer.why:
+        if answer.reason:
             self.counts["refused"] += 1
             return
-        act = ask.act
+        act = request.act
         self.counts["acts"] += 1
         owner = self.takes.get((act.office, act.number), "")
         if not owner:  # it may have written itself in, and not have heard that it did: the register says so
             seen = node.core.offices[act.office].seen
             owner = seen.held.holder if seen is not None and seen.held.number == act.number else ""
-        if owner.partition("/")[0].partition("+")[0] != ask.origin.name:
+        if owner.partition("/")[0].partition("+")[0] != request.origin.name:
             raise Broken(
                 "fence",
                 self.kernel.now,
                 f"{node.name} takes no. {act.number} of {act.office} from "
-                f"{ask.origin.name}, and it is {owner or 'nobody'}'s",
+                f"{request.origin.name}, and it is {owner or 'nobody'}'s",
             )
         key = act.office, node.life, node.name
         if (act.number, act.sequence) <= self.taken.get(key, (0, 0)):
@@ -597,8 +597,8 @@
         act = Act("probes", number, 1 << 30)
         for to in self.names:
             if to != step.who:
-                ask = Verdicts(node.core.register.origin, act, [("b0", False, 0.0)])
-                self.datagrams.send(node, self.nodes[to], self.asked, node, node.life, 0, ask, to)
+                request = Verdicts(node.core.register.origin, act, [("b0", False, 0.0)])
+                self.datagrams.send(node, self.nodes[to], self.asked, node, node.life, 0, request, to)
 
     def do_billing(self, step: Step) -> None:
         self.billing_until[step.args["how"]] = self.kernel.now + step.seconds
@@ -660,7 +660,7 @@
                 "all heals",
                 now,
                 f"only {len(votes)} of {len(self.names)} members vote: "
-                + "; ".join(node.core.member.why for node in self.nodes.values()),
+                + "; ".join(node.core.member.reason for node in self.nodes.values()),
             )
         for office in OFFICES:
             if self.held_at.get(office, 0.0) < now - EMPTY_AT_MOST:
--- a/tests/council/helpers.py
+++ b/tests/council/helpers.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from embersill.council.member import How, Member, Result
-from embersill.council.messages import Answer, Ask, Entry
+from embersill.council.messages import Answer, Request, Entry
 from embersill.council.register import Register
 from embersill.council.terms import CouncilTerms
 
@@ -19,7 +19,7 @@
     def __init__(self, n: int = 3, terms: CouncilTerms = TERMS) -> None:
         self.names = [f"m{k}" for k in range(n)]
         self.terms, self.now = terms, 100.0
-        self.drop: Callable[[str, str, Ask | Answer], bool] = lambda sender, to, message: False
+        self.drop: Callable[[str, str, Request | Answer], bool] = lambda sender, to, message: False
         self.members: dict[str, Member] = {}
         self.held: list[Callable[[], None]] = []
         for name in self.names:
@@ -48,7 +48,7 @@
                 answer = receiver.register.handle(ask)
                 receiver.register.mark_durable(receiver.register.mark)
                 if not self.drop(to, name, answer) and self.members.get(name) is member:
-                    member.answered(number, answer, self.now)
+                    member.on_answer(number, answer, self.now)
         return said
 
     def settle(self, seconds: float = 0.0) -> None:
--- a/tests/council/test_export.py
+++ b/tests/council/test_export.py
@@ -19,7 +19,7 @@
     read_booking,
 )
 from embersill.council.journal import Journal
-from embersill.council.messages import MOST_ENTRIES
+from embersill.council.messages import MAX_ENTRIES
 from embersill.council.offices import Mine, Post
 from embersill.council.usage import BATCH_EVERY, MOST_BATCHES, Tally, UseBook
 from embersill.rig.billing import MOST_STEP, StandInBilling
@@ -74,11 +74,11 @@
         made.used("c", 1.0, 1.0)
         closed(made, n * BATCH_EVERY)
     assert len(made.batches) == MOST_BATCHES and made.sums == {("c", 0): 20.0}
-    for n in range(MOST_ENTRIES + 10):
+    for n in range(MAX_ENTRIES + 10):
         made.used(f"c{n}", 1.0, 1.0)
     made.confirm(MOST_BATCHES)
     closed(made, 1e6)
-    assert [len(entries) for entries in made.batches.values()] == [MOST_ENTRIES, 11]
+    assert [len(entries) for entries in made.batches.values()] == [MAX_ENTRIES, 11]
 
 
 def test_a_book_holds_all_of_it_over_a_kill() -> None:
@@ -172,7 +172,7 @@
         self.number += 1
         member = self.bench.members["m0"]
         for operation in list(member.operations.values()):
-            operation.done = lambda result, now: None
+            operation.on_result = lambda result, now: None
         post = Post("export", member, TERMS, self.bench.now)
         post.mine = Mine(self.number, self.bench.now, self.bench.now + 1e6)
         self.exporter = Exporter(post, member)
--- a/tests/council/test_member.py
+++ b/tests/council/test_member.py
@@ -7,26 +7,26 @@
 
 from embersill.council.member import How
 from embersill.council.messages import (
-    MOST_AHEAD,
+    MAX_AHEAD,
     Accept,
     Accepted,
     Answer,
-    Ask,
+    Request,
     Ballot,
     Entry,
     Hello,
     Join,
     Life,
-    NotYet,
+    NotReady,
     Origin,
     Prepare,
     Refused,
-    State,
+    JoinReply,
     Superseded,
-    Told,
-    packed,
-    read_question,
-    read_reply,
+    CellReply,
+    encode_frame,
+    decode_question,
+    decode_reply,
 )
 from embersill.council.messages import Question as Asked
 from embersill.council.register import Register
@@ -71,7 +71,7 @@
     bench.settle()
     seen: list[str] = []
 
-    def watch(sender: str, to: str, message: Ask | Answer) -> bool:
+    def watch(sender: str, to: str, message: Request | Answer) -> bool:
         if sender == "m0" and isinstance(message, Prepare | Accept):
             seen.append(type(message).__name__)
         return False
@@ -170,11 +170,11 @@
     register.begin_life("n")
     register.votes = True
     origin = Origin("m0", register.life, 0)
-    far = Prepare(origin, "k", Ballot(MOST_AHEAD + 1, "m0", 1))
-    assert isinstance(register.handle(far), NotYet) and not register.cells
+    far = Prepare(origin, "k", Ballot(MAX_AHEAD + 1, "m0", 1))
+    assert isinstance(register.handle(far), NotReady) and not register.cells
     for n in range(MOST_KEYS):
-        assert isinstance(register.handle(Prepare(origin, f"k{n}", Ballot(1, "m0", 1))), Told)
-    assert isinstance(register.handle(Prepare(origin, "more", Ballot(1, "m0", 1))), NotYet)
+        assert isinstance(register.handle(Prepare(origin, f"k{n}", Ballot(1, "m0", 1))), CellReply)
+    assert isinstance(register.handle(Prepare(origin, "more", Ballot(1, "m0", 1))), NotReady)
 
 
 def records_of(bench: Bench, name: str) -> list[bytes]:
@@ -244,10 +244,10 @@
     bench = Bench()
     promises: list[str] = []
 
-    def hold(sender: str, to: str, message: Ask | Answer) -> bool:
+    def hold(sender: str, to: str, message: Request | Answer) -> bool:
         if isinstance(message, Prepare) and sender == "m1" and to == "m2":
             return True
-        if isinstance(message, Told) and to == "m1":
+        if isinstance(message, CellReply) and to == "m1":
             promises.append(sender)
         return False
 
@@ -257,12 +257,12 @@
     operation = next(iter(m1.operations.values()))
     bench.drop = lambda sender, to, message: hold(sender, to, message) or sender == to == "m1"
     bench.pass_on()
-    assert set(operation.told) == {"m0"}
+    assert set(operation.replies) == {"m0"}
     life = Life(7, "x")
     m2 = bench.members["m2"].register
     m2.note_origin(Origin("m0", life, 0))
     answer = m2.handle(Prepare(Origin("m1", m1.register.life, 0), "k", operation.ballot))
-    m1.answered(operation.number, answer, bench.now)
+    m1.on_answer(operation.number, answer, bench.now)
     assert not operation.accepted and operation.phase.value == "prepare"
 
 
@@ -274,7 +274,7 @@
     bench.start("m0", records_of(bench, "m0"))
     bench.settle(1.0)
     answer = bench.members["m1"].register.handle(Hello(first.register.origin))
-    first.answered(0, answer, bench.now)
+    first.on_answer(0, answer, bench.now)
     assert isinstance(answer, Superseded) and first.register.retired and told
     results = []
     first.read("k", lambda result, now: results.append(result), bench.now)
@@ -286,9 +286,9 @@
     register.load([])
     register.begin_life("n")
     answer = register.handle(Join(Origin("m1", Life(1, "n"), 0)))
-    assert isinstance(answer, NotYet) and answer.reason == "starting"
+    assert isinstance(answer, NotReady) and answer.reason == "starting"
     register.votes = True
-    assert isinstance(register.handle(Join(Origin("m1", Life(2, "n"), 0))), State)
+    assert isinstance(register.handle(Join(Origin("m1", Life(2, "n"), 0))), JoinReply)
 
 
 def test_a_record_that_is_none_is_refused() -> None:
@@ -299,14 +299,14 @@
 @pytest.mark.parametrize("frame", [b"", b"\xc1", b"\x93\xa1q\x01\x01", bytes(50)])
 def test_frames_that_are_none_are_refused(frame: bytes) -> None:
     with pytest.raises(BadFrame):
-        read_question(frame)
+        decode_question(frame)
     with pytest.raises(BadFrame):
-        read_reply(frame)
+        decode_reply(frame)
 
 
 def test_a_value_over_the_bound_is_refused_by_whoever_reads_it() -> None:
     origin = Origin("m0", Life(1, "n"), 0)
     entry = Entry(1, "w", b"x" * (MOST_VALUE + 1))
-    frame = packed(Asked(1, Accept(origin, "k", Ballot(1, "m0", 1), entry, Ballot(2, "m0", 1))))
+    frame = encode_frame(Asked(1, Accept(origin, "k", Ballot(1, "m0", 1), entry, Ballot(2, "m0", 1))))
     with pytest.raises(BadFrame):
-        read_question(frame)
+        decode_question(frame)
