--- a/embersill/lab/edge/control_fences.py
+++ b/embersill/lab/edge/control_fences.py
@@ -160,7 +160,7 @@
             PERSISTENCE,
             "a member votes in an epoch that is not on its disk",
             "if not self.epoch_on_disk:\n            values[EPOCH_KEY]",
-            "if not self.epoch_on_disk and not self.register.remembers:\n            values[EPOCH_KEY]",
+            "if not self.epoch_on_disk and not self.register.memory_complete:\n            values[EPOCH_KEY]",
         ),
     ),
     FenceCase(
@@ -179,7 +179,7 @@
             "disk-first",
             PERSISTENCE,
             "a member answers before its records are saved",
-            "if not register.records and register.safe >= register.mark:",
+            "if not register.records and register.durable_mark >= register.mark:",
             "if True:",
         ),
         RANDOM_DAY_SCENARIOS,
--- a/tests/council/helpers.py
+++ b/tests/council/helpers.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from embersill.council.member import How, Member, Result
-from embersill.council.messages import Answer, Ask, Entry
+from embersill.council.messages import Answer, Request, Entry
 from embersill.council.register import Register
 from embersill.council.terms import CouncilTerms
 
@@ -19,7 +19,7 @@
     def __init__(self, n: int = 3, terms: CouncilTerms = TERMS) -> None:
         self.names = [f"m{k}" for k in range(n)]
         self.terms, self.now = terms, 100.0
-        self.drop: Callable[[str, str, Ask | Answer], bool] = lambda sender, to, message: False
+        self.drop: Callable[[str, str, Request | Answer], bool] = lambda sender, to, message: False
         self.members: dict[str, Member] = {}
         self.held: list[Callable[[], None]] = []
         for name in self.names:
@@ -30,7 +30,7 @@
     def start(self, name: str, records: list[bytes] | None) -> Member:
         register = Register(name, self.names)
         register.load(records)
-        register.begin(f"n{random.Random(f'{name} {self.now}').random()}")
+        register.begin_life(f"n{random.Random(f'{name} {self.now}').random()}")
         member = Member(register, self.terms, random.Random(f"bench {name}"), self.now)
         self.members[name] = member
         return member
@@ -46,9 +46,9 @@
                 if receiver is None or self.drop(name, to, ask):
                     continue
                 answer = receiver.register.handle(ask)
-                receiver.register.saved(receiver.register.mark)
+                receiver.register.mark_durable(receiver.register.mark)
                 if not self.drop(to, name, answer) and self.members.get(name) is member:
-                    member.answered(number, answer, self.now)
+                    member.on_answer(number, answer, self.now)
         return said
 
     def settle(self, seconds: float = 0.0) -> None:
