--- a/embersill/counting/lines.py
+++ b/embersill/counting/lines.py
@@ -48,7 +48,7 @@
         self.loop = asyncio.get_running_loop()
         self.counters: dict[str, KeeperCounter] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.add_counters(keeper.order)
+        self.add_counters(keeper.addresses)
 
     def add_counters(self, places: Sequence[str]) -> None:
         """Prepares connections to counters that have none."""
@@ -88,7 +88,7 @@
 
     def move_all(self, places: Sequence[str]) -> None:
         """Uses these counters from now on; calls in flight to others are still awaited."""
-        if tuple(places) == self.keeper.order:
+        if tuple(places) == self.keeper.addresses:
             return
         self.add_counters(places)
         steps = self.keeper.move(places, self.clock())
--- a/embersill/lab/counting/world.py
+++ b/embersill/lab/counting/world.py
@@ -485,18 +485,20 @@
             members = [self.nodes[(told["first"] + n) % self.gateways] for n in range(told["width"])]
             uncertain_units = {}
             for node in members:
-                place = node.keeper.place_for(f"{name}.{epoch}") if node.alive and node.keeper else None
-                account = place.accounts.get(f"{name}.{epoch}") if place is not None else None
+                counter = node.keeper.counter_for(f"{name}.{epoch}") if node.alive and node.keeper else None
+                account = counter.accounts.get(f"{name}.{epoch}") if counter is not None else None
                 uncertain_units[node] = account.uncertain_units if account is not None else 0.0
             for node in members:
                 if not node.alive or node.keeper is None:
                     continue
-                place = node.keeper.place_for(f"{name}.{epoch}")
-                total = next(c for c in self.counters if c.name == place.name).machine.sums.names.get(
+                counter = node.keeper.counter_for(f"{name}.{epoch}")
+                total = next(c for c in self.counters if c.name == counter.address).machine.sums.names.get(
                     f"{name}.{epoch}", (0.0, 0.0)
                 )[0]
                 action = Count(f"{name}.{epoch}", 0.0, EPOCH, told["first"], told["width"], case.rate, True)
-                believed = node.keeper.believe(place, place.accounts.get(action.name), action, total, now)
+                believed = node.keeper.trusted_sum(
+                    counter, counter.accounts.get(action.name), action, total, now
+                )
                 room = min(case.burst, case.burst + case.rate * (now - begin) - believed)
                 others = sum(units for other, units in uncertain_units.items() if other is not node)
                 allowed = others + killed * excess("killed", case, self.terms)
--- a/tests/counting/test_keeper.py
+++ b/tests/counting/test_keeper.py
@@ -39,11 +39,11 @@
     two.now += 0.5
     together(one, two, times=3)
     # all but what was told after the last mark that was seen: that may have come to either counter
-    uncertain_units = [b.keeper.places[A].accounts[b.name()].uncertain_units for b in (one, two)]
+    uncertain_units = [b.keeper.counters[A].accounts[b.name()].uncertain_units for b in (one, two)]
     assert one.sum() + sum(uncertain_units) == 16.0 and max(uncertain_units) <= 2.0
-    assert one.keeper.places[A].losses == two.keeper.places[A].losses == 1
+    assert one.keeper.counters[A].losses == two.keeper.counters[A].losses == 1
     together(one, two, times=8)
-    assert one.sum() + sum(uncertain_units) == 16.0 and one.keeper.places[A].losses == 1
+    assert one.sum() + sum(uncertain_units) == 16.0 and one.keeper.counters[A].losses == 1
 
 
 @pytest.mark.parametrize("age", [1, 3, 7, 12])
@@ -58,7 +58,7 @@
             bench.beat()
     stores[A].names = dict(kept[-age])
     together(one, two, times=4)
-    uncertain_units = sum(b.keeper.places[A].accounts[b.name()].uncertain_units for b in (one, two))
+    uncertain_units = sum(b.keeper.counters[A].accounts[b.name()].uncertain_units for b in (one, two))
     # each is uncertain of what it added at the beat of the loss, and of the last beat
     assert 80.0 - 8.0 <= one.sum() <= 80.0 and 80.0 <= one.sum() + uncertain_units <= 80.0 + 8.0
 
@@ -106,9 +106,9 @@
     bench.beat(3)
     bench.stores[A].names.clear()
     bench.how = Outcome.SERVED
-    bench.keeper.places[A].quiet_until = 0.0
+    bench.keeper.counters[A].quiet_until = 0.0
     bench.beat(2)
-    assert bench.keeper.places[A].losses == 1 and bench.sum() >= 6.0
+    assert bench.keeper.counters[A].losses == 1 and bench.sum() >= 6.0
 
 
 def test_calls_that_may_have_been_added_stay_an_interval_until_their_answer_comes() -> None:
@@ -199,7 +199,7 @@
         one.count(2.0)
         two.count(1.0, corrects=3.0)
         together(one, two)
-    assert one.keeper.places[A].presence.heard_part(0, 2, one.now) == 0.5
+    assert one.keeper.counters[A].presence.present_share(0, 2, one.now) == 0.5
     two.stores = {A: first}  # the other half's sums are gone
     together(one, two, times=6)
     # what both passed on is 50; the half that put its sum right stood at 60, and so does the whole now
@@ -223,7 +223,7 @@
     bench.beat()
     for customer in "abcd":
         assert bench.count(1.0, customer).outcome is Outcome.SERVED  # type: ignore[union-attr]
-    assert bench.keeper.unkept == 2
+    assert bench.keeper.unrecorded == 2
     bench.hold = True
     for _ in range(3):
         bench.count(1.0, "a")
@@ -236,10 +236,10 @@
     running(2.0, bench)
     bench.now = BEGIN + 61.0
     bench.beat()
-    assert not bench.keeper.places[A].accounts and bench.keeper.names == 0
+    assert not bench.keeper.counters[A].accounts and bench.keeper.name_count == 0
     for _ in range(70):
         bench.beat()
-    assert len(bench.keeper.places[A].marks) <= 56 and not bench.keeper.out
+    assert len(bench.keeper.counters[A].marks) <= 56 and not bench.keeper.in_flight
 
 
 def test_one_that_leaves_says_so() -> None:
@@ -317,7 +317,7 @@
     bench.now += 0.5
     bench.crowded = "c."
     bench.beat(2)
-    assert bench.keeper.places[A].losses == 1 and bench.sum() == 0.0
+    assert bench.keeper.counters[A].losses == 1 and bench.sum() == 0.0
     bench.crowded = ""
     bench.beat(2)
     assert bench.sum() == 8.0
--- a/tests/counting/test_operator.py
+++ b/tests/counting/test_operator.py
@@ -125,7 +125,7 @@
         assert (await sockets.ask("c", 5.0, 1)).total == 5.0
         first.slow = 0.3
         assert (await sockets.ask("c", 2.0, 2)).outcome is Outcome.TIMED_OUT
-        account = next(iter(sockets.keeper.places[first.address["a"]].accounts.values()))
+        account = next(iter(sockets.keeper.counters[first.address["a"]].accounts.values()))
         assert account.uncertain_units == 2.0
         while account.uncertain_units:
             await asyncio.sleep(0.01)  # until the late answer is there
