--- a/tests/counting/test_operator.py
+++ b/tests/counting/test_operator.py
@@ -1,4 +1,4 @@
-"""[counting] of the operator file, the command that prints the bound, and the keeper's calls on sockets."""
+"""The [counting] table, the command `counting bound`, and a keeper's calls over sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 EXAMPLE = (ROOT / "deploy" / "operator.example.toml").read_text()
 
 
-def test_the_examples_counting_is_the_defaults(tmp_path: pathlib.Path) -> None:
+def test_the_counting_table_of_the_example_holds_the_defaults(tmp_path: pathlib.Path) -> None:
     _, _, rest = EXAMPLE.partition("# [counting]")
     commented = rest.partition("# The gRPC")[0]
     path = tmp_path / "operator.toml"
@@ -47,7 +47,7 @@
         ("role = 'planner'\n[counting]", "counting: a planner has no counter"),
     ],
 )
-def test_what_is_wrong_is_refused_with_file_key_and_reason(
+def test_an_invalid_table_is_rejected_with_file_key_and_reason(
     text: str, reason: str, tmp_path: pathlib.Path
 ) -> None:
     path = tmp_path / "operator.toml"
@@ -62,11 +62,11 @@
     return subprocess.run(command, cwd=ROOT, text=True, capture_output=True, timeout=60, check=False)
 
 
-def test_the_bound_is_printed_for_people_and_for_scripts(tmp_path: pathlib.Path) -> None:
+def test_the_bound_is_printed_as_a_table_and_as_json(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"settings": settings_object(3)}))
-    done = bound("--settings", str(path))
-    assert done.returncode == 0 and "split" in done.stdout and "basis" in done.stdout, done.stderr
+    process = bound("--settings", str(path))
+    assert process.returncode == 0 and "split" in process.stdout and "basis" in process.stdout, process.stderr
     rows = json.loads(bound("--settings", str(path), "--json").stdout)
     assert {row["plan"] for row in rows} == {"basis", "pro"} and {row["width"] for row in rows} == {2, 3}
     slower = tmp_path / "operator.toml"
@@ -74,66 +74,67 @@
     later = json.loads(bound("--settings", str(path), "--operator", str(slower), "--json").stdout)
     changed = {row["trouble"] for row, other in zip(rows, later, strict=True) if row != other}
     assert changed == {"split", "cut"}
-    done = bound("--settings", str(tmp_path / "none"))
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
+    process = bound("--settings", str(tmp_path / "none"))
+    assert process.returncode == 2 and len(process.stderr.splitlines()) == 1
 
 
-class Sockets:
-    """A keeper's calls to stand-ins, and what the module is told."""
+class CountingHarness:
+    """A keeper with connections to stand-in counters, and the results for the module."""
 
     def __init__(self, places: list[str]) -> None:
         self.now = asyncio.get_running_loop().time
-        self.told: asyncio.Queue[CounterResult] = asyncio.Queue()
+        self.results: asyncio.Queue[CounterResult] = asyncio.Queue()
         self.keeper = Keeper(Terms(), 0, 1, places)
-        self.counting = Counting(self.keeper, self.now, 0.2, 0.2, self.told.put_nowait)
+        self.counting = Counting(self.keeper, self.now, 0.2, 0.2, self.results.put_nowait)
 
-    async def ask(self, customer: str, units: float, number: int) -> CounterResult:
+    async def count(self, customer: str, units: float, number: int) -> CounterResult:
+        """Counts units; returns the next result."""
         epoch = int(self.now() // 60.0)
         self.counting.count(Count(f"{customer}.{epoch}", units, 60.0, 0, 1, 4.0, True, 0.0, number))
-        return await self.told.get()
+        return await self.results.get()
 
 
-def test_one_counter_that_takes_calls_and_answers_none_leaves_the_other_alone() -> None:
+def test_a_counter_that_answers_no_call_does_not_affect_the_other() -> None:
     async def test() -> None:
         first, second = TroubledCounter(["a"]), TroubledCounter(["a"])
         await first.start()
         await second.start()
         places = [first.address["a"], second.address["a"]]
-        sockets = Sockets(places)
-        here = next(f"c{n}" for n in range(99) if place_of(f"c{n}", places) == places[0])
-        there = next(f"c{n}" for n in range(99) if place_of(f"c{n}", places) == places[1])
+        harness = CountingHarness(places)
+        customer_of_first = next(f"c{n}" for n in range(99) if place_of(f"c{n}", places) == places[0])
+        customer_of_second = next(f"c{n}" for n in range(99) if place_of(f"c{n}", places) == places[1])
         first.lost = True
         for number in range(1, 5):
-            told = await sockets.ask(here, 1.0, number)
-            assert told.alone and told.outcome is not Outcome.SERVED and told.call == number
-            told = await sockets.ask(there, 1.0, 100 + number)
-            assert told.outcome is Outcome.SERVED and told.total == float(number)
-        assert told.call == 104
-        sockets.counting.close()
+            result = await harness.count(customer_of_first, 1.0, number)
+            assert result.alone and result.outcome is not Outcome.SERVED and result.call == number
+            result = await harness.count(customer_of_second, 1.0, 100 + number)
+            assert result.outcome is Outcome.SERVED and result.total == float(number)
+        assert result.call == 104
+        harness.counting.close()
         first.close()
         second.close()
 
     run(test)
 
 
-def test_names_follow_a_reload_and_late_answers_settle_what_was_unsure() -> None:
+def test_sums_move_at_a_reload_and_late_answers_confirm_uncertain_units() -> None:
     async def test() -> None:
         first, second = TroubledCounter(["a"]), TroubledCounter(["a"])
         await first.start()
         await second.start()
-        sockets = Sockets([first.address["a"]])
-        assert (await sockets.ask("c", 5.0, 1)).total == 5.0
+        harness = CountingHarness([first.address["a"]])
+        assert (await harness.count("c", 5.0, 1)).total == 5.0
         first.slow = 0.3
-        assert (await sockets.ask("c", 2.0, 2)).outcome is Outcome.TIMED_OUT
-        account = next(iter(sockets.keeper.counters[first.address["a"]].accounts.values()))
+        assert (await harness.count("c", 2.0, 2)).outcome is Outcome.TIMED_OUT
+        account = next(iter(harness.keeper.counters[first.address["a"]].accounts.values()))
         assert account.uncertain_units == 2.0
         while account.uncertain_units:
-            await asyncio.sleep(0.01)  # until the late answer is there
+            await asyncio.sleep(0.01)  # until the late answer has arrived
         assert account.used == 7.0
-        sockets.counting.move_all([second.address["a"]])
-        assert (await sockets.ask("c", 1.0, 3)).total == 8.0
-        sockets.counting.leave()
-        sockets.counting.close()
+        harness.counting.move_all([second.address["a"]])
+        assert (await harness.count("c", 1.0, 3)).total == 8.0
+        harness.counting.leave()
+        harness.counting.close()
         first.close()
         second.close()
 
--- a/tests/counting/test_schedules.py
+++ b/tests/counting/test_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of gateways and their counters, judged by what they sent on."""
+"""Seeded schedules of gateways and their counters, judged by the requests that were sent on."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 from embersill.world.schedules import Schedule, Step
 from embersill.world.trace import Trace
 
-SEEDS = 80  # `python -m embersill.lab schedules --world counting --seeds 10000` plays more
-HOG = {"plan": "basis", "width": 3, "first": 0, "units": 1, "tries": 40.0, "uneven": 0.0}
+SEED_COUNT = 80  # `python -m embersill.lab schedules --world counting --seeds 10000` runs more
+HEAVY_CUSTOMER = {"plan": "basis", "width": 3, "first": 0, "units": 1, "tries": 40.0, "uneven": 0.0}
 
 
-@pytest.mark.parametrize("start", range(0, SEEDS, 20))
+@pytest.mark.parametrize("start", range(0, SEED_COUNT, 20))
 def test_schedules_stay_within_the_stated_bound(start: int) -> None:
     tries = sum(play(generate(seed))["tries"] for seed in range(start, start + 20))
     assert tries > 20 * 100
 
 
 @pytest.mark.parametrize("fence", (*FENCES, *TESTED))
-def test_every_fence_stands_where_the_list_says(fence: Fence) -> None:
+def test_the_code_of_every_fence_is_found_in_its_module(fence: Fence) -> None:
     for module in fence.modules():
         path, source = source_of(module)
         assert fence.applied(module, source) != source
         compile(fence.applied(module, source), path, "exec")
 
 
-def test_fences_that_are_taken_out_are_found() -> None:
+def test_removed_fences_are_detected() -> None:
     names = ["told-anew", "corrections-anew", "moved", "repays"]
     results = list(hunt_all(0, 200, 4, names, "counting"))
     assert [result["fence"] for result in results if not result["found"]] == []
 
 
-def test_one_seed_is_one_trace() -> None:
+def test_a_seed_gives_the_same_trace_every_time() -> None:
     digests = []
     for _ in range(2):
         trace = Trace()
@@ -51,40 +51,40 @@
     assert digests[0] == digests[1]
 
 
-def split(seconds: float, keeper: bool, schedule_seconds: float = 55.0) -> Schedule:
+def split_schedule(seconds: float, keeper: bool, schedule_seconds: float = 55.0) -> Schedule:
     shape = {
         "gateways": 3,
         "counters": 1,
         "seconds": schedule_seconds,
         "start": 1.0,
-        "customers": [HOG],
+        "customers": [HEAVY_CUSTOMER],
         "keeper": keeper,
     }
     return Schedule(1, shape, [Step("split", 8.0, seconds=seconds, args={"other": [0], "keep": 1})])
 
 
-def test_a_long_split_costs_no_more_than_a_short_one_and_the_code_before_costs_ever_more() -> None:
-    short, long = play(split(8.0, True))["over"], play(split(40.0, True))["over"]
-    before = World(split(40.0, False))
+def test_the_excess_of_a_split_does_not_grow_with_its_length_except_without_a_keeper() -> None:
+    short, long = play(split_schedule(8.0, True))["over"], play(split_schedule(40.0, True))["over"]
+    without_keeper = World(split_schedule(40.0, False))
     with pytest.raises(Broken, match="quota"):
-        before.run()
+        without_keeper.run()
     assert abs(long - short) < 16.0 and long < 40.0
 
 
-def test_a_failing_schedule_is_cut_down_and_told() -> None:
-    schedule = split(45.0, False, 57.0)
+def test_a_failing_schedule_is_shortened_and_described() -> None:
+    schedule = split_schedule(45.0, False, 57.0)
     schedule = schedule.with_steps([*schedule.steps, Step("kill", 54.0, who="g2", seconds=1.0)])
-    broken = breaks(schedule)
-    assert broken is not None and broken.rule == "quota"
-    kept, _ = shorten(schedule, broken, most_runs=20)
-    # the code before needs no trouble at all: what gateways pass on unknown to each other is forgiven there
-    assert len(kept.schedule.steps) < 2 and "no trouble" in kept.story.splitlines()[-1]
-    again = breaks(kept.schedule)
+    violation = breaks(schedule)
+    assert violation is not None and violation.rule == "quota"
+    shortened, _ = shorten(schedule, violation, most_runs=20)
+    # without a keeper no trouble is needed: use that is unknown to the other gateways is never charged
+    assert len(shortened.schedule.steps) < 2 and "no trouble" in shortened.story.splitlines()[-1]
+    again = breaks(shortened.schedule)
     assert again is not None and again.rule == "quota"
 
 
-def test_a_build_that_passes_the_whole_quota_at_every_gateway_is_caught() -> None:
-    """The judge knows nothing of the code: it is given sends alone, by a program that shares nothing."""
+def test_a_build_that_allows_the_whole_quota_at_every_gateway_exceeds_the_bound() -> None:
+    """The judge sees only the sends, and shares no code with the gateways that it judges."""
     case = Case(4.0, 16.0, 3, 8.0, 0.03)
     judge = Judge(Terms(), lambda epoch: [], 8.0)
     judge.add("c", Customer(case), 6000.0)
@@ -95,7 +95,7 @@
     assert findings[0].beyond > findings[0].bound and findings[0].bound == allowed(case, Terms(), [])
 
 
-def test_a_judge_of_ceilings_and_room() -> None:
+def test_the_judge_detects_breached_ceilings_and_refusals_with_room() -> None:
     case = Case(4.0, 16.0, 2, 8.0, 0.03)
     judge = Judge(Terms(), lambda epoch: [], 8.0)
     judge.add("c", Customer(case, ceiling_rate=8.0, ceiling_depth=16.0), 6000.0)
@@ -109,10 +109,10 @@
     assert judge.refused("c", 1.0, 6011.0, "none") and judge.room_share("none") == 0.5
 
 
-def test_every_trouble_has_its_line_and_none_grows_with_its_length() -> None:
+def test_every_trouble_has_its_rows_and_a_bound_that_its_length_does_not_change() -> None:
     rows = table(lab_settings(4), Terms())
     assert {row["trouble"] for row in rows} == set(TROUBLES)
-    assert len(rows) == 2 * 3 * len(TROUBLES)  # plans with a quota, widths
+    assert len(rows) == 2 * 3 * len(TROUBLES)  # plans with a quota times widths
     case = Case(4.0, 16.0, 3, 8.0, 0.03)
     assert excess(ORDINARY, case, Terms()) < excess(ORDINARY, Case(4.0, 16.0, 4, 8.0, 0.03), Terms())
     assert excess("split", case, Terms(absent_after=5.0)) == excess("split", case, Terms()) + 4.0 * 2.5
