--- a/benchmarks/scarce_counter.py
+++ b/benchmarks/scarce_counter.py
@@ -88,7 +88,7 @@
     out["refused_with_room_share"] = sum(t.refused_with_room for t in tallies) / sum(t.asked for t in tallies)
     out["beyond_quota_share"] = sum(t.beyond for t in tallies) / sum(t.inside + t.beyond for t in tallies)
     out["calls_per_try"] = fleet.counter.calls / len(fleet.tries)
-    out["calls_lost_share"] = (fleet.counter.lost + fleet.counter.refused) / max(fleet.counter.calls, 1)
+    out["calls_lost_share"] = (fleet.counter.timed_out + fleet.counter.rejected) / max(fleet.counter.calls, 1)
     out["ceiling_over"] = ledger.breach
     out["tries"], out["cpu"] = len(fleet.tries), spent
     return out
--- a/embersill/emulator/__init__.py
+++ b/embersill/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A model of a site: customers, gateways with the real module, and a counter that can be crowded. No I/O."""
+"""An emulated site: customers, gateways with the real decision module, and a shared counter. No I/O."""
--- a/embersill/emulator/fleet.py
+++ b/embersill/emulator/fleet.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field, replace
 
 from embersill.control import Gateway
-from embersill.emulator.counter import CrowdedCounter
+from embersill.emulator.counter import LimitedCounter
 from embersill.emulator.demand import Try
 from embersill.emulator.stores import Ledger
 from embersill.interface import (
@@ -130,10 +130,10 @@
     def __init__(self, site: Site, tries: list[Try], seed: int) -> None:
         self.site, self.tries = site, tries
         self.kernel = Kernel(seed, most_events=20_000_000)
-        self.counter = CrowdedCounter(
+        self.counter = LimitedCounter(
             self.kernel, site.calls_a_second, site.parts, site.work, site.settings.counter_patience
         )
-        self.counter.down = site.down
+        self.counter.outages = site.down
         self.backends = tuple(
             Backend(f"b{n}", site.settings.zone, KINDS[n % 2], n // 4, Status.SERVING, 1.0, None)
             for n in range(site.backends)
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -9,7 +9,7 @@
 
 from benchmarks.scarce_counter import day, figures
 from embersill.control import Gateway
-from embersill.emulator.counter import CrowdedCounter
+from embersill.emulator.counter import LimitedCounter
 from embersill.emulator.demand import Customer, Try
 from embersill.emulator.stores import Ledger, Store
 from embersill.interface import Outcome, Plan, Settings
@@ -49,18 +49,18 @@
 
 def test_a_crowded_counter_is_late_adds_all_the_same_and_turns_away_at_its_bound() -> None:
     kernel = Kernel(1)
-    counter = CrowdedCounter(kernel, 100.0, 1, 0.001, 0.03)
+    counter = LimitedCounter(kernel, 100.0, 1, 0.001, 0.03)
     told: list[tuple[Outcome, float]] = []
     for _ in range(60):
         counter.call("c.1", 1.0, 60.0, lambda outcome, total, took: told.append((outcome, total)))
     kernel.run(2.0)
     outcomes = [outcome for outcome, _ in told]
     assert len(told) == 60 and set(outcomes) == {Outcome.SERVED, Outcome.TIMED_OUT, Outcome.TURNED_AWAY}
-    assert counter.lost == outcomes.count(Outcome.TIMED_OUT) and counter.refused > 0
-    assert counter.sums["c.1"][0] == 60 - counter.refused  # what nobody waited for is added too
+    assert counter.timed_out == outcomes.count(Outcome.TIMED_OUT) and counter.rejected > 0
+    assert counter.sums["c.1"][0] == 60 - counter.rejected  # what nobody waited for is added too
     counter.call("c.1", 1.0, 60.0, lambda outcome, total, took: told.append((outcome, total)))
     kernel.run(3.0)
-    assert told[-1] == (Outcome.SERVED, 61.0 - counter.refused)
+    assert told[-1] == (Outcome.SERVED, 61.0 - counter.rejected)
 
 
 def test_a_day_repeats_exactly_and_its_ceilings_hold() -> None:
