--- a/benchmarks/scarce_counter.py
+++ b/benchmarks/scarce_counter.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from benchmarks.history import ROOT, lay_out
-from embersill.emulator.demand import MEAN_UNITS, Mix, draw_customers, draw_tries
+from embersill.emulator.demand import MEAN_REQUEST_UNITS, PlanShare, draw_customers, draw_requests
 from embersill.emulator.fleet import Fleet, Site
 from embersill.rig.settings import settings_object
 from embersill.settings import read_settings
@@ -63,9 +63,9 @@
     settings = read_settings(told)
     wide = max(1, gateways // 2), gateways
     narrow = min(4, gateways), min(4, gateways)
-    mixes = [Mix(p, SHARES[p.name], narrow if p.name == "pro" else wide) for p in settings.plans]
-    customers = draw_customers(chance, mixes, gateways, 0.65 * tries_a_second * MEAN_UNITS, seconds)
-    tries = draw_tries(chance, customers, CLASSES, chance.uniform(0.34, 0.62))
+    mixes = [PlanShare(p, SHARES[p.name], narrow if p.name == "pro" else wide) for p in settings.plans]
+    customers = draw_customers(chance, mixes, gateways, 0.65 * tries_a_second * MEAN_REQUEST_UNITS, seconds)
+    tries = draw_requests(chance, customers, CLASSES, chance.uniform(0.34, 0.62))
     rate = len(tries) / seconds
     site = Site(settings, calls_a_try * rate, retries=chance.randrange(3), start=chance.uniform(0.0, 59.0))
     return Fleet(site, tries, seed)
--- a/embersill/emulator/fleet.py
+++ b/embersill/emulator/fleet.py
@@ -8,7 +8,7 @@
 
 from embersill.control import Gateway
 from embersill.emulator.counter import LimitedCounter
-from embersill.emulator.demand import Try
+from embersill.emulator.demand import CustomerRequest
 from embersill.emulator.stores import Ledger
 from embersill.interface import (
     Action,
@@ -41,7 +41,7 @@
 class Asked:
     """A try on its way through one gateway."""
 
-    one: Try
+    one: CustomerRequest
     again: int
     inside: bool = False
     sends: int = 0
@@ -104,7 +104,7 @@
 
         self.fleet.counter.call(action.name, action.amount, action.forget_after, ended)
 
-    def come(self, one: Try, again: int) -> None:
+    def come(self, one: CustomerRequest, again: int) -> None:
         self.count += 1
         self.asked[self.count] = Asked(one, again)
         klass = self.gateway.classes[one.klass]
@@ -127,7 +127,7 @@
 class Fleet:
     """One day; `ledger` has its figures after `play`."""
 
-    def __init__(self, site: Site, tries: list[Try], seed: int) -> None:
+    def __init__(self, site: Site, tries: list[CustomerRequest], seed: int) -> None:
         self.site, self.tries = site, tries
         self.kernel = Kernel(seed, most_events=20_000_000)
         self.counter = LimitedCounter(
@@ -159,8 +159,8 @@
         self.ledger.asked(one)
         self.come(one, 0)
 
-    def come(self, one: Try, again: int) -> None:
-        gateway = one.customer.gateway(self.kernel.now, self.chance)
+    def come(self, one: CustomerRequest, again: int) -> None:
+        gateway = one.customer.pick_gateway(self.kernel.now, self.chance)
         self.nodes[gateway].come(one, again)
 
     def sent(self, node: FleetNode, action: Send) -> None:
--- a/embersill/emulator/stores.py
+++ b/embersill/emulator/stores.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from embersill.emulator.demand import Customer, Try
+from embersill.emulator.demand import Customer, CustomerRequest
 
 
 class Store:
@@ -61,10 +61,10 @@
             found = kept[customer.name] = Store(customer.plan.rate, customer.plan.burst)
         return found
 
-    def value(self, one: Try) -> float:
+    def value(self, one: CustomerRequest) -> float:
         return self.worth[one.klass] * one.customer.plan.worth_factor * one.units
 
-    def asked(self, one: Try) -> None:
+    def asked(self, one: CustomerRequest) -> None:
         plan, tally = one.customer.plan, self.tallies[one.customer.plan.name]
         ideal = self.store(self.ideal, one.customer)
         tally.asked += self.value(one)
@@ -74,7 +74,7 @@
         else:
             tally.offered += plan.beyond_worth * self.value(one)
 
-    def sent(self, one: Try, when: float, useful: bool) -> bool:
+    def sent(self, one: CustomerRequest, when: float, useful: bool) -> bool:
         """True where it was inside the quota. `useful`: its answer will come within its aim."""
         plan, tally, worth = one.customer.plan, self.tallies[one.customer.plan.name], self.value(one)
         if plan.ceiling_rate > 0:
@@ -93,10 +93,10 @@
             tally.gained += worth if inside else plan.beyond_worth * worth
         return inside
 
-    def settled(self, one: Try, when: float) -> None:
+    def settled(self, one: CustomerRequest, when: float) -> None:
         self.store(self.used, one.customer).settle(one.units, one.true_units, when)
 
-    def refused(self, one: Try, when: float) -> None:
+    def refused(self, one: CustomerRequest, when: float) -> None:
         tally, worth = self.tallies[one.customer.plan.name], self.value(one)
         tally.refused += worth
         if self.store(self.used, one.customer).now(when) >= one.units:
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -10,7 +10,7 @@
 from benchmarks.scarce_counter import day, figures
 from embersill.control import Gateway
 from embersill.emulator.counter import LimitedCounter
-from embersill.emulator.demand import Customer, Try
+from embersill.emulator.demand import Customer, CustomerRequest
 from embersill.emulator.stores import Ledger, Store
 from embersill.interface import Outcome, Plan, Settings
 from embersill.world.kernel import Kernel
@@ -18,8 +18,8 @@
 PLAN = Plan("small", 2.0, 8.0, 0, 3.0, 10.0, 1.0, 0.0, 1.0)
 
 
-def one(number: int, at: float, units: float, true: float) -> Try:
-    return Try(number, at, Customer("c", PLAN, 0, 2, []), "read", units, true)
+def one(number: int, at: float, units: float, true: float) -> CustomerRequest:
+    return CustomerRequest(number, at, Customer("c", PLAN, 0, 2, []), "read", units, true)
 
 
 def test_a_store_starts_full_fills_at_its_rate_and_no_higher() -> None:
@@ -90,5 +90,5 @@
     assert 0.5 * 300 < rate < 2 * 300
     chance = random.Random(1)
     for t in made.tries[:500]:
-        place = t.customer.gateway(t.at, chance)
+        place = t.customer.pick_gateway(t.at, chance)
         assert (place - t.customer.first) % 40 < t.customer.width
