--- a/benchmarks/scarce_counter.py
+++ b/benchmarks/scarce_counter.py
@@ -73,24 +73,28 @@
 
 def figures(fleet: Fleet, seconds: float) -> dict[str, Any]:
     began = time.process_time()
-    ledger = fleet.play(seconds + 3.0)
+    ledger = fleet.run(seconds + 3.0)
     spent = time.process_time() - began
     out: dict[str, Any] = {"plans": {}}
     for name, t in sorted(ledger.tallies.items()):
         out["plans"][name] = {
             "gained": t.gained / t.offered,
-            "with_room": t.refused_with_room / t.asked,
-            "beyond": t.beyond / max(t.inside + t.beyond, 1e-9),
-            "asked": t.asked / t.offered,
+            "with_room": t.refused_with_room / t.requested,
+            "beyond": t.beyond_quota / max(t.within_quota + t.beyond_quota, 1e-9),
+            "asked": t.requested / t.offered,
         }
     tallies = ledger.tallies.values()
     out["gained"] = sum(t.gained for t in tallies) / sum(t.offered for t in tallies)
-    out["refused_with_room_share"] = sum(t.refused_with_room for t in tallies) / sum(t.asked for t in tallies)
-    out["beyond_quota_share"] = sum(t.beyond for t in tallies) / sum(t.inside + t.beyond for t in tallies)
-    out["calls_per_try"] = fleet.counter.calls / len(fleet.tries)
+    out["refused_with_room_share"] = sum(t.refused_with_room for t in tallies) / sum(
+        t.requested for t in tallies
+    )
+    out["beyond_quota_share"] = sum(t.beyond_quota for t in tallies) / sum(
+        t.within_quota + t.beyond_quota for t in tallies
+    )
+    out["calls_per_try"] = fleet.counter.calls / len(fleet.requests)
     out["calls_lost_share"] = (fleet.counter.timed_out + fleet.counter.rejected) / max(fleet.counter.calls, 1)
-    out["ceiling_over"] = ledger.breach
-    out["tries"], out["cpu"] = len(fleet.tries), spent
+    out["ceiling_over"] = ledger.max_breach
+    out["tries"], out["cpu"] = len(fleet.requests), spent
     return out
 
 
--- a/embersill/emulator/fleet.py
+++ b/embersill/emulator/fleet.py
@@ -1,4 +1,4 @@
-"""Plays a day's tries on gateways with the real module, a crowded counter, and backends never short."""
+"""Runs drawn requests through gateways with the real module, a limited counter, and ample backends."""
 
 from __future__ import annotations
 
@@ -32,166 +32,190 @@
 )
 from embersill.world.kernel import Kernel, Node
 
-BEGIN = 6000.0  # what clocks show at the start, and a part of a minute more
-BACK_OFF = (0.1, 0.8)  # seconds until a client asks again: drawn, and doubled each time
-KINDS = ("std-4", "slow-4")
+CLOCK_START_S = 6000.0  # clocks at the start of a run; `Site.start` comes on top
+RETRY_BACKOFF_S = (0.1, 0.8)  # range of the delay before a retry; doubles with each further one
+BACKEND_KINDS = ("std-4", "slow-4")
 
 
 @dataclass(slots=True)
-class Asked:
-    """A try on its way through one gateway."""
+class PendingRequest:
+    """A request at one gateway."""
 
-    one: CustomerRequest
-    again: int
-    inside: bool = False
-    sends: int = 0
+    request: CustomerRequest
+    retry: int  # 0 for the first attempt
+    within_quota: bool = False
+    send_count: int = 0
 
 
 @dataclass
 class Site:
-    """What the fleet is: all that a day is played with but its tries."""
+    """The deployment that a run emulates."""
 
     settings: Settings
-    calls_a_second: float
-    parts: int = 2
-    work: float = 0.001
+    counter_calls_per_s: float
+    counter_partitions: int = 2
+    counter_latency_s: float = 0.001
     backends: int = 130
     retries: int = 1
-    start: float = 10.0  # seconds into a minute at which the day begins
-    down: list[tuple[float, float]] = field(default_factory=list)  # when the counter is silent
-    kills: list[tuple[float, int]] = field(default_factory=list)  # when a gateway starts again from nothing
-    make: Callable[[Settings, int, float], Gateway] = Gateway
+    start: float = 10.0  # seconds into a minute at which the run begins
+    # start and end of each time in which the counter does not answer
+    outages: list[tuple[float, float]] = field(default_factory=list)
+    # time, and number of the gateway that restarts without its state
+    restarts: list[tuple[float, int]] = field(default_factory=list)
+    make_gateway: Callable[[Settings, int, float], Gateway] = Gateway
 
 
-class FleetNode(Node):
+class GatewayNode(Node):
+    """One gateway: the module, its timers and its calls."""
+
     def __init__(self, fleet: Fleet, number: int) -> None:
         super().__init__(fleet.kernel, f"g{number}")
         self.fleet, self.number = fleet, number
-        self.asked: dict[int, Asked] = {}
-        self.count = 0
+        self.pending: dict[int, PendingRequest] = {}
+        self.last_id = 0
         self.gateway: Gateway
 
     def start(self) -> None:
+        """Starts the gateway, or restarts it without its state."""
         site = self.fleet.site
-        self.begin_life(0.0, BEGIN + site.start)
+        self.begin_life(0.0, CLOCK_START_S + site.start)
         seed = self.fleet.kernel.stream(f"{self.name} {self.life}").getrandbits(32)
-        self.gateway = site.make(replace(site.settings, me=self.number), seed, self.clock())
-        self.asked = {}
-        self.tell(BackendList(ListKind.WHOLE, self.fleet.backends))
+        self.gateway = site.make_gateway(replace(site.settings, me=self.number), seed, self.clock())
+        self.pending = {}
+        self.deliver(BackendList(ListKind.WHOLE, self.fleet.backends))
 
-    def tell(self, event: Event) -> None:
+    def deliver(self, event: Event) -> None:
+        """Passes an event to the module and carries out what it decides."""
         for action in self.gateway.handle(event, self.clock()):
-            self.carry(action)
+            self.carry_out(action)
 
-    def carry(self, action: Action) -> None:
+    def carry_out(self, action: Action) -> None:
+        """Carries out an action of the module."""
         if isinstance(action, SetTimer):
-            self.after(action.delay, self.tell, TimerDue(action.key))
+            self.after(action.delay, self.deliver, TimerDue(action.key))
         elif isinstance(action, Send):
-            self.fleet.sent(self, action)
+            self.fleet.handle_send(self, action)
         elif isinstance(action, Refuse | Fail):
-            self.fleet.turned_away(self, action.request)
+            self.fleet.handle_refusal(self, action.request)
         elif isinstance(action, Count):
-            self.ask(action)
+            self.call_counter(action)
         else:
             assert not isinstance(action, Cancel)
 
-    def ask(self, action: Count) -> None:
+    def call_counter(self, action: Count) -> None:
+        """Makes a call to the counter; its result is dropped if the gateway restarts first."""
         life = self.life
 
-        def ended(outcome: Outcome, total: float, took: float) -> None:
+        def ended(outcome: Outcome, total: float, elapsed_s: float) -> None:
             if self.alive and self.life == life:
-                self.tell(CounterResult(action.name, outcome, took, total))
+                self.deliver(CounterResult(action.name, outcome, elapsed_s, total))
 
         self.fleet.counter.call(action.name, action.amount, action.forget_after, ended)
 
-    def come(self, one: CustomerRequest, again: int) -> None:
-        self.count += 1
-        self.asked[self.count] = Asked(one, again)
-        klass = self.gateway.classes[one.klass]
-        who = one.customer
-        self.tell(
+    def receive(self, request: CustomerRequest, retry: int) -> None:
+        """Handles a request of a customer. `retry`: 0 for its first attempt."""
+        self.last_id += 1
+        self.pending[self.last_id] = PendingRequest(request, retry)
+        klass = self.gateway.classes[request.klass]
+        customer = request.customer
+        self.deliver(
             Request(
-                self.count,
-                one.klass,
-                who.plan.name,
-                who.name,
+                self.last_id,
+                request.klass,
+                customer.plan.name,
+                customer.name,
                 self.clock() + klass.deadline,
-                one.units,
-                who.width,
-                who.first,
-                again > 0,
+                request.units,
+                customer.width,
+                customer.first,
+                retry > 0,
             )
         )
 
 
 class Fleet:
-    """One day; `ledger` has its figures after `play`."""
+    """One run; `ledger` has its figures after `run`."""
 
-    def __init__(self, site: Site, tries: list[CustomerRequest], seed: int) -> None:
-        self.site, self.tries = site, tries
+    def __init__(self, site: Site, requests: list[CustomerRequest], seed: int) -> None:
+        self.site, self.requests = site, requests
         self.kernel = Kernel(seed, most_events=20_000_000)
         self.counter = LimitedCounter(
-            self.kernel, site.calls_a_second, site.parts, site.work, site.settings.counter_patience
+            self.kernel,
+            site.counter_calls_per_s,
+            site.counter_partitions,
+            site.counter_latency_s,
+            site.settings.counter_patience,
         )
-        self.counter.outages = site.down
+        self.counter.outages = site.outages
         self.backends = tuple(
-            Backend(f"b{n}", site.settings.zone, KINDS[n % 2], n // 4, Status.SERVING, 1.0, None)
+            Backend(f"b{n}", site.settings.zone, BACKEND_KINDS[n % 2], n // 4, Status.SERVING, 1.0, None)
             for n in range(site.backends)
         )
         self.ledger = Ledger({c.name: c.worth for c in site.settings.classes})
         self.chance: random.Random = self.kernel.stream("day")
-        self.nodes = [FleetNode(self, n) for n in range(site.settings.gateways)]
+        self.nodes = [GatewayNode(self, n) for n in range(site.settings.gateways)]
 
-    def play(self, seconds: float) -> Ledger:
+    def run(self, seconds: float) -> Ledger:
+        """Emulates that many seconds; returns the figures."""
         for node in self.nodes:
             node.start()
-        for when, number in self.site.kills:
+        for when, number in self.site.restarts:
             self.kernel.at(when, self.nodes[number].start)
-        if self.tries:
-            self.kernel.at(self.tries[0].at, self.next, 0)
+        if self.requests:
+            self.kernel.at(self.requests[0].at, self.submit_next, 0)
         self.kernel.run(seconds)
         return self.ledger
 
-    def next(self, place: int) -> None:
-        one = self.tries[place]
-        if place + 1 < len(self.tries):
-            self.kernel.at(self.tries[place + 1].at, self.next, place + 1)
-        self.ledger.asked(one)
-        self.come(one, 0)
-
-    def come(self, one: CustomerRequest, again: int) -> None:
-        gateway = one.customer.pick_gateway(self.kernel.now, self.chance)
-        self.nodes[gateway].come(one, again)
-
-    def sent(self, node: FleetNode, action: Send) -> None:
-        asked = node.asked[action.request]
-        took = self.chance.lognormvariate(-1.6, 0.6)
-        if not asked.sends:
-            useful = self.kernel.now + took <= asked.one.at + node.gateway.classes[asked.one.klass].aim
-            asked.inside = self.ledger.sent(asked.one, self.kernel.now, useful)
-        asked.sends += 1
-        node.after(took, self.served, node, action, asked, took)
-
-    def served(self, node: FleetNode, action: Send, asked: Asked, took: float) -> None:
-        if asked.inside:
-            self.ledger.settled(asked.one, self.kernel.now)
-        node.asked.pop(action.request, None)
-        node.tell(
+    def submit_next(self, index: int) -> None:
+        """Submits a request for the first time, and schedules the next one."""
+        request = self.requests[index]
+        if index + 1 < len(self.requests):
+            self.kernel.at(self.requests[index + 1].at, self.submit_next, index + 1)
+        self.ledger.record_request(request)
+        self.submit(request, 0)
+
+    def submit(self, request: CustomerRequest, retry: int) -> None:
+        """Submits a request to one of its customer's gateways."""
+        gateway = request.customer.pick_gateway(self.kernel.now, self.chance)
+        self.nodes[gateway].receive(request, retry)
+
+    def handle_send(self, node: GatewayNode, action: Send) -> None:
+        """Handles the send of a request to a backend, which serves it after a random time."""
+        pending = node.pending[action.request]
+        elapsed_s = self.chance.lognormvariate(-1.6, 0.6)
+        if not pending.send_count:
+            useful = (
+                self.kernel.now + elapsed_s
+                <= pending.request.at + node.gateway.classes[pending.request.klass].aim
+            )
+            pending.within_quota = self.ledger.record_send(pending.request, self.kernel.now, useful)
+        pending.send_count += 1
+        node.after(elapsed_s, self.finish_attempt, node, action, pending, elapsed_s)
+
+    def finish_attempt(
+        self, node: GatewayNode, action: Send, pending: PendingRequest, elapsed_s: float
+    ) -> None:
+        """Handles the end of an attempt: settles the units, and reports it to the gateway."""
+        if pending.within_quota:
+            self.ledger.record_settlement(pending.request, self.kernel.now)
+        node.pending.pop(action.request, None)
+        node.deliver(
             AttemptEnded(
                 action.request,
-                asked.sends - 1,
+                pending.send_count - 1,
                 action.backend,
                 Outcome.SERVED,
-                took,
+                elapsed_s,
                 True,
-                asked.one.true_units,
+                pending.request.true_units,
                 (),
             )
         )
 
-    def turned_away(self, node: FleetNode, request: int) -> None:
-        asked = node.asked.pop(request)
-        self.ledger.refused(asked.one, self.kernel.now)
-        if asked.again < self.site.retries:
-            wait = self.chance.uniform(*BACK_OFF) * 2**asked.again
-            self.kernel.at(self.kernel.now + wait, self.come, asked.one, asked.again + 1)
+    def handle_refusal(self, node: GatewayNode, number: int) -> None:
+        """Handles a refused request, which its customer may retry."""
+        pending = node.pending.pop(number)
+        self.ledger.record_refusal(pending.request, self.kernel.now)
+        if pending.retry < self.site.retries:
+            wait_s = self.chance.uniform(*RETRY_BACKOFF_S) * 2**pending.retry
+            self.kernel.at(self.kernel.now + wait_s, self.submit, pending.request, pending.retry + 1)
--- a/embersill/emulator/stores.py
+++ b/embersill/emulator/stores.py
@@ -1,4 +1,4 @@
-"""What a quota and a ceiling are by their definition: one store for all gateways, and the judge of a day."""
+"""Quotas and ceilings by their definition, one token bucket for all gateways, and the figures of a run."""
 
 from __future__ import annotations
 
@@ -8,96 +8,108 @@
 from embersill.emulator.demand import Customer, CustomerRequest
 
 
-class Store:
-    """Units that fill at a rate up to a burst, from full; below nought after a settlement."""
+class TokenBucket:
+    """A token bucket, full at first; a settlement may take its level below zero."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate, self.burst, self.level, self.at = rate, burst, burst, 0.0
 
-    def now(self, when: float) -> float:
+    def level_at(self, when: float) -> float:
+        """Refills up to a time; returns the level."""
         self.level = min(self.burst, self.level + self.rate * (when - self.at))
         self.at = when
         return self.level
 
     def take(self, units: float, when: float) -> bool:
-        if self.now(when) < units - 1e-9:
+        """Takes the units if the level allows it; returns whether it did."""
+        if self.level_at(when) < units - 1e-9:
             return False
         self.level -= units
         return True
 
     def settle(self, units: float, true_units: float, when: float) -> None:
-        """What was taken by a guess is put right: given back up to the burst, or taken below nought."""
-        self.level = min(self.now(when) + units - true_units, self.burst)
+        """Corrects an estimate that was taken: returns the excess up to the burst, or takes the rest."""
+        self.level = min(self.level_at(when) + units - true_units, self.burst)
 
 
 @dataclass(slots=True)
 class Tally:
-    """Worth of one plan's tries, by what became of it."""
-
-    offered: float = 0.0  # what one gateway for all first tries lets in, and the beyond_worth of the rest
-    gained: float = 0.0
-    inside: float = 0.0  # sent on inside the quota
-    beyond: float = 0.0  # sent on beyond it
-    refused_with_room: float = 0.0  # though the store held it then
+    """The worth of one plan's requests, by outcome."""
+
+    # what a single gateway for all first attempts admits, plus the rest at `beyond_worth`
+    offered: float = 0.0
+    gained: float = 0.0  # served in time, less the cost of use beyond quotas
+    within_quota: float = 0.0  # sent within the quota
+    beyond_quota: float = 0.0  # sent beyond it
+    refused_with_room: float = 0.0  # though the bucket held enough units
     refused: float = 0.0
-    asked: float = 0.0
+    requested: float = 0.0
 
 
 @dataclass(slots=True)
 class Ledger:
-    """Stores of all customers as they were really used, and as one gateway would have let them be used."""
+    """All customers' buckets as they were used, and as a single gateway would have used them."""
 
-    worth: dict[str, float]  # of a unit, by class
-    used: dict[str, Store] = field(default_factory=dict)
-    ideal: dict[str, Store] = field(default_factory=dict)
-    ceilings: dict[str, Store] = field(default_factory=dict)
+    worth: dict[str, float]  # of a unit, by request class
+    used: dict[str, TokenBucket] = field(default_factory=dict)
+    ideal: dict[str, TokenBucket] = field(default_factory=dict)
+    ceilings: dict[str, TokenBucket] = field(default_factory=dict)
     tallies: dict[str, Tally] = field(default_factory=lambda: defaultdict(Tally))
     served: set[int] = field(default_factory=set)
-    breach: float = 0.0  # most units by which a ceiling was passed
-
-    def store(self, kept: dict[str, Store], customer: Customer) -> Store:
-        found = kept.get(customer.name)
-        if found is None:
-            found = kept[customer.name] = Store(customer.plan.rate, customer.plan.burst)
-        return found
-
-    def value(self, one: CustomerRequest) -> float:
-        return self.worth[one.klass] * one.customer.plan.worth_factor * one.units
-
-    def asked(self, one: CustomerRequest) -> None:
-        plan, tally = one.customer.plan, self.tallies[one.customer.plan.name]
-        ideal = self.store(self.ideal, one.customer)
-        tally.asked += self.value(one)
-        if ideal.take(one.units, one.at):
-            ideal.settle(one.units, one.true_units, one.at)
-            tally.offered += self.value(one)
+    max_breach: float = 0.0  # most units by which a ceiling was exceeded
+
+    def bucket(self, buckets: dict[str, TokenBucket], customer: Customer) -> TokenBucket:
+        """A customer's quota bucket among these, created if needed."""
+        bucket = buckets.get(customer.name)
+        if bucket is None:
+            bucket = buckets[customer.name] = TokenBucket(customer.plan.rate, customer.plan.burst)
+        return bucket
+
+    def worth_of(self, request: CustomerRequest) -> float:
+        """What serving a request within its quota is worth."""
+        return self.worth[request.klass] * request.customer.plan.worth_factor * request.units
+
+    def record_request(self, request: CustomerRequest) -> None:
+        """Records a customer's first attempt."""
+        plan, tally = request.customer.plan, self.tallies[request.customer.plan.name]
+        ideal = self.bucket(self.ideal, request.customer)
+        tally.requested += self.worth_of(request)
+        if ideal.take(request.units, request.at):
+            ideal.settle(request.units, request.true_units, request.at)
+            tally.offered += self.worth_of(request)
         else:
-            tally.offered += plan.beyond_worth * self.value(one)
-
-    def sent(self, one: CustomerRequest, when: float, useful: bool) -> bool:
-        """True where it was inside the quota. `useful`: its answer will come within its aim."""
-        plan, tally, worth = one.customer.plan, self.tallies[one.customer.plan.name], self.value(one)
+            tally.offered += plan.beyond_worth * self.worth_of(request)
+
+    def record_send(self, request: CustomerRequest, when: float, useful: bool) -> bool:
+        """Records a send; returns whether it was within the quota. `useful`: it is served within its aim."""
+        plan, tally, worth = (
+            request.customer.plan,
+            self.tallies[request.customer.plan.name],
+            self.worth_of(request),
+        )
         if plan.ceiling_rate > 0:
-            name = one.customer.name
-            ceiling = self.ceilings.setdefault(name, Store(plan.ceiling_rate, plan.ceiling_depth))
-            ceiling.level = ceiling.now(when) - one.units
-            self.breach = max(self.breach, -ceiling.level)
-        inside = self.store(self.used, one.customer).take(one.units, when)
-        if inside:
-            tally.inside += worth
+            name = request.customer.name
+            ceiling = self.ceilings.setdefault(name, TokenBucket(plan.ceiling_rate, plan.ceiling_depth))
+            ceiling.level = ceiling.level_at(when) - request.units
+            self.max_breach = max(self.max_breach, -ceiling.level)
+        is_within = self.bucket(self.used, request.customer).take(request.units, when)
+        if is_within:
+            tally.within_quota += worth
         else:
-            tally.beyond += worth
+            tally.beyond_quota += worth
             tally.gained -= plan.beyond_cost * worth
-        if useful and one.number not in self.served:
-            self.served.add(one.number)
-            tally.gained += worth if inside else plan.beyond_worth * worth
-        return inside
-
-    def settled(self, one: CustomerRequest, when: float) -> None:
-        self.store(self.used, one.customer).settle(one.units, one.true_units, when)
-
-    def refused(self, one: CustomerRequest, when: float) -> None:
-        tally, worth = self.tallies[one.customer.plan.name], self.value(one)
+        if useful and request.number not in self.served:
+            self.served.add(request.number)
+            tally.gained += worth if is_within else plan.beyond_worth * worth
+        return is_within
+
+    def record_settlement(self, request: CustomerRequest, when: float) -> None:
+        """Charges the true units of a request that was served."""
+        self.bucket(self.used, request.customer).settle(request.units, request.true_units, when)
+
+    def record_refusal(self, request: CustomerRequest, when: float) -> None:
+        """Records a request that a gateway refused."""
+        tally, worth = self.tallies[request.customer.plan.name], self.worth_of(request)
         tally.refused += worth
-        if self.store(self.used, one.customer).now(when) >= one.units:
+        if self.bucket(self.used, request.customer).level_at(when) >= request.units:
             tally.refused_with_room += worth
