--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -276,7 +276,7 @@
         ),
     ),
     (
-        "test_lapses.py::test_orders_begin_pause_go_on_and_end_and_may_be_sent_again",
+        "test_lapses.py::test_orders_start_pause_resume_and_end_and_are_idempotent",
         Fence(
             "told-first",
             "embersill.edge.configuration.lapses",
@@ -286,7 +286,7 @@
         ),
     ),
     (
-        "test_lapses.py::test_orders_begin_pause_go_on_and_end_and_may_be_sent_again",
+        "test_lapses.py::test_orders_start_pause_resume_and_end_and_are_idempotent",
         Fence(
             "one-holder",
             "embersill.edge.configuration.lapses",
@@ -296,7 +296,7 @@
         ),
     ),
     (
-        "test_lapses.py::test_a_small_step_is_kept_exactly_and_has_none_of_the_bounds_margin",
+        "test_lapses.py::test_a_step_with_a_small_share_is_kept_without_the_margin_of_larger_ones",
         Fence(
             "exact-step",
             QUOTA_SUMS,
@@ -306,7 +306,7 @@
         ),
     ),
     (
-        "test_lapses.py::test_a_ladder_is_taken_step_by_step_and_every_gateway_has_each_before_the_next",
+        "test_lapses.py::test_every_gateway_applies_a_step_before_the_next_one_begins",
         Fence(
             "own-time",
             "embersill.edge.throttling.lapse_runner",
@@ -316,7 +316,7 @@
         ),
     ),
     (
-        "test_lapses.py::test_a_step_is_never_cut_short_by_those_that_have_just_started",
+        "test_lapses.py::test_restarted_gateways_do_not_shorten_a_step",
         Fence(
             "counts-anew",
             "embersill.edge.throttling.lapse_runner",
