--- a/tests/edge/test_places.py
+++ b/tests/edge/test_places.py
@@ -1,4 +1,4 @@
-"""Where whole zones or regions may be lost, seats are spread so that the rest is a majority: small cases."""
+"""Seats are spread so that a majority survives the loss of a zone or region: all small cases."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 BY_REGION = Requirements(3, REGIONS)
 
 
-def seats_of(zones: Iterator[str] | tuple[str, ...], first: int = 0) -> dict[str, str]:
-    """Machines by name, with the zone of each."""
+def zones_by_name(zones: Iterator[str] | tuple[str, ...], first: int = 0) -> dict[str, str]:
+    """Zones of machines, by generated machine names."""
     return {f"m{number}": zone for number, zone in enumerate(zones, first)}
 
 
-def bears(zones: list[str], requirements: Requirements) -> bool:
-    """Whether a majority is left whichever place is lost."""
+def tolerates_loss(zones: list[str], requirements: Requirements) -> bool:
+    """Whether a majority remains after the loss of any one failure domain."""
     lost = Counter(map(requirements.failure_domain, zones))
     return len(zones) - max(lost.values()) >= majority(len(zones))
 
@@ -50,7 +50,7 @@
 def next_zones(
     members: dict[str, str], newcomers: dict[str, str], missing: set[str], requirements: Requirements
 ) -> dict[str, str]:
-    """The next epoch's members with their zones."""
+    """Zones of the next epoch's members, by name."""
     zones = {**members, **newcomers}
     chosen = next_members(
         Roster(1, {name: Seat(name, name) for name in members}),
@@ -63,12 +63,14 @@
     return {name: zones[name] for name in chosen}
 
 
-def cases(zones: tuple[str, ...], sizes: tuple[int, ...]) -> Iterator[tuple[dict[str, str], dict[str, str]]]:
-    """All memberships of these sizes, each with all groups of up to three newcomers."""
+def all_memberships(
+    zones: tuple[str, ...], sizes: tuple[int, ...]
+) -> Iterator[tuple[dict[str, str], dict[str, str]]]:
+    """All memberships of these sizes, each with all sets of up to three newcomers."""
     for size, count in product(sizes, range(4)):
-        for placed in combinations_with_replacement(zones, size):
-            for more in combinations_with_replacement(zones, count):
-                yield seats_of(placed), seats_of(more, size)
+        for member_zones in combinations_with_replacement(zones, size):
+            for newcomer_zones in combinations_with_replacement(zones, count):
+                yield zones_by_name(member_zones), zones_by_name(newcomer_zones, size)
 
 
 @pytest.mark.parametrize(
@@ -76,11 +78,11 @@
     [(BY_ZONE, ZONES, (3, 4, 5, 6)), (BY_REGION, tuple(REGIONS), (3, 5))],
     ids=["zones", "regions"],
 )
-def test_no_change_of_members_crowds_a_place_and_what_is_crowded_is_spread(
+def test_membership_changes_never_concentrate_seats_and_spread_concentrated_ones(
     requirements: Requirements, zones: tuple[str, ...], sizes: tuple[int, ...]
 ) -> None:
     count = 0
-    for members, newcomers in cases(zones, sizes):
+    for members, newcomers in all_memberships(zones, sizes):
         for missing in (set[str](), {"m0"}, {"m0", "m1"}, {"m2"}):
             count += 1
             before, after = list(members.values()), next_zones(members, newcomers, missing, requirements)
@@ -89,21 +91,22 @@
             assert max_seats_per_domain(list(after.values()), requirements) <= max(
                 max_seats_per_domain(before, requirements), allowed
             )
-            if bears(before, requirements):
-                assert bears(list(after.values()), requirements)
-            again = {name: zone for name, zone in newcomers.items() if name not in after}
+            if tolerates_loss(before, requirements):
+                assert tolerates_loss(list(after.values()), requirements)
+            unused_newcomers = {name: zone for name, zone in newcomers.items() if name not in after}
             if any(
                 Counter(map(requirements.failure_domain, after.values()))[requirements.failure_domain(zone)]
                 < allowed
-                for zone in again.values()
+                for zone in unused_newcomers.values()
             ):
-                assert bears(list(after.values()), requirements)  # else one of them had a use
+                # otherwise one of them would have been taken
+                assert tolerates_loss(list(after.values()), requirements)
             if not missing:
-                assert next_zones(after, again, missing, requirements) == after
+                assert next_zones(after, unused_newcomers, missing, requirements) == after
     assert count > 1000
 
 
-def test_a_lost_member_is_replaced_from_its_own_place_and_not_where_that_would_crowd_another() -> None:
+def test_a_lost_member_is_replaced_from_its_own_domain_and_not_where_that_concentrates_seats() -> None:
     members = {"m0": "a", "m1": "b", "m2": "c"}
     assert next_zones(members, {"n": "c"}, {"m2"}, BY_ZONE).keys() == {"m0", "m1", "n"}
     assert next_zones(members, {"n": "a"}, {"m2"}, BY_ZONE) == members  # two of three in one zone
@@ -119,34 +122,34 @@
     return Hello(name, f"10.0.0.{number}", zone, "", True, name, "life")
 
 
-def test_the_first_members_are_spread_over_places_where_these_may_be_lost() -> None:
+def test_the_first_members_are_spread_over_failure_domains() -> None:
     for counts in product(range(4), repeat=len(REGIONS)):
         zones = [zone for zone, count in zip(REGIONS, counts, strict=True) for _ in range(count)]
         cores = [hello(number, zone) for number, zone in enumerate(zones)]
         for requirements in (BY_REGION, Requirements(3)):
-            chosen = [one.zone for one in first_members(cores, requirements)]
+            chosen = [core.zone for core in first_members(cores, requirements)]
             assert len(chosen) >= min(len(cores), requirements.min_members)
             assert len(chosen) <= MAX_MEMBERS and (
                 requirements.failure_domains or len(chosen) == min(len(cores), 9)
             )
             if len({REGIONS[zone] for zone in zones}) == 3 and requirements.failure_domains:
-                assert bears(chosen, requirements)
+                assert tolerates_loss(chosen, requirements)
 
 
-def test_what_has_to_be_borne_is_read_from_the_settings() -> None:
-    def read(**borne: int) -> Requirements:
-        local: Any = {"zone": "a1", "zones": REGIONS, "fault_tolerance": borne}
+def test_the_required_fault_tolerance_is_read_from_the_settings() -> None:
+    def requirements_with(**tolerance: int) -> Requirements:
+        local: Any = {"zone": "a1", "zones": REGIONS, "fault_tolerance": tolerance}
         return requirements_of(local)
 
-    silent: Any = {"zone": "a1"}
-    assert requirements_of(silent) == Requirements(3)
-    assert read(machine_failures=2) == Requirements(5)
-    assert read(machine_failures=1, zones=1, regions=0).failure_domain("a2") == "a2"
-    assert read(machine_failures=1, zones=1).failure_domains.keys() == REGIONS.keys()
-    assert read(regions=1).failure_domain("a2") == "a"
+    without_tolerance: Any = {"zone": "a1"}
+    assert requirements_of(without_tolerance) == Requirements(3)
+    assert requirements_with(machine_failures=2) == Requirements(5)
+    assert requirements_with(machine_failures=1, zones=1, regions=0).failure_domain("a2") == "a2"
+    assert requirements_with(machine_failures=1, zones=1).failure_domains.keys() == REGIONS.keys()
+    assert requirements_with(regions=1).failure_domain("a2") == "a"
 
 
-def test_what_the_members_cannot_bear_is_told() -> None:
+def test_a_shortfall_in_fault_tolerance_is_described() -> None:
     zones = {"m0": "a1", "m1": "a2", "m2": "b1", "m3": "c1"}
     two_regions = Requirements(3, {"a1": "a", "a2": "a", "b1": "b"})
     assert shortfall(("m0", "m2", "m3"), zones, BY_REGION) is None
@@ -154,10 +157,12 @@
     assert str(Shortfall(3, 3, "a")) == "losing a leaves no majority of 3 members"
     assert shortfall(("m0", "m2", "m3"), zones, Requirements(5)) == Shortfall(3, 5)
     assert str(Shortfall(3, 5)) == "3 members where 5 are needed"
-    assert shortfall(("m0", "m8", "m9"), {"m0": "a1"}, BY_REGION) is None, "unknown zones crowd no place"
+    assert (
+        shortfall(("m0", "m8", "m9"), {"m0": "a1"}, BY_REGION) is None
+    ), "unknown zones belong to no failure domain"
 
 
-def test_operators_hear_which_losses_cannot_be_borne_and_when_they_can_again() -> None:
+def test_a_shortfall_in_fault_tolerance_and_its_end_are_logged() -> None:
     fleet = Fleet(1, 3, 1)
     lines: list[str] = []
     fleet.require(2)
