--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -366,7 +366,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "a_run_goes_step_by_step_and_its_policy_holds_where_it_was_bound",
+        ROLLOUT_TEST + "a_run_proceeds_step_by_step_and_its_policy_holds_where_it_was_activated",
         Fence(
             "told-policy",
             ROLLOUTS,
@@ -376,7 +376,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "a_step_that_harms_goes_back_everywhere_and_is_tried_again_once_if_that_may_help",
+        ROLLOUT_TEST + "a_harmful_step_is_rolled_back_everywhere_and_retried_once_if_transient",
         Fence(
             "one-judge",
             ROLLOUTS,
@@ -386,7 +386,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "marked_traffic_is_last_and_no_step_holds_too_much_in_drawn_plans",
+        ROLLOUT_TEST + "random_plans_have_marked_traffic_last_and_no_step_above_the_share",
         Fence(
             "marked-last",
             "embersill.edge.configuration.stages",
@@ -396,7 +396,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "what_is_missing_or_too_little_is_never_taken_as_good",
+        ROLLOUT_TEST + "missing_or_too_few_observations_are_never_judged_good",
         Fence(
             "unsure",
             "embersill.edge.rollout.judging",
@@ -406,7 +406,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "a_bad_policy_stops_on_its_first_sites_and_nothing_of_it_remains[doubles]",
+        ROLLOUT_TEST + "a_harmful_policy_is_halted_at_its_first_site_and_removed[doubles]",
         Fence(
             "sees-twice",
             ATTEMPTS,
@@ -416,7 +416,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "a_bad_policy_stops_on_its_first_sites_and_nothing_of_it_remains[loses]",
+        ROLLOUT_TEST + "a_harmful_policy_is_halted_at_its_first_site_and_removed[loses]",
         Fence(
             "sees-missing",
             GATEWAY,
