--- a/tests/edge/test_connection_states.py
+++ b/tests/edge/test_connection_states.py
@@ -1,7 +1,7 @@
-"""What a gateway makes of every state in which a backend's connection can fail, by the product's own pool.
+"""Backend connections that fail in every possible state, with the gateway's own connection pool.
 
-For each behaviour of a backend: how the attempt ends, whether that promises that the request has not run
-(only then may one that must not run twice go elsewhere), and that the next request gets its own answer.
+For each behaviour of a backend: the outcome of the attempt, whether that guarantees that the request has not
+run (only then may a non-repeatable one be sent elsewhere), and that the next request gets its own response.
 """
 
 from __future__ import annotations
@@ -20,28 +20,29 @@
 from tests.bed import run
 
 HOST = "127.0.0.1"
-LONG = 300_000  # bytes: more than the kernel takes at once, and more than is kept before it is passed on
-WAIT = 0.4  # seconds that an attempt may take
+# more than the kernel takes at once, and more than is buffered before a response is streamed
+LONG_BODY_BYTES = 300_000
+ATTEMPT_TIMEOUT_S = 0.4
 SEAL = b"X-Backend-Seal: s\r\n"
 NOT_EXECUTED = b"X-Request-Not-Executed: 1\r\n"
 
 
-def answer(name: bytes, status: bytes = b"200 OK", body: bytes = b"own", more: bytes = SEAL) -> bytes:
+def response(name: bytes, status: bytes = b"200 OK", body: bytes = b"own", more: bytes = SEAL) -> bytes:
     head = b"HTTP/1.1 %b\r\nX-Attempt-Id: %b\r\n%bContent-Length: %d\r\n\r\n"
     return head % (status, name, more, len(body)) + body
 
 
-def unframed(name: bytes) -> bytes:
+def response_until_close(name: bytes) -> bytes:
     return b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %b\r\n%bConnection: close\r\n\r\nown" % (name, SEAL)
 
 
 @dataclass
 class Backend:
-    """A stand-in whose first request meets a behaviour, and whose later ones are answered in order."""
+    """A stand-in that handles its first request by a behaviour, and answers later ones normally."""
 
-    behave: Behaviour
-    ran: list[bytes] = field(default_factory=list)  # ids of requests that were read whole
-    met: int = 0
+    behaviour: Behaviour
+    executed: list[bytes] = field(default_factory=list)  # ids of requests that were read completely
+    received: int = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -49,13 +50,13 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 lines = dict(line.split(b": ", 1) for line in head.strip().split(b"\r\n")[1:])
                 name, size = lines[b"X-Attempt-Id"], int(lines[b"Content-Length"])
-                self.met += 1
-                if self.met == 1:
-                    await self.behave(self, Met(reader, writer, name, size))
+                self.received += 1
+                if self.received == 1:
+                    await self.behaviour(self, FirstRequest(reader, writer, name, size))
                 else:
                     await reader.readexactly(size)
-                    self.ran.append(name)
-                    writer.write(answer(name))
+                    self.executed.append(name)
+                    writer.write(response(name))
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -63,17 +64,17 @@
 
 
 @dataclass
-class Met:
-    """The first request, whose head was read."""
+class FirstRequest:
+    """The first request to a backend, whose head has been read."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     name: bytes
     size: int
 
-    async def read(self, backend: Backend) -> None:
+    async def read_body(self, backend: Backend) -> None:
         await self.reader.readexactly(self.size)
-        backend.ran.append(self.name)
+        backend.executed.append(self.name)
 
     def reset(self) -> None:
         sock = self.writer.get_extra_info("socket")
@@ -81,106 +82,108 @@
         self.writer.transport.abort()
 
 
-Behaviour = Callable[[Backend, Met], Awaitable[None]]
+Behaviour = Callable[[Backend, FirstRequest], Awaitable[None]]
 
 
-async def reset_in_the_body(backend: Backend, met: Met) -> None:
-    met.reset()
+async def resets_in_the_body(backend: Backend, first_request: FirstRequest) -> None:
+    first_request.reset()
 
 
-async def reset_after_it(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.reset()
+async def resets_after_the_body(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.reset()
 
 
-async def closed_after_it(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.writer.close()
+async def closes_after_the_body(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.writer.close()
 
 
-async def silent(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    await asyncio.sleep(2 * WAIT)
+async def never_answers(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    await asyncio.sleep(2 * ATTEMPT_TIMEOUT_S)
 
 
-async def cut_answer(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.writer.write(answer(met.name)[:-1])
-    await met.writer.drain()
-    met.reset()
+async def truncates_the_response(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.writer.write(response(first_request.name)[:-1])
+    await first_request.writer.drain()
+    first_request.reset()
 
 
-async def declined(backend: Backend, met: Met) -> None:
-    await met.reader.readexactly(met.size)
-    met.writer.write(answer(met.name, b"503 Service Unavailable", more=NOT_EXECUTED))
+async def declines(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.reader.readexactly(first_request.size)
+    first_request.writer.write(response(first_request.name, b"503 Service Unavailable", more=NOT_EXECUTED))
 
 
-async def misdirected(backend: Backend, met: Met) -> None:
-    await met.reader.readexactly(met.size)
-    met.writer.write(answer(met.name, b"421 Misdirected Request", more=b""))
+async def answers_misdirected(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.reader.readexactly(first_request.size)
+    first_request.writer.write(response(first_request.name, b"421 Misdirected Request", more=b""))
 
 
-async def declined_early(backend: Backend, met: Met) -> None:
-    """Answers before the body is in, keeps the connection and reads on later."""
-    met.writer.write(answer(met.name, b"503 Service Unavailable", more=NOT_EXECUTED))
+async def declines_before_the_body(backend: Backend, first_request: FirstRequest) -> None:
+    """Answers before the body has arrived, keeps the connection open and reads the rest later."""
+    first_request.writer.write(response(first_request.name, b"503 Service Unavailable", more=NOT_EXECUTED))
     await asyncio.sleep(0.05)
-    await met.reader.readexactly(met.size)
+    await first_request.reader.readexactly(first_request.size)
 
 
-async def failed(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.writer.write(answer(met.name, b"500 Internal Server Error"))
+async def answers_an_error(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.writer.write(response(first_request.name, b"500 Internal Server Error"))
 
 
-async def own_after_anothers(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.writer.write(answer(b"another") + answer(met.name))
+async def answers_another_id_first(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.writer.write(response(b"another") + response(first_request.name))
 
 
-async def own_after_anothers_long(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.writer.write(answer(b"another", body=b"x" * LONG) + answer(met.name))
+async def answers_another_id_at_length_first(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.writer.write(
+        response(b"another", body=b"x" * LONG_BODY_BYTES) + response(first_request.name)
+    )
 
 
-async def another_only(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.writer.write(answer(b"another"))
-    await asyncio.sleep(2 * WAIT)
+async def answers_another_id_only(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.writer.write(response(b"another"))
+    await asyncio.sleep(2 * ATTEMPT_TIMEOUT_S)
 
 
-async def surplus(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.writer.write(answer(met.name) + answer(b"another"))
+async def sends_a_second_response(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.writer.write(response(first_request.name) + response(b"another"))
 
 
-async def late_surplus(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.writer.write(answer(met.name))
+async def sends_a_late_second_response(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.writer.write(response(first_request.name))
     await asyncio.sleep(0.1)
-    met.writer.write(answer(b"another"))
+    first_request.writer.write(response(b"another"))
 
 
-async def unsealed(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.writer.write(answer(met.name, more=b""))
+async def answers_without_a_seal(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.writer.write(response(first_request.name, more=b""))
 
 
-async def ended_in_order(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.writer.write(unframed(met.name))
-    met.writer.close()
+async def ends_the_response_by_closing(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.writer.write(response_until_close(first_request.name))
+    first_request.writer.close()
 
 
-async def ended_by_a_reset(backend: Backend, met: Met) -> None:
-    await met.read(backend)
-    met.writer.write(unframed(met.name))
-    await met.writer.drain()
+async def ends_the_response_by_a_reset(backend: Backend, first_request: FirstRequest) -> None:
+    await first_request.read_body(backend)
+    first_request.writer.write(response_until_close(first_request.name))
+    await first_request.writer.drain()
     await asyncio.sleep(0.05)
-    met.reset()
+    first_request.reset()
 
 
 class Owner:
-    """Whose attempt it is. Nothing that is passed on while it comes is wanted here."""
+    """Owner of an attempt, which fails the test if a response is streamed to it."""
 
     def __init__(self) -> None:
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
@@ -188,66 +191,68 @@
     def stream_began(
         self, attempt: Attempt, headers: bytes, length: int | None, source: BackendConnection
     ) -> None:
-        raise AssertionError("another request's answer is passed on")
+        raise AssertionError("the response to another request was streamed")
 
     def attempt_ended(self, attempt: Attempt, answer: Answer) -> None:
         self.answer.set_result(answer)
 
 
-async def attempted(pool: Pool, name: bytes, size: int) -> Answer:
+async def run_attempt(pool: Pool, name: bytes, size: int) -> Answer:
     owner, now = Owner(), pool.clock()
     head = b"POST /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %b\r\nContent-Length: %d\r\n" % (name, size)
-    attempt = Attempt("b", head, b"", now, now + WAIT, 0, owner)
+    attempt = Attempt("b", head, b"", now, now + ATTEMPT_TIMEOUT_S, 0, owner)
     attempt.id, attempt.body_pieces = name, [b"y" * size]
     pool.start(attempt)
     return await owner.answer
 
 
-STATES: list[tuple[Behaviour, int, Outcome]] = [
-    (reset_in_the_body, 40 * LONG, Outcome.NO_CONNECTION),
-    (reset_after_it, 2, Outcome.BROKEN),
-    (closed_after_it, 2, Outcome.BROKEN),
-    (silent, 2, Outcome.TIMED_OUT),
-    (cut_answer, 2, Outcome.BROKEN),
-    (declined, 2, Outcome.TURNED_AWAY),
-    (misdirected, 2, Outcome.TURNED_AWAY),
-    (declined_early, LONG, Outcome.TURNED_AWAY),
-    (declined_early, 40 * LONG, Outcome.TURNED_AWAY),
-    (failed, 2, Outcome.ERROR),
-    (own_after_anothers, 2, Outcome.SERVED),
-    (own_after_anothers_long, 2, Outcome.SERVED),
-    (another_only, 2, Outcome.TIMED_OUT),
-    (surplus, 2, Outcome.SERVED),
-    (late_surplus, 2, Outcome.SERVED),
-    (unsealed, 2, Outcome.BROKEN),
-    (ended_in_order, 2, Outcome.SERVED),
-    (ended_by_a_reset, 2, Outcome.BROKEN),
+CASES: list[tuple[Behaviour, int, Outcome]] = [
+    (resets_in_the_body, 40 * LONG_BODY_BYTES, Outcome.NO_CONNECTION),
+    (resets_after_the_body, 2, Outcome.BROKEN),
+    (closes_after_the_body, 2, Outcome.BROKEN),
+    (never_answers, 2, Outcome.TIMED_OUT),
+    (truncates_the_response, 2, Outcome.BROKEN),
+    (declines, 2, Outcome.TURNED_AWAY),
+    (answers_misdirected, 2, Outcome.TURNED_AWAY),
+    (declines_before_the_body, LONG_BODY_BYTES, Outcome.TURNED_AWAY),
+    (declines_before_the_body, 40 * LONG_BODY_BYTES, Outcome.TURNED_AWAY),
+    (answers_an_error, 2, Outcome.ERROR),
+    (answers_another_id_first, 2, Outcome.SERVED),
+    (answers_another_id_at_length_first, 2, Outcome.SERVED),
+    (answers_another_id_only, 2, Outcome.TIMED_OUT),
+    (sends_a_second_response, 2, Outcome.SERVED),
+    (sends_a_late_second_response, 2, Outcome.SERVED),
+    (answers_without_a_seal, 2, Outcome.BROKEN),
+    (ends_the_response_by_closing, 2, Outcome.SERVED),
+    (ends_the_response_by_a_reset, 2, Outcome.BROKEN),
 ]
 
 
 @pytest.mark.parametrize(
-    ("behave", "size", "outcome"), STATES, ids=[f"{b.__name__}-{s}" for b, s, _ in STATES]
+    ("behaviour", "size", "outcome"), CASES, ids=[f"{b.__name__}-{s}" for b, s, _ in CASES]
 )
-def test_how_an_attempt_ends_and_that_the_next_one_has_its_own_answer(
-    behave: Behaviour, size: int, outcome: Outcome
+def test_an_attempt_has_its_outcome_and_the_next_one_gets_its_own_response(
+    behaviour: Behaviour, size: int, outcome: Outcome
 ) -> None:
     async def test() -> None:
-        backend = Backend(behave)
+        backend = Backend(behaviour)
         server = await asyncio.start_server(backend.serve, HOST, 0)
         pool = Pool(asyncio.get_running_loop().time, 0.25, 60.0, 10, EdgeDialect())
         pool.enable_streaming()
         pool.set_address("b", server.sockets[0].getsockname()[:2])
-        first = await attempted(pool, b"one", size)
+        first = await run_attempt(pool, b"one", size)
         assert first.outcome is outcome
         if first.outcome.never_ran:
-            assert b"one" not in backend.ran  # the promise that lets it go elsewhere
+            assert b"one" not in backend.executed  # so that it may be sent elsewhere
         if first.outcome is Outcome.SERVED:
             assert first.body == b"own"
         await asyncio.sleep(MIN_IDLE_S + 0.15)
         for name in (b"two", b"three"):
-            following = await attempted(pool, name, 2)
-            assert (following.outcome, following.body) == (Outcome.SERVED, b"own")
-        assert sorted(backend.ran) == sorted({*backend.ran}) and {b"two", b"three"} <= {*backend.ran}
+            later = await run_attempt(pool, name, 2)
+            assert (later.outcome, later.body) == (Outcome.SERVED, b"own")
+        assert sorted(backend.executed) == sorted({*backend.executed}) and {b"two", b"three"} <= {
+            *backend.executed
+        }
         pool.close()
         server.close()
 
--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -17,7 +17,7 @@
 )
 PERSISTENCE, DEPARTURES = "embersill.edge.consensus.persistence", "embersill.edge.discovery.departures"
 ATTEMPT_OUTCOMES_TEST = (
-    "test_connection_states.py::test_how_an_attempt_ends_and_that_the_next_one_has_its_own_answer"
+    "test_connection_states.py::test_an_attempt_has_its_outcome_and_the_next_one_gets_its_own_response"
 )
 MEMBERSHIP, CONTROL_TEST = "embersill.edge.consensus.membership", "test_control.py::test_"
 ROLLOUT_TEST, ROLLOUTS = "test_rollout.py::test_", "embersill.edge.configuration.rollouts"
