--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -17,7 +17,7 @@
 )
 PERSISTENCE, DEPARTURES = "embersill.edge.consensus.persistence", "embersill.edge.discovery.departures"
 ATTEMPT_OUTCOMES_TEST = (
-    "test_connection_states.py::test_how_an_attempt_ends_and_that_the_next_one_has_its_own_answer"
+    "test_connection_states.py::test_an_attempt_has_its_outcome_and_the_next_one_gets_its_own_response"
 )
 MEMBERSHIP, CONTROL_TEST = "embersill.edge.consensus.membership", "test_control.py::test_"
 ROLLOUT_TEST, ROLLOUTS = "test_rollout.py::test_", "embersill.edge.configuration.rollouts"
@@ -276,7 +276,7 @@
         ),
     ),
     (
-        "test_lapses.py::test_orders_begin_pause_go_on_and_end_and_may_be_sent_again",
+        "test_lapses.py::test_orders_start_pause_resume_and_end_and_are_idempotent",
         Fence(
             "told-first",
             "embersill.edge.configuration.lapses",
@@ -286,7 +286,7 @@
         ),
     ),
     (
-        "test_lapses.py::test_orders_begin_pause_go_on_and_end_and_may_be_sent_again",
+        "test_lapses.py::test_orders_start_pause_resume_and_end_and_are_idempotent",
         Fence(
             "one-holder",
             "embersill.edge.configuration.lapses",
@@ -296,7 +296,7 @@
         ),
     ),
     (
-        "test_lapses.py::test_a_small_step_is_kept_exactly_and_has_none_of_the_bounds_margin",
+        "test_lapses.py::test_a_step_with_a_small_share_is_kept_without_the_margin_of_larger_ones",
         Fence(
             "exact-step",
             QUOTA_SUMS,
@@ -306,7 +306,7 @@
         ),
     ),
     (
-        "test_lapses.py::test_a_ladder_is_taken_step_by_step_and_every_gateway_has_each_before_the_next",
+        "test_lapses.py::test_every_gateway_applies_a_step_before_the_next_one_begins",
         Fence(
             "own-time",
             "embersill.edge.throttling.lapse_runner",
@@ -316,7 +316,7 @@
         ),
     ),
     (
-        "test_lapses.py::test_a_step_is_never_cut_short_by_those_that_have_just_started",
+        "test_lapses.py::test_restarted_gateways_do_not_shorten_a_step",
         Fence(
             "counts-anew",
             "embersill.edge.throttling.lapse_runner",
@@ -366,7 +366,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "a_run_goes_step_by_step_and_its_policy_holds_where_it_was_bound",
+        ROLLOUT_TEST + "a_run_proceeds_step_by_step_and_its_policy_holds_where_it_was_activated",
         Fence(
             "told-policy",
             ROLLOUTS,
@@ -376,7 +376,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "a_step_that_harms_goes_back_everywhere_and_is_tried_again_once_if_that_may_help",
+        ROLLOUT_TEST + "a_harmful_step_is_rolled_back_everywhere_and_retried_once_if_transient",
         Fence(
             "one-judge",
             ROLLOUTS,
@@ -386,7 +386,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "marked_traffic_is_last_and_no_step_holds_too_much_in_drawn_plans",
+        ROLLOUT_TEST + "random_plans_have_marked_traffic_last_and_no_step_above_the_share",
         Fence(
             "marked-last",
             "embersill.edge.configuration.stages",
@@ -396,7 +396,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "what_is_missing_or_too_little_is_never_taken_as_good",
+        ROLLOUT_TEST + "missing_or_too_few_observations_are_never_judged_good",
         Fence(
             "unsure",
             "embersill.edge.rollout.judging",
@@ -406,7 +406,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "a_bad_policy_stops_on_its_first_sites_and_nothing_of_it_remains[doubles]",
+        ROLLOUT_TEST + "a_harmful_policy_is_halted_at_its_first_site_and_removed[doubles]",
         Fence(
             "sees-twice",
             ATTEMPTS,
@@ -416,7 +416,7 @@
         ),
     ),
     (
-        ROLLOUT_TEST + "a_bad_policy_stops_on_its_first_sites_and_nothing_of_it_remains[loses]",
+        ROLLOUT_TEST + "a_harmful_policy_is_halted_at_its_first_site_and_removed[loses]",
         Fence(
             "sees-missing",
             GATEWAY,
