--- a/embersill/lab/commands.py
+++ b/embersill/lab/commands.py
@@ -20,7 +20,7 @@
 from embersill.lab.levels.search import search
 from embersill.lab.worlds import WORLDS, part_of
 from embersill.world.oracles import Broken
-from embersill.world.schedules import read_kept, write_kept
+from embersill.world.schedules import decode_saved, encode_saved
 from embersill.world.swarm import Coverage
 
 ROUND = 200  # seeds between looks at what has been met, with --steer
@@ -48,7 +48,7 @@
     assert broken is not None, "a schedule that broke a rule breaks none"
     kept, _ = shorten.shorten(schedule, broken)
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / f"{seed}.json").write_bytes(write_kept(kept))
+    (folder / f"{seed}.json").write_bytes(encode_saved(kept))
     return str(kept.story)
 
 
@@ -78,7 +78,7 @@
                     lowest = min(lowest, figures["lowest"])
             if told["schedules"] % 1000 == 0:
                 print(f"{told['schedules']} schedules, {told['broken']} broken", flush=True)
-            focus = tuple(coverage.rare(FOCUS)) if options.steer else ()
+            focus = tuple(coverage.rarest(FOCUS)) if options.steer else ()
         spent = time.monotonic() - began
     if covers:
         print(coverage.table())
@@ -125,12 +125,12 @@
 def tell(options: argparse.Namespace) -> int:
     """The story of a schedule in a file, played anew."""
     try:
-        kept = read_kept(Path(options.file).read_bytes())
+        kept = decode_saved(Path(options.file).read_bytes())
     except (OSError, msgspec.DecodeError) as error:
         print(f"{options.file}: {error}", file=sys.stderr)
         return 2
     for step in kept.schedule.steps:
-        print(step.told())
+        print(step.describe())
     print(part_of(options.world, "shorten").story(kept.schedule))
     return 0
 
--- a/embersill/lab/council/generate.py
+++ b/embersill/lab/council/generate.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from embersill.world.schedules import Schedule, Step
-from embersill.world.swarm import log_uniform, some_of
+from embersill.world.swarm import log_uniform, random_subset
 
 KINDS = (
     "cut",
@@ -97,7 +97,7 @@
 
     def make(self) -> Schedule:
         chance = self.chance
-        kinds = some_of(chance, KINDS, 0.3)
+        kinds = random_subset(chance, KINDS, 0.3)
         for _ in range(chance.choice((1, 2, 3, 5, 8))):
             self.trouble(chance.choice(kinds), round(chance.uniform(BEGIN, SECONDS - 1.0), 3))
         self.steps.sort(key=lambda step: step.at)
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -37,7 +37,7 @@
 from embersill.world.disk import Disk
 from embersill.world.histories import Op, is_linearizable
 from embersill.world.kernel import Kernel, Node
-from embersill.world.network import Datagrams, Network, Weather
+from embersill.world.network import Datagrams, LinkConditions, Network
 from embersill.world.oracles import Broken
 from embersill.world.records import Fault
 from embersill.world.schedules import Schedule, Step
@@ -250,7 +250,7 @@
         self.trace = trace if trace is not None else Trace(keep=False)
         self.coverage = coverage
         self.kernel = Kernel(schedule.seed, self.trace)
-        self.network = Network(self.kernel, Weather(**shape.get("weather", {})))
+        self.network = Network(self.kernel, LinkConditions(**shape.get("weather", {})))
         self.datagrams = Datagrams(self.network)
         self.terms = CouncilTerms(**{"settle": 0.3, "settle_back": 2.0, **shape.get("terms", {})})
         self.names = [f"m{n}" for n in range(shape.get("members", 3))]
@@ -290,7 +290,7 @@
         if self.coverage is not None:
             register = node.seat.register
             state = "retired" if register.retired else "votes" if register.votes else "waits"
-            self.coverage.met(type(ask).__name__, state)
+            self.coverage.record(type(ask).__name__, state)
         node.question_came(sender, life, number, ask)
 
     def replied(self, node: MemberNode, life: int, number: int, answer: Answer) -> None:
@@ -637,7 +637,7 @@
             self.kernel.at(step.at, self.do, step)
         self.kernel.run(self.seconds)
         self.network.heal()
-        self.network.weather, self.slow_disk = Weather(), 0.02
+        self.network.conditions, self.slow_disk = LinkConditions(), 0.02
         self.billing_until.clear()
         self.calm, self.late_effects = True, 0.0
         for node in self.clones:
--- a/embersill/lab/counting/generate.py
+++ b/embersill/lab/counting/generate.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from embersill.world.schedules import Schedule, Step
-from embersill.world.swarm import log_uniform, some_of
+from embersill.world.swarm import log_uniform, random_subset
 
 KINDS = (
     "outage",
@@ -129,7 +129,7 @@
     counters = chance.choice((1, 1, 2))
     # half of the seeds have one trouble: where several meet, more is unsure, and less would be noticed
     alone = chance.random() < 0.5
-    kinds = [chance.choice(KINDS)] if alone else some_of(chance, KINDS, 0.2)
+    kinds = [chance.choice(KINDS)] if alone else random_subset(chance, KINDS, 0.2)
     kinds += [kind for kind in focus if kind in KINDS]
     seconds = 57.0 if "long split" in kinds else chance.choice((28.0, 34.0, 47.0))
     shape: dict[str, Any] = {
--- a/embersill/lab/counting/world.py
+++ b/embersill/lab/counting/world.py
@@ -263,7 +263,7 @@
         now, args = self.kernel.now, step.args
         self.trace.add(Fault(now, step.what, step.who, step.seconds))
         if self.coverage is not None:
-            self.coverage.met(step.what, self.trouble_now())
+            self.coverage.record(step.what, self.trouble_now())
         counter = self.counters[args.get("counter", 0)]
         if step.what == "outage":
             how = args.get("how", "lost")
--- a/embersill/lab/edge/fleet.py
+++ b/embersill/lab/edge/fleet.py
@@ -18,7 +18,7 @@
 from embersill.edge.verdict import Verdict
 from embersill.world import kernel as world
 from embersill.world.kernel import Kernel
-from embersill.world.network import Network, Weather
+from embersill.world.network import LinkConditions, Network
 
 TICK = 0.02
 SILENT = 1.4
@@ -191,7 +191,7 @@
         self.disks = disks  # else those of the core have their state in memory
         self.kernel = Kernel(seed)
         self.chance = self.kernel.stream("fleet")
-        self.network = Network(self.kernel, Weather(0.0005, 0.003))
+        self.network = Network(self.kernel, LinkConditions(0.0005, 0.003))
         zones = ["a", "b", "c"]
         self.machines = [self.machine(self, n + 1, n < cores, zones[n % 3]) for n in range(cores + others)]
         self.made = len(self.machines)
--- a/embersill/lab/fuzzing/targets.py
+++ b/embersill/lab/fuzzing/targets.py
@@ -39,7 +39,7 @@
     Secret,
     HandshakeError,
 )
-from embersill.world.schedules import read_kept
+from embersill.world.schedules import decode_saved
 
 MOST_FRAME = 1 << 16  # bytes
 Target = Callable[[bytes], None]
@@ -344,7 +344,7 @@
 def kept_schedule(data: bytes) -> None:
     """A kept schedule: msgspec's word on it, or a schedule."""
     try:
-        read_kept(data)
+        decode_saved(data)
     except msgspec.DecodeError:
         return
 
--- a/embersill/lab/hunt.py
+++ b/embersill/lab/hunt.py
@@ -24,7 +24,7 @@
         take_out(part_of(world, "fences").BY_NAME[fence])
     generate = part_of(world, "generate").generate
     breaks, shorten = part_of(world, "shorten").breaks, part_of(world, "shorten").shorten
-    from embersill.world.schedules import write_kept
+    from embersill.world.schedules import encode_saved
 
     for played, seed in enumerate(range(first, first + seeds), 1):
         schedule = generate(seed)
@@ -41,7 +41,7 @@
             }
             if keep:
                 kept, runs = shorten(schedule, broken, fence)
-                Path(keep).write_bytes(write_kept(kept))
+                Path(keep).write_bytes(encode_saved(kept))
                 told |= {"shrunk_to": len(kept.schedule.steps), "runs": runs}
             return told
     return {"fence": fence, "found": False, "played": seeds}
--- a/embersill/lab/levels/generate.py
+++ b/embersill/lab/levels/generate.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from embersill.world.schedules import Schedule, Step
-from embersill.world.swarm import log_uniform, some_of
+from embersill.world.swarm import log_uniform, random_subset
 
 FORWARDER_SAYS = (
     "Ask",
@@ -84,8 +84,8 @@
         self.planners = [f"p{n}" for n in range(planners)]
         self.backends = [f"b{n}" for n in range(4)]
         self.rate = rate if rate is not None else log_uniform(chance, 20.0, 80.0)
-        self.kinds = some_of(chance, KINDS, 0.35)
-        self.recipes = some_of(chance, RECIPES, 0.35)
+        self.kinds = random_subset(chance, KINDS, 0.35)
+        self.recipes = random_subset(chance, RECIPES, 0.35)
         self.faults = log_uniform(chance, 1.0, 6.0)  # a second
         self.aimed = chance.choice((0.2, 0.5, 0.9))
         self.long = log_uniform(chance, 0.3, 2.5)  # seconds that most troubles take at most
@@ -219,7 +219,7 @@
             chance.choice((0.0, 0.1, 0.4)),
             chance.choice((0.02, 0.1, 0.3)),
         )
-        ends = some_of(chance, FATES, 0.5)
+        ends = random_subset(chance, FATES, 0.5)
         if "paused dial" in self.recipes:
             dials = 0.4
         at, refusing, refused = 0.5, 0.0, [("no connection", 0.0, 0.0)]
--- a/embersill/lab/levels/shorten.py
+++ b/embersill/lab/levels/shorten.py
@@ -17,7 +17,7 @@
     SharesHeld,
     Written,
 )
-from embersill.world.schedules import Kept, Schedule
+from embersill.world.schedules import SavedSchedule, Schedule
 from embersill.world.trace import Trace
 
 MOST_LINES = 40
@@ -29,12 +29,14 @@
     return breaks_in(play, schedule)
 
 
-def shorten(schedule: Schedule, broken: Broken, fence: str = "", most_runs: int = 2000) -> tuple[Kept, int]:
+def shorten(
+    schedule: Schedule, broken: Broken, fence: str = "", most_runs: int = 2000
+) -> tuple[SavedSchedule, int]:
     """The shortest schedule found that breaks the same rule, with its story, and in how many runs."""
     shrinker = shrinker_of(play, broken, most_runs)
     pinned = with_pins(schedule)
     short = shrinker.shrink(pinned if shrinker.fails(pinned) else schedule, broken.at)
-    return Kept(short, broken.rule, fence, story(short)), shrinker.runs
+    return SavedSchedule(short, broken.rule, fence, story(short)), shrinker.runs
 
 
 def with_pins(schedule: Schedule) -> Schedule:
--- a/embersill/lab/levels/world.py
+++ b/embersill/lab/levels/world.py
@@ -17,7 +17,7 @@
 from embersill.tiers.planner import Planner
 from embersill.tiers.terms import MAX_CLOCK_DRIFT, Terms, check_terms
 from embersill.world.kernel import Kernel
-from embersill.world.network import Network, Stream, Weather
+from embersill.world.network import LinkConditions, Network, Stream
 from embersill.world.oracles import Broken, Ceiling, ClassTerms, Rules, RuleTerms
 from embersill.world.records import BackendStarted, CreditsBelieved, Fault, MessageLogged, SharesHeld
 from embersill.world.schedules import Schedule, Step
@@ -41,7 +41,7 @@
     units a second and at once of plan pro; memory: seconds for which a keyed repeat is dropped; capacity:
     requests a second that a warm backend does; bequest, beat_every: seconds, as in `Terms`;
     coded: frames go as bytes;
-    weather: see `Weather`;
+    weather: see `LinkConditions`;
     drift: by which clocks run apart.
     """
 
@@ -59,7 +59,7 @@
         self.coverage = coverage
         self.coded: bool = shape.get("coded", True)
         self.kernel = Kernel(schedule.seed, self.trace)
-        self.network = Network(self.kernel, Weather(**shape.get("weather", {})))
+        self.network = Network(self.kernel, LinkConditions(**shape.get("weather", {})))
         self.terms = terms if terms is not None else terms_for(shape)
         self.parts: int = shape.get("parts", 4)
         self.seconds: float = shape.get("seconds", 5.0)
@@ -96,7 +96,7 @@
         if self.coverage is not None and messages:
             state = self.state_of(receiver, sender)
             for message in messages:
-                self.coverage.met(type(message).__name__, state)
+                self.coverage.record(type(message).__name__, state)
 
     def said(self, phase: str, sender: Member, receiver: Member, messages: Sequence[AnyMessage]) -> None:
         watched = self.kernel.watchers
--- a/embersill/lab/shortening.py
+++ b/embersill/lab/shortening.py
@@ -8,7 +8,7 @@
 
 from embersill.world.oracles import Broken
 from embersill.world.records import Fault
-from embersill.world.schedules import Kept, Schedule
+from embersill.world.schedules import SavedSchedule, Schedule
 from embersill.world.shrink import Shrinker
 from embersill.world.trace import Trace
 
@@ -64,11 +64,11 @@
 
     def shorten(
         self, schedule: Schedule, broken: Broken, fence: str = "", most_runs: int = 200
-    ) -> tuple[Kept, int]:
+    ) -> tuple[SavedSchedule, int]:
         """The shortest schedule found that breaks the same rule, with its story, and in how many runs."""
         shrinker = shrinker_of(self.world.play, broken, most_runs)
         short = shrinker.shrink(schedule, broken.at)
-        return Kept(short, broken.rule, fence, self.story(short)), shrinker.runs
+        return SavedSchedule(short, broken.rule, fence, self.story(short)), shrinker.runs
 
     def story(self, schedule: Schedule) -> str:
         """The troubles of a schedule as they came, and its end."""
--- a/embersill/rig/soak/shrink.py
+++ b/embersill/rig/soak/shrink.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from embersill.rig.soak.schedule import Schedule
-from embersill.world.shrink import leave_out
+from embersill.world.shrink import minimize
 
 MOST_PLAYS = 16
 
@@ -28,13 +28,13 @@
         plays += 1
         return still_breaks(smaller)
 
-    troubles = leave_out(
+    troubles = minimize(
         list(schedule.troubles),
         lambda some: breaks(msgspec.structs.replace(schedule, troubles=tuple(some))),
         goes_on,
     )
     kept = msgspec.structs.replace(schedule, troubles=tuple(troubles))
-    clients = leave_out(
+    clients = minimize(
         sorted({action.client for action in kept.actions}),
         lambda some: breaks(kept.with_clients(some)),
         goes_on,
--- a/embersill/world/network.py
+++ b/embersill/world/network.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Weather:
+class LinkConditions:
     """Conditions of links without injected faults: latencies in seconds, and probabilities per message."""
 
     least: float = 0.0002  # minimum latency
@@ -38,8 +38,8 @@
 class Network:
     """All links of a simulation. `calm` turns random faults off; `heal` also ends all cuts and holds."""
 
-    def __init__(self, kernel: Kernel, weather: Weather) -> None:
-        self.kernel, self.weather = kernel, weather
+    def __init__(self, kernel: Kernel, conditions: LinkConditions) -> None:
+        self.kernel, self.conditions = kernel, conditions
         self.cut: dict[tuple[str, str], float] = {}  # by (sender, receiver): until when nothing is delivered
         self.held: dict[tuple[str, str], float] = {}  # by (sender, receiver): until when new messages wait
         self.chances: dict[tuple[str, str], random.Random] = {}
@@ -75,10 +75,10 @@
 
     def arrival_time(self, sender: str, receiver: str) -> float:
         """Draws the time at which a message that is sent now would arrive."""
-        weather, chance = self.weather, self.chance_of(sender, receiver)
-        delay = weather.least + (weather.most - weather.least) * chance.random()
-        if weather.stall and not self.calm and chance.random() < weather.stall:
-            delay += weather.stall_most * chance.random()
+        conditions, chance = self.conditions, self.chance_of(sender, receiver)
+        delay = conditions.least + (conditions.most - conditions.least) * chance.random()
+        if conditions.stall and not self.calm and chance.random() < conditions.stall:
+            delay += conditions.stall_most * chance.random()
         begin = self.kernel.now
         if self.held:
             begin = max(begin, self.held.get((sender, receiver), 0.0))
@@ -131,12 +131,12 @@
         if not self.open[sender]:
             return
         to, network = self.peers[sender], self.network
-        weather = network.weather
-        if (weather.lost or weather.doubled) and not network.calm:
+        conditions = network.conditions
+        if (conditions.lost or conditions.doubled) and not network.calm:
             drawn = network.chance_of(sender.name, to.name).random()
-            if drawn < weather.lost:
+            if drawn < conditions.lost:
                 return
-            if drawn < weather.lost + weather.doubled:
+            if drawn < conditions.lost + conditions.doubled:
                 data += data
         self.enqueue(to, self.deliver, to, data)
 
@@ -167,16 +167,18 @@
 
         It is dropped if the receiver was restarted meanwhile.
         """
-        network, weather = self.network, self.network.weather
+        network, conditions = self.network, self.network.conditions
         chance = network.chance_of(sender.name, to.name)
         copies = 1
         if not network.calm:
             drawn = chance.random()
-            copies = 0 if drawn < weather.lost else 2 if drawn < weather.lost + weather.doubled else 1
+            copies = (
+                0 if drawn < conditions.lost else 2 if drawn < conditions.lost + conditions.doubled else 1
+            )
         for _ in range(copies):
             arrival = network.arrival_time(sender.name, to.name)
-            if weather.reordered and not network.calm and chance.random() < weather.reordered:
-                arrival += weather.most * chance.random()
+            if conditions.reordered and not network.calm and chance.random() < conditions.reordered:
+                arrival += conditions.most * chance.random()
             network.kernel.at(arrival, self.arrive, sender.name, to, to.life, call, args)
 
     def arrive(
--- a/embersill/world/schedules.py
+++ b/embersill/world/schedules.py
@@ -1,10 +1,12 @@
-"""A schedule: what the world does to the code under test, as data. No I/O.
+"""Schedules: the actions and faults of a simulation run, as data. No I/O.
 
-It is made from a seed, or cut down from one that failed, or read from a file; whoever plays it draws nothing
-but small delays. So a schedule may lose steps and still do the same with the rest, which shrinking needs.
+A schedule is generated from a seed, shrunk from one that failed, or read from a file. A simulation that plays
+it draws only small delays at random, so that the remaining steps have the same effect after some have been
+removed, which shrinking needs.
 
-A step comes at a time, or is aimed: it waits from `at` on for the `nth` time that the moment `on` comes, and
-acts right then, on those who took part in that moment (`who` "@receiver" is who a message goes to).
+A step is executed at a time, or it is aimed: from `at` on it waits for the `nth` occurrence of the moment
+`on`, and is executed right then on the participants of that moment (`who` "@receiver" is the receiver of a
+message).
 """
 
 from __future__ import annotations
@@ -15,39 +17,43 @@
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """One thing that the world does. `what` and `args` are the played world's own words."""
+    """One action or fault. The simulation that plays it defines the values of `what` and `args`."""
 
     what: str
     at: float = 0.0  # seconds from the start
-    on: str = ""  # the moment that it is aimed at
+    on: str = ""  # the moment at which it is executed, if it is aimed
     nth: int = 1
     who: str = ""
     to: str = ""
     seconds: float = 0.0
     args: dict[str, Any] = {}
 
-    def told(self) -> str:
-        """The step in one line, for people."""
+    def describe(self) -> str:
+        """Returns the step as one line of text."""
         when = f"{self.at:7.3f} s  " if not self.on else f"{self.at:7.3f} s, at {self.on} (no. {self.nth}): "
         names = " ".join(name for name in (self.who, self.to) if name)
-        took = f" for {self.seconds:.3f} s" if self.seconds else ""
-        more = "".join(f" {key}={value}" for key, value in self.args.items())
-        return f"{when}{self.what} {names}{took}{more}"
+        duration = f" for {self.seconds:.3f} s" if self.seconds else ""
+        extra = "".join(f" {key}={value}" for key, value in self.args.items())
+        return f"{when}{self.what} {names}{duration}{extra}"
 
 
 class Schedule(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """Steps, and the terms under which they are played (`shape`: the played world's own words)."""
+    """Steps and the parameters of a run (`shape`), whose keys are defined by the simulation that plays it."""
 
     seed: int
     shape: dict[str, Any] = {}
     steps: list[Step] = []
 
     def with_steps(self, steps: list[Step]) -> Schedule:
+        """Returns a copy with other steps."""
         return msgspec.structs.replace(self, steps=steps)
 
 
-class Kept(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """A schedule in a file, with the rule that it broke, and with which fence taken out (if one was)."""
+class SavedSchedule(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
+    """Content of a schedule file: a schedule, the rule that it violates and a description of the run (`story`).
+
+    `fence`: name of the fence that had to be removed for the violation, if any.
+    """
 
     schedule: Schedule
     rule: str = ""
@@ -55,10 +61,11 @@
     story: str = ""
 
 
-def write_kept(kept: Kept) -> bytes:
-    return msgspec.json.format(msgspec.json.encode(kept), indent=1) + b"\n"
+def encode_saved(saved: SavedSchedule) -> bytes:
+    """Returns the content of a schedule file: indented JSON."""
+    return msgspec.json.format(msgspec.json.encode(saved), indent=1) + b"\n"
 
 
-def read_kept(data: bytes) -> Kept:
-    """msgspec.ValidationError or DecodeError says what is wrong with a file that is not one."""
-    return msgspec.json.decode(data, type=Kept)
+def decode_saved(data: bytes) -> SavedSchedule:
+    """Parses the content of a schedule file; msgspec.DecodeError or ValidationError if it is invalid."""
+    return msgspec.json.decode(data, type=SavedSchedule)
--- a/embersill/world/shrink.py
+++ b/embersill/world/shrink.py
@@ -1,9 +1,9 @@
-"""Cuts a failing schedule down to few steps that still fail for the same reason. No I/O.
+"""Shrinks a failing schedule to a few steps that still fail for the same reason. No I/O.
 
-Delta debugging (Zeller and Hildebrandt 2002, ddmin), over explicit steps: what is left is a subset of what
-there was, so each step can be read as it was played. Hypothesis shrinks the draws from which an example is
-made, which is better where examples are small; here one step less would shift all draws behind it, and
-thousands of steps are many times what it is made for.
+It is delta debugging (Zeller and Hildebrandt 2002, ddmin) over explicit steps: the result is a subset of the
+original steps, so that each can be read as it was played. Hypothesis shrinks the random draws from which an
+example is built, which is better for small examples; here, removing one step would shift all later draws, and
+thousands of steps are many times more than it is designed for.
 """
 
 from __future__ import annotations
@@ -18,77 +18,81 @@
 Item = TypeVar("Item")
 
 
-def leave_out(
-    items: list[Item], holds: Callable[[list[Item]], bool], goes_on: Callable[[], bool]
+def minimize(
+    items: list[Item], still_fails: Callable[[list[Item]], bool], may_continue: Callable[[], bool]
 ) -> list[Item]:
-    """Leaves out ever smaller runs of items while `holds` is true of the rest, until no single one can be.
+    """Removes ever smaller runs of items for which `still_fails` holds without them, down to single items.
 
-    `goes_on`: false once enough was tried.
+    `may_continue`: False once the limit of tests is reached.
     """
     size = max(1, len(items) // 2)
-    while goes_on():
-        cut, at = False, 0
+    while may_continue():
+        removed, at = False, 0
         while at < len(items):
             fewer = items[:at] + items[at + size :]
-            if holds(fewer):
-                items, cut = fewer, True
+            if still_fails(fewer):
+                items, removed = fewer, True
             else:
                 at += size
-        if size == 1 and not cut:
+        if size == 1 and not removed:
             break
         size = max(1, size // 2)
     return items
 
 
 class Shrinker:
-    """`fails` plays a schedule and tells whether it fails for the same reason. At most `most_runs` plays."""
+    """Shrinks schedules; `fails` plays one and returns whether it fails for the same reason.
 
-    def __init__(self, fails: Callable[[Schedule], bool], most_runs: int = 2000) -> None:
-        self.fails, self.most_runs = fails, most_runs
+    It is called at most `max_runs` times.
+    """
+
+    def __init__(self, fails: Callable[[Schedule], bool], max_runs: int = 2000) -> None:
+        self.fails, self.max_runs = fails, max_runs
         self.runs = 0
 
-    def holds(self, schedule: Schedule) -> bool:
-        if self.runs >= self.most_runs:
+    def still_fails(self, schedule: Schedule) -> bool:
+        """Plays a schedule; False without a play once `max_runs` is reached."""
+        if self.runs >= self.max_runs:
             return False
         self.runs += 1
         return self.fails(schedule)
 
     def shrink(self, schedule: Schedule, failed_at: float | None = None) -> Schedule:
-        """The smallest that was found; ValueError if the schedule does not fail at all.
+        """Returns the smallest failing schedule found; ValueError if the given one does not fail.
 
-        `failed_at`: when it failed; steps set for later are tried without first.
+        `failed_at`: the time of the failure; removing all later steps is tried first.
         """
-        if not self.holds(schedule):
-            raise ValueError("the schedule does not fail for that reason")
+        if not self.still_fails(schedule):
+            raise ValueError("the schedule does not fail for the expected reason")
         if failed_at is not None:
             early = schedule.with_steps([step for step in schedule.steps if step.at <= failed_at])
-            if len(early.steps) < len(schedule.steps) and self.holds(early):
+            if len(early.steps) < len(schedule.steps) and self.still_fails(early):
                 schedule = early
-        schedule = self.without(schedule)
-        return self.simpler(schedule)
+        schedule = self.remove_steps(schedule)
+        return self.round_times(schedule)
 
-    def without(self, schedule: Schedule) -> Schedule:
-        """Leaves out ever smaller runs of steps, until no single one can be left out."""
-        steps = leave_out(
+    def remove_steps(self, schedule: Schedule) -> Schedule:
+        """Removes ever smaller runs of steps, until no single one can be removed."""
+        steps = minimize(
             schedule.steps,
-            lambda fewer: self.holds(schedule.with_steps(fewer)),
-            lambda: self.runs < self.most_runs,
+            lambda fewer: self.still_fails(schedule.with_steps(fewer)),
+            lambda: self.runs < self.max_runs,
         )
         return schedule.with_steps(steps)
 
-    def simpler(self, schedule: Schedule) -> Schedule:
-        """Rounds what is left: a story with few digits is easier to read."""
-        for place in range(len(schedule.steps)):
+    def round_times(self, schedule: Schedule) -> Schedule:
+        """Rounds times and durations where the schedule still fails: fewer digits are easier to read."""
+        for index in range(len(schedule.steps)):
             for digits in (1, 2):
-                step = schedule.steps[place]
+                step = schedule.steps[index]
                 rounded: Step = msgspec.structs.replace(
                     step, at=round(step.at, digits), seconds=round(step.seconds, digits)
                 )
                 if rounded == step:
                     break
                 steps = list(schedule.steps)
-                steps[place] = rounded
-                if self.holds(schedule.with_steps(steps)):
+                steps[index] = rounded
+                if self.still_fails(schedule.with_steps(steps)):
                     schedule = schedule.with_steps(steps)
                     break
         return schedule
--- a/tests/council/test_schedules.py
+++ b/tests/council/test_schedules.py
@@ -12,7 +12,7 @@
 from embersill.lab.hunt import hunt_apart
 from embersill.world.fences import source_of
 from embersill.world.oracles import Broken
-from embersill.world.schedules import Schedule, read_kept, write_kept
+from embersill.world.schedules import Schedule, decode_saved, encode_saved
 from embersill.world.swarm import Coverage
 
 SEEDS = range(60)
@@ -88,7 +88,7 @@
         broken = breaks(schedule)
         assert broken is not None
         kept, _ = shorten(schedule, broken)
-    assert len(kept.schedule.steps) == 1 and read_kept(write_kept(kept)) == kept
+    assert len(kept.schedule.steps) == 1 and decode_saved(encode_saved(kept)) == kept
     assert "no rule is broken" in kept.story
 
 
--- a/tests/tiers/test_schedules.py
+++ b/tests/tiers/test_schedules.py
@@ -13,7 +13,7 @@
 from embersill.lab.levels.shorten import breaks
 from embersill.lab.levels.world import play
 from embersill.world.fences import source_of
-from embersill.world.schedules import read_kept
+from embersill.world.schedules import decode_saved
 from embersill.world.swarm import Coverage
 
 SEEDS = 160  # `python -m embersill.lab schedules --seeds 10000` plays more
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("path", KEPT)
 def test_what_was_found_stays_mended(path: Path) -> None:
-    kept = read_kept(path.read_bytes())
+    kept = decode_saved(path.read_bytes())
     assert len(kept.schedule.steps) < 40
     assert breaks(kept.schedule) is None
 
--- a/tests/world/test_kernel.py
+++ b/tests/world/test_kernel.py
@@ -11,11 +11,11 @@
 from embersill.lab.levels.generate import generate
 from embersill.lab.levels.world import World
 from embersill.world.kernel import EventLimitExceeded, Kernel, Node
-from embersill.world.network import Datagrams, Network, Stream, Weather
+from embersill.world.network import Datagrams, LinkConditions, Network, Stream
 from embersill.world.records import Fault
 from embersill.world.trace import Trace, first_difference
 
-CONSTANT_LATENCY = Weather(least=0.01, most=0.01)
+CONSTANT_LATENCY = LinkConditions(least=0.01, most=0.01)
 
 
 class RecordingNode(Node):
@@ -34,9 +34,11 @@
         self.closed_count += 1
 
 
-def pair(weather: Weather = CONSTANT_LATENCY) -> tuple[Kernel, Network, RecordingNode, RecordingNode, Stream]:
+def pair(
+    conditions: LinkConditions = CONSTANT_LATENCY,
+) -> tuple[Kernel, Network, RecordingNode, RecordingNode, Stream]:
     kernel = Kernel(1)
-    network = Network(kernel, weather)
+    network = Network(kernel, conditions)
     node_a, node_b = RecordingNode(kernel, "a"), RecordingNode(kernel, "b")
     return kernel, network, node_a, node_b, Stream(network, node_a, node_b)
 
@@ -152,7 +154,7 @@
 
 def test_datagrams_are_lost_duplicated_and_reordered() -> None:
     kernel = Kernel(3)
-    network = Network(kernel, Weather(lost=0.2, doubled=0.2, reordered=0.5))
+    network = Network(kernel, LinkConditions(lost=0.2, doubled=0.2, reordered=0.5))
     node_a, node_b = RecordingNode(kernel, "a"), RecordingNode(kernel, "b")
     got: list[int] = []
     datagrams = Datagrams(network)
