--- a/embersill/lab/council/search.py
+++ b/embersill/lab/council/search.py
@@ -20,7 +20,7 @@
 from embersill.world import search as searching
 from embersill.world.histories import Op, is_linearizable
 from embersill.world.oracles import Broken
-from embersill.world.search import digest_of
+from embersill.world.search import canonical_digest
 
 NAMES = ("m0", "m1", "m2")
 KEY = "k"
@@ -196,7 +196,7 @@
         if not is_linearizable([*self.history, *unsure]):
             raise Broken("register", self.steps, f"no order explains {self.history}")
 
-    def image(self) -> bytes:
+    def fingerprint(self) -> bytes:
         times = {at for op in self.history for at in (op.began, op.ended)}
         times |= {began for began, _ in self.open.values()}
         rank = {at: n for n, at in enumerate(sorted(times))}
@@ -217,7 +217,7 @@
             self.lates,
             sorted(self.forgot),
         )
-        return digest_of(state, SKIPPED, ({},))
+        return canonical_digest(state, SKIPPED, ({},))
 
 
 def change(who: str, tried: list[tuple[str | None, str]], entry: Entry | None) -> bytes:
@@ -240,5 +240,5 @@
         "search_complete": found.complete,
         "widths": found.widths,
         "broken": found.broken,
-        "way": found.way,
+        "way": found.path,
     }
--- a/embersill/lab/levels/search.py
+++ b/embersill/lab/levels/search.py
@@ -217,7 +217,7 @@
         getattr(self, f"do_{what}")(*rest)
         self.look()
 
-    def image(self) -> bytes:
+    def fingerprint(self) -> bytes:
         state = (
             self.now,
             vars(self.left),
@@ -236,7 +236,7 @@
             self.lending,
             self.rules.ceilings.levels,
         )
-        return searching.digest_of(state, SKIPPED, RENAMES)
+        return searching.canonical_digest(state, SKIPPED, RENAMES)
 
     # steps
 
@@ -439,5 +439,5 @@
         "search_complete": found.complete,
         "widths": found.widths,
         "broken": found.broken,
-        "way": found.way,
+        "way": found.path,
     }
--- a/embersill/lab/levels/wide.py
+++ b/embersill/lab/levels/wide.py
@@ -15,7 +15,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from embersill.world.fences import source_of, take_out_source
+from embersill.world.fences import source_of, replace_source
 from embersill.world.mutants import Mutant, mutants, mutated
 
 MODULES = (
@@ -53,7 +53,7 @@
 def judge(module: str, number: int, what: str, seeds: int) -> str:
     """What notices a mutant, in this process: a rule, tests, or nothing ("")."""
     _, source = source_of(module)
-    take_out_source(module, mutated(source, Mutant(number, 0, what)))
+    replace_source(module, mutated(source, Mutant(number, 0, what)))
     from embersill.lab.levels.generate import generate
     from embersill.lab.levels.world import play
     from embersill.world.oracles import Broken
--- a/embersill/rig/soak/fences.py
+++ b/embersill/rig/soak/fences.py
@@ -72,7 +72,7 @@
 def cut_copy(name: str, folder: Path) -> dict[str, str]:
     """Copies the package without a fence; the variables with which processes run the copy.
 
-    NoFence if a text of the fence does not stand there exactly once.
+    FenceNotFound if a text of the fence does not occur there exactly once.
     """
     shutil.copytree(PACKAGE, folder / PACKAGE.name, ignore=shutil.ignore_patterns("__pycache__"))
     fence = FENCES[name]
--- a/embersill/world/schedules.py
+++ b/embersill/world/schedules.py
@@ -50,7 +50,7 @@
 
 
 class SavedSchedule(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """Content of a schedule file: a schedule, the rule that it violates and a description of the run (`story`).
+    """Content of a schedule file: a schedule, the rule that it violates, a description of the run (`story`).
 
     `fence`: name of the fence that had to be removed for the violation, if any.
     """
--- a/tests/world/test_shrink.py
+++ b/tests/world/test_shrink.py
@@ -12,7 +12,7 @@
 from embersill.lab.levels.generate import generate
 from embersill.lab.levels.shorten import breaks, shorten, story
 from embersill.tiers.planner import Planner
-from embersill.world.fences import Fence, NoFence, take_out
+from embersill.world.fences import Fence, FenceNotFound, take_out
 from embersill.world.schedules import SavedSchedule, Schedule, Step, decode_saved, encode_saved
 from embersill.world.shrink import Shrinker
 from embersill.world.swarm import Coverage, log_uniform, random_subset
@@ -86,7 +86,7 @@
     )
     result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert result.stdout == "1\n"
-    with pytest.raises(NoFence, match="imported already"):
+    with pytest.raises(FenceNotFound, match="already imported"):
         take_out(Fence("f", "embersill.world.schedules", "", "class SavedSchedule(", "class SavedSchedule("))
-    with pytest.raises(NoFence, match="stands 0 times"):
+    with pytest.raises(FenceNotFound, match="occurs 0 times"):
         Fence("f", "m", "", "x", "y").applied("m", "abc")
