--- a/benchmarks/partition.py
+++ b/benchmarks/partition.py
@@ -115,7 +115,8 @@
 
 def cpu_a_try(deployment: Deployment, tries: float) -> float:
     """Milliseconds of processor time of all processes for each try."""
-    return round(1000 * sum(member.spent for member in deployment.members.values()) / max(tries, 1.0), 3)
+    cpu_s = sum(member.earlier_cpu_s for member in deployment.members.values())
+    return round(1000 * cpu_s / max(tries, 1.0), 3)
 
 
 async def hop(cut: bool, seconds: float) -> dict[str, float]:
--- a/benchmarks/ratelimit.py
+++ b/benchmarks/ratelimit.py
@@ -105,9 +105,9 @@
         await asyncio.sleep(1.0)
         load.reset()
         front = deployment.members[deployment.fronts[0].name]
-        before = front.cpu()
+        before = front.cpu_seconds()
         await asyncio.sleep(seconds)
-        spent, served = front.cpu() - before, load.served
+        spent, served = front.cpu_seconds() - before, load.served
         load.stop()
     finally:
         deployment.close()
--- a/benchmarks/tiers.py
+++ b/benchmarks/tiers.py
@@ -95,9 +95,9 @@
         await load.start(deployment.fronts[0].port)
         await asyncio.sleep(1.0)
         load.reset()
-        before = {name: member.cpu() for name, member in deployment.members.items()}
+        before = {name: member.cpu_seconds() for name, member in deployment.members.items()}
         await asyncio.sleep(seconds)
-        spent = {name: member.cpu() - before[name] for name, member in deployment.members.items()}
+        spent = {name: member.cpu_seconds() - before[name] for name, member in deployment.members.items()}
         served, other = load.served, load.other
         load.stop()
     finally:
@@ -167,9 +167,9 @@
         for load in loads:
             assert load.stdout is not None
             await load.stdout.readline()
-        before = {m.name: m.cpu() for m in deployment.planners()}
+        before = {m.name: m.cpu_seconds() for m in deployment.planners()}
         await asyncio.sleep(seconds * 0.9)
-        spent = sum(m.cpu() - before[m.name] for m in deployment.planners()) / 0.9
+        spent = sum(m.cpu_seconds() - before[m.name] for m in deployment.planners()) / 0.9
         rates = []
         for load in loads:
             assert load.stdout is not None
--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -200,7 +200,7 @@
         """Ends all gateways with SIGTERM; their exit codes."""
         for gateway in self.gateways:
             gateway.send(signal.SIGTERM)
-        return [await gateway.ended() for gateway in self.gateways]
+        return [await gateway.wait_exit() for gateway in self.gateways]
 
 
 async def play_state(checks: Checks, label: str, writer: Path, reader: Path) -> None:
@@ -353,7 +353,7 @@
         for planner in planners:
             planner.send(signal.SIGTERM)
         for planner in planners:
-            await planner.ended()
+            await planner.wait_exit()
             planner.environ.update(environment_of(reader))
         await asyncio.gather(*(planner.start() for planner in planners))
         async with asyncio.timeout(APPLY_TIMEOUT_S):
--- a/embersill/lab/__main__.py
+++ b/embersill/lab/__main__.py
@@ -47,7 +47,7 @@
         elif member.role == "forwarder" and status:
             held = ", ".join(f"{n or 'nobody'} {c}" for n, c in sorted(status["holders"].items()))
             state += f", obeys {held}; decided here {status['local']}"
-        shown.add_row(member.name, member.role, state, f"{member.spent + member.cpu():.1f}")
+        shown.add_row(member.name, member.role, state, f"{member.earlier_cpu_s + member.cpu_seconds():.1f}")
     rate = (figures["tries"] - before.get("tries", 0.0)) / max(passed - before.get("passed", 0.0), 0.1)
     before.update(tries=figures["tries"], passed=passed)
     broken = {rule: int(figures[rule]) for rule in RULES if figures[rule]}
--- a/embersill/lab/faults.py
+++ b/embersill/lab/faults.py
@@ -32,7 +32,7 @@
     for column in ("process", "role", "state"):
         shown.add_column(column)
     for member in list(deployment.members.values()):
-        state = "down" if not member.running else "stopped" if member.stopped else "running"
+        state = "down" if not member.running else "stopped" if member.suspended else "running"
         if member.role == "planner" and member.status:
             state += f", leads {member.status['leads']} parts ({member.status['whole']} whole)"
         shown.add_row(member.name, member.role, state)
--- a/embersill/rig/clerks.py
+++ b/embersill/rig/clerks.py
@@ -138,7 +138,7 @@
 
     def close(self) -> None:
         for member in self.members.values():
-            member.finish()
+            member.kill_now()
         for way in self.ways.values():
             way.close()
         self.folder.cleanup()
--- a/embersill/rig/deployment.py
+++ b/embersill/rig/deployment.py
@@ -235,7 +235,7 @@
 
         The planner stands still meanwhile: its files are renamed while it runs, and a copy would miss some.
         """
-        async with self.members[name].held():
+        async with self.members[name].while_suspended():
             if self.state_of(name).exists():
                 shutil.copytree(self.state_of(name), target)
 
@@ -346,7 +346,7 @@
 
     async def pause(self, member: Member, seconds: float) -> None:
         self.books.counts["planner_pauses"] += 1
-        await member.stand(seconds)
+        await member.pause(seconds)
 
     async def restart_front(self, front: Front, down: float) -> None:
         """Kills a front machine; what it held is its clients' to retry."""
@@ -380,11 +380,11 @@
         for roles in (("forwarder", "gateway"), ("planner",)):
             ending = [m for m in self.members.values() if m.role in roles and m.running]
             for member in ending:
-                member.spent += member.cpu()
-                member.go_on()
+                member.earlier_cpu_s += member.cpu_seconds()
+                member.resume()
                 member.send(signal.SIGTERM)
             for member in ending:
-                code = await member.ended()
+                code = await member.wait_exit()
                 if code:
                     codes[member.name] = code
         self.close()
@@ -392,7 +392,7 @@
 
     def close(self) -> None:
         for member in self.members.values():
-            member.finish()
+            member.kill_now()
         for part in (self.discovery, self.counter, self.billing, *self.backends, *self.views):
             part.close()
         for way in (*self.ways.values(), *self.link_ways.values()):
--- a/embersill/rig/hall.py
+++ b/embersill/rig/hall.py
@@ -205,8 +205,8 @@
 
     async def close(self) -> None:
         for gateway in self.gateways:
-            gateway.finish()
-        await asyncio.gather(*(g.ended() for g in self.gateways if g.process is not None))
+            gateway.kill_now()
+        await asyncio.gather(*(g.wait_exit() for g in self.gateways if g.process is not None))
         await asyncio.gather(*(b.stop() for b in self.backends if b.address))
         await self.session.close()
 
--- a/embersill/rig/ownership.py
+++ b/embersill/rig/ownership.py
@@ -58,7 +58,7 @@
 def owner_of(deployment: Deployment, office: str) -> str:
     """Who said last that it holds an office; empty if nobody does."""
     for member in deployment.members.values():
-        if member.running and not member.stopped:
+        if member.running and not member.suspended:
             for told in member.status.get("offices", ()):
                 if told["name"] == office and told["held"]:
                     return member.name
--- a/embersill/rig/playing.py
+++ b/embersill/rig/playing.py
@@ -138,7 +138,7 @@
         deployment = self.deployment
         member = deployment.members[name]
         if fault.what == "stop":
-            await member.stand(fault.seconds)
+            await member.pause(fault.seconds)
         elif fault.what == "starve":
             await member.starve(fault.seconds, fault.share)
         elif fault.what == "clone":
@@ -150,11 +150,11 @@
             if front is not None:
                 front.up = False
             if fault.what == "restart":
-                member.go_on()
+                member.resume()
                 member.send(signal.SIGTERM)
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(10.0):
-                        await member.ended()
+                        await member.wait_exit()
             await member.kill()
             await asyncio.sleep(fault.seconds)
             self.disk(fault, name)
--- a/embersill/rig/processes.py
+++ b/embersill/rig/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment: started, stopped, killed, starved, and what they write about themselves."""
+"""Child processes of a test deployment: start, signals, CPU starvation, and the lines that they print."""
 
 from __future__ import annotations
 
@@ -14,35 +14,36 @@
 
 from embersill.rig.standins import HOST
 
-TICKS = os.sysconf("SC_CLK_TCK")
-MOST_LOG = 200  # lines of a process's log that are kept
-LISTENING = (10_000, 32_768)  # ports that processes of a deployment are given
-HALT_POLL_SECONDS = 0.001  # how often a halted process is looked at until it stands still
-HALTED_STATES = ("T", "Z", "X")  # stopped by a signal, ended, gone: see proc(5)
-STARVED_EVERY = 0.1  # seconds: a starved process runs for a part of each of these
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+MAX_LOG_LINES = 200  # per process; further lines are dropped
+LISTEN_PORT_RANGE = (10_000, 32_768)  # for the listening sockets of a deployment's processes
+STOP_POLL_INTERVAL_S = 0.001
+STOPPED_STATES = ("T", "Z", "X")  # stopped by a signal, ended, gone: see proc(5)
+STARVE_PERIOD_S = 0.1  # a starved process runs for a share of each period
 
 
 class Member:
-    """One process of the deployment."""
+    """One process of the deployment, across restarts."""
 
     def __init__(self, name: str, role: str, command: list[str], environ: dict[str, str]) -> None:
         self.name, self.role, self.command, self.environ = name, role, command, environ
         self.on_status: Callable[[Member], None] = lambda member: None
-        self.on_refusal: Callable[[Member, dict[str, Any]], None] = lambda member, told: None
-        self.lives = 0
+        self.on_refusal: Callable[[Member, dict[str, Any]], None] = lambda member, line: None
+        self.start_count = 0
         self.process: asyncio.subprocess.Process | None = None
         self.status: dict[str, Any] = {}
         self.log: list[str] = []
         self.readers: list[asyncio.Task[None]] = []
-        self.stopped = False
-        self.spent = 0.0  # seconds of processor time of earlier lives
+        self.suspended = False
+        self.earlier_cpu_s = 0.0  # CPU time of earlier runs
 
     async def start(self) -> None:
+        """Starts the process, or starts it again, and begins to read what it prints."""
         self.process = await asyncio.create_subprocess_exec(
             *self.command, env=self.environ, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE
         )
-        self.lives += 1
-        self.stopped, self.status = False, {}  # what an earlier life said counts no more
+        self.start_count += 1
+        self.suspended, self.status = False, {}  # an earlier run's status no longer holds
         assert self.process.stdout is not None and self.process.stderr is not None
         self.readers = [
             asyncio.create_task(self.read(self.process.stdout, True)),
@@ -50,6 +51,7 @@
         ]
 
     async def read(self, stream: asyncio.StreamReader, status: bool) -> None:
+        """Reads lines to the end of the stream: JSON reports where `status` is set, log lines otherwise."""
         while line := await stream.readline():
             text = line.decode(errors="replace").rstrip()
             if status and text.startswith('{"refusal"'):
@@ -57,77 +59,83 @@
             elif status and text.startswith("{"):
                 self.status = json.loads(text)
                 self.on_status(self)
-            elif len(self.log) < MOST_LOG:
+            elif len(self.log) < MAX_LOG_LINES:
                 self.log.append(text)
 
     @property
     def running(self) -> bool:
+        """Whether the process has been started and has not ended."""
         return self.process is not None and self.process.returncode is None
 
-    def send(self, number: signal.Signals) -> None:
+    def send(self, signal_number: signal.Signals) -> None:
+        """Sends a signal, if the process runs."""
         if self.running:
             assert self.process is not None
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     async def kill(self) -> None:
-        self.spent += self.cpu()
+        """Sends SIGKILL and waits for the end; its CPU time is added to that of earlier runs."""
+        self.earlier_cpu_s += self.cpu_seconds()
         self.send(signal.SIGKILL)
-        await self.ended()
+        await self.wait_exit()
 
-    async def stand(self, seconds: float) -> None:
-        """Stops the process where it stands, and lets it go on: what it was about to do, it does then."""
-        self.halt()
+    async def pause(self, seconds: float) -> None:
+        """Suspends the process for so long; it then continues with what it was about to do."""
+        self.suspend()
         try:
             await asyncio.sleep(seconds)
         finally:
-            self.go_on()
+            self.resume()
 
-    def halt(self) -> None:
+    def suspend(self) -> None:
+        """Sends SIGSTOP."""
         self.send(signal.SIGSTOP)
-        self.stopped = True
+        self.suspended = True
 
     async def starve(self, seconds: float, share: float) -> None:
-        """For so long it runs a `share` of the time only, as on a crowded machine."""
+        """Lets the process run only a `share` of the time for `seconds`, as on an overloaded machine."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         while loop.time() < end and self.running:
-            await self.stand(STARVED_EVERY * (1.0 - share))
-            await asyncio.sleep(STARVED_EVERY * share)
+            await self.pause(STARVE_PERIOD_S * (1.0 - share))
+            await asyncio.sleep(STARVE_PERIOD_S * share)
 
     @contextlib.asynccontextmanager
-    async def held(self) -> AsyncIterator[None]:
-        """Keeps the process from running: within the block none of its files change."""
-        if not self.running or self.stopped:
+    async def while_suspended(self) -> AsyncIterator[None]:
+        """Keeps the process from running, so that none of its files change within the block."""
+        if not self.running or self.suspended:
             yield
             return
         assert self.process is not None
-        self.halt()
+        self.suspend()
         try:
-            while self.running and process_state(self.process.pid) not in HALTED_STATES:
-                await asyncio.sleep(HALT_POLL_SECONDS)
+            while self.running and process_state(self.process.pid) not in STOPPED_STATES:
+                await asyncio.sleep(STOP_POLL_INTERVAL_S)
             yield
         finally:
-            self.go_on()
+            self.resume()
 
-    def go_on(self) -> None:
-        self.stopped = False
+    def resume(self) -> None:
+        """Sends SIGCONT, if the process still exists."""
+        self.suspended = False
         with contextlib.suppress(ProcessLookupError):
             self.send(signal.SIGCONT)
 
-    def finish(self) -> None:
-        """Ends it at once, whatever it does."""
+    def kill_now(self) -> None:
+        """Sends SIGKILL without waiting for the end."""
         with contextlib.suppress(ProcessLookupError):
             self.send(signal.SIGKILL)
 
-    async def ended(self) -> int:
+    async def wait_exit(self) -> int:
+        """Waits until the process has ended and its output is read; returns the exit code."""
         assert self.process is not None
         code = await self.process.wait()
         for reader in self.readers:
             await reader
         return code
 
-    def cpu(self) -> float:
-        """Seconds of processor time of this life."""
+    def cpu_seconds(self) -> float:
+        """CPU time of the current run, in seconds."""
         if not self.running:
             return 0.0
         assert self.process is not None
@@ -135,7 +143,7 @@
 
 
 def process_state(pid: int) -> str:
-    """The state letter of a process as in proc(5); `X` for one that is gone."""
+    """State letter of a process as in proc(5); `X` if the process is gone."""
     try:
         with open(f"/proc/{pid}/stat") as file:
             return file.read().rpartition(")")[2].split()[0]
@@ -144,39 +152,42 @@
 
 
 def processor_time(pid: int) -> tuple[float, float]:
-    """Seconds of processor time of a process so far: user and system."""
+    """CPU time of a process so far in seconds: user and system."""
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rpartition(")")[2].split()
-    return int(fields[11]) / TICKS, int(fields[12]) / TICKS
+    return int(fields[11]) / CLOCK_TICKS_PER_S, int(fields[12]) / CLOCK_TICKS_PER_S
 
 
 def resident_kb(pid: int) -> int:
-    """Memory that a process holds now."""
+    """Resident memory of a process, in KiB."""
     with open(f"/proc/{pid}/status") as file:
         return int(next(line for line in file if line.startswith("VmRSS")).split()[1])
 
 
-def first_ephemeral() -> int:
-    """The first port that the system gives to whoever dials."""
+def first_ephemeral_port() -> int:
+    """First port of the range that the system assigns to outgoing connections."""
     try:
         with open("/proc/sys/net/ipv4/ip_local_port_range") as file:
             return int(file.read().split()[0])
     except (OSError, ValueError, IndexError):
-        return LISTENING[1]
+        return LISTEN_PORT_RANGE[1]
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody listens on now: closed again only once all are found.
+    """Distinct ports without a listener; their sockets are closed only once all are found.
 
-    They are drawn from below those of connections that are dialled: a process that listens on one only some
-    time later, or again after a while, would find it taken now and then.
+    The ports lie below the range of outgoing connections: a process that begins to listen on its port later,
+    or again after a restart, would otherwise sometimes find it taken.
     """
-    least, most = LISTENING[0], max(min(LISTENING[1], first_ephemeral()), LISTENING[0] + 1000)
+    lowest, highest = (
+        LISTEN_PORT_RANGE[0],
+        max(min(LISTEN_PORT_RANGE[1], first_ephemeral_port()), LISTEN_PORT_RANGE[0] + 1000),
+    )
     held: list[socket.socket] = []
     while len(held) < count:
         sock = socket.socket()
         try:
-            sock.bind((HOST, random.SystemRandom().randrange(least, most)))
+            sock.bind((HOST, random.SystemRandom().randrange(lowest, highest)))
         except OSError:
             sock.close()
             continue
--- a/embersill/rig/soak/lives.py
+++ b/embersill/rig/soak/lives.py
@@ -33,7 +33,7 @@
     async def watch(self) -> None:
         """Waits for the end of each process, notes it, and starts the next."""
         while not self.closing:
-            code = await self.member.ended()
+            code = await self.member.wait_exit()
             if self.closing:
                 return
             wanted = self.told_to_end and code in self.codes_of_an_end()
@@ -99,9 +99,9 @@
 
     async def terminate(self, grace: float) -> None:
         """SIGTERM, and SIGKILL if the process is still there after the grace."""
-        ended, began = self.member.lives, self.clock()
+        ended, began = self.member.start_count, self.clock()
         self.signal(signal.SIGTERM)
-        while self.member.lives == ended and self.member.running:
+        while self.member.start_count == ended and self.member.running:
             if self.clock() - began > grace:
                 self.overdue = True
                 return self.kill()
@@ -112,7 +112,7 @@
         """Waits until a life after this one is ready."""
         end = self.clock() + READY_WITHIN
         while self.clock() < end:
-            if self.member.lives > life and await self.hall.is_ready(self.number):
+            if self.member.start_count > life and await self.hall.is_ready(self.number):
                 return
             await asyncio.sleep(LOOK_EVERY)
 
--- a/embersill/rig/soak/play.py
+++ b/embersill/rig/soak/play.py
@@ -110,7 +110,7 @@
                 watching.cancel()
                 for life in self.lives:
                     life.closing = True
-                    life.member.go_on()
+                    life.member.resume()
         for life in self.lives:
             life.watching.cancel()
         return self.record
@@ -161,7 +161,7 @@
 
     async def term(self, life: Life, trouble: Trouble) -> None:
         """A planned restart."""
-        before = life.member.lives
+        before = life.member.start_count
         await life.terminate(GRACE)
         await life.until_ready(before)
 
@@ -174,13 +174,13 @@
 
     async def kill(self, life: Life, trouble: Trouble) -> None:
         """The process ends without a word."""
-        before = life.member.lives
+        before = life.member.start_count
         life.kill()
         await life.until_ready(before)
 
     async def kill_in_drain(self, life: Life, trouble: Trouble) -> None:
         """The process is told to end, and ends before it has."""
-        before = life.member.lives
+        before = life.member.start_count
         life.signal(signal.SIGTERM)
         await asyncio.sleep(KILLED_AFTER)
         life.kill()
@@ -188,7 +188,7 @@
 
     async def stop(self, life: Life, trouble: Trouble) -> None:
         """The process stands still for some seconds."""
-        await life.member.stand(trouble.seconds)
+        await life.member.pause(trouble.seconds)
 
     async def starve(self, life: Life, trouble: Trouble) -> None:
         """The process has a quota of the processor: full speed, then nothing for the rest of a tenth."""
@@ -208,13 +208,13 @@
 
     async def wipe(self, life: Life, trouble: Trouble) -> None:
         """The process ends, and its disk is lost."""
-        before = life.member.lives
+        before = life.member.start_count
         life.kill(wipes=trouble.gateway < CORE)
         await life.until_ready(before)
 
     async def port_held(self, life: Life, trouble: Trouble) -> None:
         """The process ends, and somebody else listens at its port for a while."""
-        before = life.member.lives
+        before = life.member.start_count
         await life.hold_port(trouble.seconds)
         await life.until_ready(before)
 
--- a/tests/council/test_processes.py
+++ b/tests/council/test_processes.py
@@ -82,11 +82,11 @@
             number = await swallowed(deployment, way.name, Direction.UP)
             await asyncio.sleep(0.5)  # its next append is on its way, and does not come
             highest = deployment.billing.highest
-            deployment.members[owner].halt()
+            deployment.members[owner].suspend()
             while deployment.billing.highest == highest:  # until its successor has been there
                 await asyncio.sleep(0.02)
             await way.take_off(number)
-            deployment.members[owner].go_on()
+            deployment.members[owner].resume()
             await asyncio.sleep(0.5)
             if deployment.billing.counts["late_refused"]:
                 return
@@ -279,7 +279,7 @@
         assert not stranger.status.get("council", {}).get("votes")
         secret.write_text(kept)
         stranger.send(signal.SIGKILL)
-        await stranger.ended()
+        await stranger.wait_exit()
         await stranger.start()
         assert before
 
--- a/tests/council/test_register_processes.py
+++ b/tests/council/test_register_processes.py
@@ -37,7 +37,7 @@
     if chance.random() < 0.3:
         member = clerks.members[chance.choice(clerks.names)]
         if chance.random() < 0.5:
-            return await member.stand(0.3)
+            return await member.pause(0.3)
         await member.kill()
         return await member.start()
     verb = chance.choice((Verb.CUT, Verb.SWALLOW, Verb.DELAY, Verb.HALF))
@@ -54,7 +54,7 @@
     histories = clerks.histories()
     sure = sum(op.sure for ops in histories.values() for op in ops)
     assert len(histories) == 3 and sure > 150, sure
-    assert sum(member.lives for member in clerks.members.values()) > 4
+    assert sum(member.start_count for member in clerks.members.values()) > 4
     for key, ops in histories.items():
         assert is_linearizable(ops), key
 
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -406,7 +406,7 @@
                 codes = set(await asyncio.gather(*calls))
                 # calls that arrive during the stop are refused by the library, with either of its messages
                 assert codes <= {grpc.StatusCode.OK, grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.CANCELLED}
-                assert await member.ended() == 0
+                assert await member.wait_exit() == 0
                 with pytest.raises(ConnectionRefusedError), socket.socket() as probe:
                     probe.connect((HOST, port))
             assert not list(deployment.logs())
--- a/tests/tiers/test_links.py
+++ b/tests/tiers/test_links.py
@@ -278,7 +278,7 @@
             await asyncio.sleep(1.0)
             member = deployment.members["p0"]
             member.send(signal.SIGTERM)
-            assert await member.ended() == 0
+            assert await member.wait_exit() == 0
             await traffic
             await deployment.traffic.drained(SOON)
             codes = await deployment.stop()
