--- a/embersill/rig/clerks.py
+++ b/embersill/rig/clerks.py
@@ -25,7 +25,7 @@
 from embersill.council.settings import Council
 from embersill.council.terms import CouncilTerms
 from embersill.rig.processes import Member, free_ports
-from embersill.rig.relay import Way
+from embersill.rig.relay import Relay
 from embersill.rig.standins import HOST
 from embersill.roles import start_clock
 from embersill.world.histories import Op
@@ -101,7 +101,7 @@
         self.names = [f"m{n}" for n in range(count)]
         self.seed, self.stale = seed, stale
         self.folder = tempfile.TemporaryDirectory(prefix="embersill-clerks-")
-        self.ways: dict[str, Way] = {}
+        self.relays: dict[str, Relay] = {}
         self.members: dict[str, Member] = {}
         self.lines: list[dict[str, object]] = []
 
@@ -110,13 +110,13 @@
         for one in self.names:
             for other in self.names:
                 if one != other:
-                    way = Way(
+                    relay = Relay(
                         f"{one}>{other}",
                         lambda port=ports[other]: (HOST, port),  # type: ignore[misc]
                         self.seed,
                     )
-                    self.ways[way.name] = way
-                    await way.start()
+                    self.relays[relay.name] = relay
+                    await relay.start()
         for name in self.names:
             told = {
                 "name": name,
@@ -124,7 +124,7 @@
                 "seed": self.seed,
                 "stale": name == self.stale,
                 "members": {
-                    other: [HOST, ports[name] if other == name else self.ways[f"{name}>{other}"].port]
+                    other: [HOST, ports[name] if other == name else self.relays[f"{name}>{other}"].port]
                     for other in self.names
                 },
             }
@@ -139,8 +139,8 @@
     def close(self) -> None:
         for member in self.members.values():
             member.kill_now()
-        for way in self.ways.values():
-            way.close()
+        for relay in self.relays.values():
+            relay.close()
         self.folder.cleanup()
 
     def histories(self) -> dict[str, list[Op]]:
--- a/embersill/rig/deployment.py
+++ b/embersill/rig/deployment.py
@@ -20,7 +20,7 @@
 from embersill.rig.billing import StandInBilling
 from embersill.rig.books import Books
 from embersill.rig.processes import Member, free_ports
-from embersill.rig.relay import Way
+from embersill.rig.relay import Relay
 from embersill.rig.scenarios import Names
 from embersill.rig.settings import settings_object
 from embersill.rig.standins import (
@@ -78,8 +78,8 @@
         self.members: dict[str, Member] = {}
         self.ports: dict[str, int] = {}  # of planners, for forwarders
         self.council_ports: dict[str, int] = {}  # of planners, for each other
-        self.ways: dict[str, Way] = {}
-        self.link_ways: dict[str, Way] = {}  # between planners: over which they carry forwarders' connections
+        self.relays: dict[str, Relay] = {}
+        self.link_relays: dict[str, Relay] = {}  # between planners, for forwarders' connections
         self.views: list[DiscoveryView] = []
         self.traffic: Traffic
         self.folder = tempfile.TemporaryDirectory(prefix="embersill-lab-")
@@ -109,7 +109,7 @@
             self.books.cells[backend.name] = n % 2
         ports = free_ports(shape.fronts)
         self.fronts = [Front(f"g{n}", port, idle=[]) for n, port in enumerate(ports)]
-        await self.lay_ways()
+        await self.start_relays()
         if shape.planners:
             await self.start_planners([front.name for front in self.fronts])
         for front in self.fronts:
@@ -125,26 +125,26 @@
     def relayed(self) -> list[str]:
         """The ways that go over relays: only processes dial."""
         return [
-            way
-            for way in self.names.ways(self.shape.relayed)
-            if self.names.roles[way.partition(">")[0]] in ("planner", "forwarder", "gateway")
+            link
+            for link in self.names.ways(self.shape.relayed)
+            if self.names.roles[link.partition(">")[0]] in ("planner", "forwarder", "gateway")
         ]
 
-    async def lay_ways(self) -> None:
+    async def start_relays(self) -> None:
         for name in self.relayed():
             begin, _, end = name.partition(">")
-            way = self.ways[name] = Way(name, self.target_of(begin, end), self.shape.seed)
-            await way.start()
+            relay = self.relays[name] = Relay(name, self.target_of(begin, end), self.shape.seed)
+            await relay.start()
             if {self.names.roles[begin], self.names.roles[end]} == {"planner"}:
-                link = self.link_ways[name] = Way(f"{name} link", self.link_of(end), self.shape.seed)
+                link = self.link_relays[name] = Relay(f"{name} link", self.link_of(end), self.shape.seed)
                 await link.start()
 
     def link_of(self, planner: str) -> Callable[[], tuple[str, int]]:
         return lambda: (HOST, self.ports[planner])
 
-    def ways_of(self, name: str) -> list[Way]:
+    def relays_of(self, name: str) -> list[Relay]:
         """What a fault on a way lies on: all that processes dial over it."""
-        return [ways[name] for ways in (self.ways, self.link_ways) if name in ways]
+        return [relays[name] for relays in (self.relays, self.link_relays) if name in relays]
 
     def target_of(self, begin: str, end: str) -> Callable[[], tuple[str, int]]:
         def target() -> tuple[str, int]:
@@ -164,8 +164,8 @@
 
     def dialled(self, begin: str, end: str, address: str) -> str:
         """Where a process dials another: a relay if one lies between them."""
-        way = self.ways.get(f"{begin}>{end}")
-        return address if way is None else way.address
+        relay = self.relays.get(f"{begin}>{end}")
+        return address if relay is None else relay.address
 
     async def start_planners(self, forwarders: list[str]) -> dict[str, int]:
         """Starts the planners for forwarders by these names; tells the ports."""
@@ -184,7 +184,7 @@
         return self.ports
 
     def write_operator(self, name: str, role: str, forwarders: list[str]) -> None:
-        ways = self.ways if role == "forwarder" else self.link_ways
+        ways = self.relays if role == "forwarder" else self.link_relays
         planners = {
             p: ways[f"{name}>{p}"].address if f"{name}>{p}" in ways else f"{HOST}:{port}"
             for p, port in self.ports.items()
@@ -244,9 +244,9 @@
         folder = Path(self.folder.name)
         discovery, known = self.discovery.address, self.discovery.listing()
         places = {
-            b.name: self.ways[f"{name}>{b.name}"].address
+            b.name: self.relays[f"{name}>{b.name}"].address
             for b in self.backends
-            if f"{name}>{b.name}" in self.ways
+            if f"{name}>{b.name}" in self.relays
         }
         if places:
             view = DiscoveryView(self.discovery, places)
@@ -395,8 +395,8 @@
             member.kill_now()
         for part in (self.discovery, self.counter, self.billing, *self.backends, *self.views):
             part.close()
-        for way in (*self.ways.values(), *self.link_ways.values()):
-            way.close()
+        for relay in (*self.relays.values(), *self.link_relays.values()):
+            relay.close()
         self.folder.cleanup()
 
     def logs(self) -> Iterable[str]:
--- a/embersill/rig/playing.py
+++ b/embersill/rig/playing.py
@@ -126,13 +126,13 @@
             self.on.remove(fault)
 
     async def on_ways(self, fault: FaultTable) -> None:
-        ways = [way for name in fault.ways for way in self.deployment.ways_of(name)]
-        laid = [(way, await way.put(fault.trouble())) for way in ways]
+        ways = [way for name in fault.ways for way in self.deployment.relays_of(name)]
+        laid = [(way, await way.add_fault(fault.trouble())) for way in ways]
         try:
             await asyncio.sleep(fault.seconds)
         finally:
             for way, number in laid:
-                await way.take_off(number)
+                await way.remove_fault(number)
 
     async def on_process(self, fault: FaultTable, name: str) -> None:
         deployment = self.deployment
--- a/embersill/rig/scenarios.py
+++ b/embersill/rig/scenarios.py
@@ -18,11 +18,11 @@
 
 import msgspec
 
-from embersill.rig.relay import Direction, Trouble, Verb
+from embersill.rig.relay import Direction, LinkFault, LinkFaultKind
 
 ProcessVerb = Literal["kill", "stop", "starve", "restart", "clone"]
 PROCESS_VERBS: tuple[str, ...] = ("kill", "stop", "starve", "restart", "clone")
-WAY_VERBS = tuple(verb.value for verb in Verb)
+WAY_VERBS = tuple(verb.value for verb in LinkFaultKind)
 MOST_FAULTS = 10_000
 MOST_PROCESSES = 64
 LONGEST = 3600.0  # seconds of traffic
@@ -54,9 +54,9 @@
     share: float = 0.2
     disk: Literal["keep", "empty", "old", "torn"] = "keep"
 
-    def trouble(self) -> Trouble:
-        verb, direction = Verb(self.what), Direction(self.direction)
-        return Trouble(verb, direction, self.late, self.jitter, self.rate, self.size)
+    def trouble(self) -> LinkFault:
+        verb, direction = LinkFaultKind(self.what), Direction(self.direction)
+        return LinkFault(verb, direction, self.late, self.jitter, self.rate, self.size)
 
     def told(self) -> str:
         """In one line, for people."""
--- a/tests/council/test_processes.py
+++ b/tests/council/test_processes.py
@@ -13,7 +13,7 @@
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.ownership import judge_billing, listen, owner_of, wait_booked, wait_owner, wait_writer
 from embersill.rig.playing import COUNCIL, RULES
-from embersill.rig.relay import Direction, Trouble, Verb
+from embersill.rig.relay import Direction, LinkFault, LinkFaultKind
 from embersill.rig.standins import Behaviour
 
 RELAYED = ("@planner>@planner", "@planner>billing", "@forwarder>@planner")
@@ -67,7 +67,7 @@
 
 
 async def swallowed(deployment: Deployment, way: str, direction: Direction = Direction.BOTH) -> int:
-    return await deployment.ways[way].put(Trouble(Verb.SWALLOW, direction))
+    return await deployment.relays[way].add_fault(LinkFault(LinkFaultKind.SWALLOW, direction))
 
 
 def others(deployment: Deployment, name: str) -> list[str]:
@@ -78,14 +78,14 @@
     async def test(deployment: Deployment) -> None:
         for _ in range(6):
             owner = await wait_writer(deployment)
-            way = deployment.ways[f"{owner}>billing"]
+            way = deployment.relays[f"{owner}>billing"]
             number = await swallowed(deployment, way.name, Direction.UP)
             await asyncio.sleep(0.5)  # its next append is on its way, and does not come
             highest = deployment.billing.highest
             deployment.members[owner].suspend()
             while deployment.billing.highest == highest:  # until its successor has been there
                 await asyncio.sleep(0.02)
-            await way.take_off(number)
+            await way.remove_fault(number)
             deployment.members[owner].resume()
             await asyncio.sleep(0.5)
             if deployment.billing.counts["late_refused"]:
@@ -107,13 +107,15 @@
                 await asyncio.sleep(0.05)
         for _ in range(12):
             owner = await wait_owner(deployment, "probes")
-            ways = [deployment.ways[f"{owner}>{name}"] for name in others(deployment, owner)]
-            laid = [(way, await way.put(Trouble(Verb.DELAY, Direction.UP, 1.0))) for way in ways]
+            ways = [deployment.relays[f"{owner}>{name}"] for name in others(deployment, owner)]
+            laid = [
+                (way, await way.add_fault(LinkFault(LinkFaultKind.DELAY, Direction.UP, 1.0))) for way in ways
+            ]
             await asyncio.sleep(0.6)  # it has published at least once more, and its lease is over
             await wait_owner(deployment, "probes", other_than=owner)
             await asyncio.sleep(0.8)
             for way, number in laid:
-                await way.take_off(number)
+                await way.remove_fault(number)
             refused = {m.name: m.status["refused_effects"] for m in deployment.planners()}
             if sum(count > 0 for count in refused.values()) >= 2:
                 return
@@ -127,24 +129,29 @@
         owner = await wait_owner(deployment, "export")
         ways = [f"{a}>{b}" for a in (owner,) for b in others(deployment, owner)]
         ways += [f"{b}>{owner}" for b in others(deployment, owner)]
-        laid = [(name, await deployment.ways[name].put(Trouble(Verb.CUT))) for name in ways]
+        laid = [
+            (name, await deployment.relays[name].add_fault(LinkFault(LinkFaultKind.CUT))) for name in ways
+        ]
         second = await wait_owner(deployment, "export", other_than=owner)
         for name, number in laid:
-            await deployment.ways[name].take_off(number)
+            await deployment.relays[name].remove_fault(number)
         # the reverse: it holds the office, and can't do its work
-        number = await deployment.ways[f"{second}>billing"].put(Trouble(Verb.CUT))
+        number = await deployment.relays[f"{second}>billing"].add_fault(LinkFault(LinkFaultKind.CUT))
         third = await wait_owner(deployment, "export", other_than=second)
         booked = len(deployment.billing.log)
         while len(deployment.billing.log) <= booked:
             await asyncio.sleep(0.05)
         assert third != second
-        await deployment.ways[f"{second}>billing"].take_off(number)
+        await deployment.relays[f"{second}>billing"].remove_fault(number)
         # and late, with all coming in the end
-        delayed = [deployment.ways[f"{third}>{name}"] for name in others(deployment, third)]
-        late = [(way, await way.put(Trouble(Verb.DELAY, Direction.BOTH, 0.3, 2.7))) for way in delayed]
+        delayed = [deployment.relays[f"{third}>{name}"] for name in others(deployment, third)]
+        late = [
+            (way, await way.add_fault(LinkFault(LinkFaultKind.DELAY, Direction.BOTH, 0.3, 2.7)))
+            for way in delayed
+        ]
         await asyncio.sleep(3.0)
         for way, number in late:
-            await way.take_off(number)
+            await way.remove_fault(number)
 
     deployment = fleet(test)
     assert len(deployment.billing.owners) >= 3
@@ -155,12 +162,15 @@
 
     async def test(deployment: Deployment) -> None:
         claims = listen(deployment)
-        laid = [(name, await deployment.ways[name].put(Trouble(Verb.CUT))) for name in ("p0>p2", "p2>p0")]
+        laid = [
+            (name, await deployment.relays[name].add_fault(LinkFault(LinkFaultKind.CUT)))
+            for name in ("p0>p2", "p2>p0")
+        ]
         await asyncio.sleep(4.0)
         assert owner_of(deployment, "export")
         taken.append(claims.changes("export"))
         for name, number in laid:
-            await deployment.ways[name].take_off(number)
+            await deployment.relays[name].remove_fault(number)
         await asyncio.sleep(0.5)
         claims = listen(deployment)
         mute = await wait_owner(deployment, "export")
@@ -177,7 +187,7 @@
         assert owner_of(deployment, "export") not in ("", mute)
         taken.append(claims.changes("export"))
         for name, number in laid:
-            await deployment.ways[name].take_off(number)
+            await deployment.relays[name].remove_fault(number)
 
     fleet(test)
     assert taken[0] <= 2 and taken[1] <= 3, taken
--- a/tests/council/test_register_processes.py
+++ b/tests/council/test_register_processes.py
@@ -8,7 +8,7 @@
 import uvloop
 
 from embersill.rig.clerks import Clerks
-from embersill.rig.relay import Direction, Trouble, Verb
+from embersill.rig.relay import Direction, LinkFault, LinkFaultKind
 from embersill.world.histories import is_linearizable
 
 
@@ -40,13 +40,13 @@
             return await member.pause(0.3)
         await member.kill()
         return await member.start()
-    verb = chance.choice((Verb.CUT, Verb.SWALLOW, Verb.DELAY, Verb.HALF))
-    ways = chance.sample(list(clerks.ways.values()), 2)
+    kind = chance.choice((LinkFaultKind.CUT, LinkFaultKind.SWALLOW, LinkFaultKind.DELAY, LinkFaultKind.HALF))
+    relays = chance.sample(list(clerks.relays.values()), 2)
     direction = chance.choice(list(Direction))
-    laid = [(way, await way.put(Trouble(verb, direction, 0.1, 0.2))) for way in ways]
+    faults = [(relay, await relay.add_fault(LinkFault(kind, direction, 0.1, 0.2))) for relay in relays]
     await asyncio.sleep(chance.uniform(0.1, 0.5))
-    for way, number in laid:
-        await way.take_off(number)
+    for relay, fault_id in faults:
+        await relay.remove_fault(fault_id)
 
 
 def test_what_processes_read_and_write_in_trouble_is_linearizable() -> None:
--- a/tests/rig/test_playing.py
+++ b/tests/rig/test_playing.py
@@ -52,7 +52,7 @@
     )
     assert not told["breaches"] and not told["bad_ends"], told
     assert play.counts["kill"] == play.counts["stop"] == 1 and play.counts.total() > 9
-    ways = play.deployment.ways.values()
+    ways = play.deployment.relays.values()
     assert len(ways) == 3 * (2 + 4) and all(way.counts["connections"] for way in ways)
     assert sum(way.counts["reset"] for way in ways) or not play.counts["cut"]
     records = [record for record in play.deployment.books.records if isinstance(record, Fault)]
@@ -74,4 +74,4 @@
         """)
     )
     assert not told["breaches"] and told["served"], told
-    assert play.deployment.ways["g0>counter"].counts["connections"]
+    assert play.deployment.relays["g0>counter"].counts["connections"]
