--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -20,7 +20,7 @@
 from embersill.rig.billing import BillingBehaviour
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.ownership import Claims, judge_billing, listen, owner_of, wait_booked, wait_owner
-from embersill.rig.playing import COUNCIL, RULES, Play, shape_of
+from embersill.rig.playing import COUNCIL_TABLES, RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, Scenario, ShapeTable
 from embersill.rig.standins import Behaviour
 from embersill.world.oracles import Rules, judge
@@ -60,7 +60,7 @@
     deployment = Deployment(shape_of(made, status_every=0.05))
     if billing is not None:
         deployment.billing.behaviour = billing
-    player = Play(made, deployment)
+    player = ScenarioRun(made, deployment)
     told: dict[str, Any] = {}
     claims: list[Claims] = []
 
@@ -129,7 +129,7 @@
             rate=100.0,
             status_every=0.2,
             behaviour=Behaviour(0.01, 0.03),
-            council_tables=COUNCIL,
+            council_tables=COUNCIL_TABLES,
         )
     )
     try:
--- a/benchmarks/partition.py
+++ b/benchmarks/partition.py
@@ -19,7 +19,7 @@
 
 from embersill.rig.causes import Causes
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import RULES, Play, shape_of
+from embersill.rig.playing import RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, FaultTable, Scenario, ShapeTable
 from embersill.rig.standins import Behaviour
 
@@ -83,7 +83,7 @@
     shape = ShapeTable(FORWARDERS, planners, 0, 6, CUSTOMERS, False, {}, RELAYED)
     made = Scenario(row, seed, seconds, 200.0, 0.0, shape, faults, drawn)
     deployment = Deployment(shape_of(made, status_every=0.1, tell_refusals=True, helpers=2))
-    player = Play(made, deployment)
+    player = ScenarioRun(made, deployment)
     causes: list[Causes] = []
     last: dict[str, Any] = {}
 
@@ -125,7 +125,7 @@
     shape = ShapeTable(1, 2, 0, 4, 60, False, {}, RELAYED)
     made = Scenario("hop", 1, seconds, 400.0, 0.0, shape, faults, [])
     deployment = Deployment(shape_of(made, plans=("free",), behaviour=Behaviour(0.0, 0.0), helpers=2))
-    figures = await Play(made, deployment).run()
+    figures = await ScenarioRun(made, deployment).run()
     return {"median_ms": figures["median_ms"], "cpu_ms_a_try": cpu_a_try(deployment, figures["tries"])}
 
 
--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -34,7 +34,7 @@
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.hall import CORE, Backend, Hall
 from embersill.rig.ownership import judge_billing, wait_booked, wait_owner, wait_writer
-from embersill.rig.playing import COUNCIL, RULES
+from embersill.rig.playing import COUNCIL_TABLES, RULES
 from embersill.rig.processes import Member
 from embersill.rig.standins import Behaviour
 
@@ -312,7 +312,7 @@
             rate=60.0,
             status_every=0.05,
             behaviour=Behaviour(0.01, 0.03),
-            council_tables=COUNCIL if council else "",
+            council_tables=COUNCIL_TABLES if council else "",
         ),
         builds,
     )
--- a/embersill/lab/faults.py
+++ b/embersill/lab/faults.py
@@ -18,13 +18,13 @@
 from rich.table import Table
 
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import RULES, Play, kept_text, owned, shape_of
-from embersill.rig.scenarios import BadScenario, Scenario, read_scenario
+from embersill.rig.playing import RULES, ScenarioRun, office_holders, scenario_text, shape_of
+from embersill.rig.scenarios import InvalidScenario, Scenario, read_scenario
 
 REFRESH = 0.25  # seconds between looks
 
 
-def table(play: Play, began: float) -> Table:
+def table(play: ScenarioRun, began: float) -> Table:
     deployment = play.deployment
     figures = deployment.books.figures()
     title = f"{play.scenario.name or 'scenario'}, {time.monotonic() - began:.0f} s"
@@ -36,10 +36,10 @@
         if member.role == "planner" and member.status:
             state += f", leads {member.status['leads']} parts ({member.status['whole']} whole)"
         shown.add_row(member.name, member.role, state)
-    for office, holder in sorted(owned(deployment).items()):
+    for office, holder in sorted(office_holders(deployment).items()):
         shown.add_row(office, "office", holder)
-    for fault in play.on:
-        shown.add_row("", "fault", fault.told())
+    for fault in play.active_faults:
+        shown.add_row("", "fault", fault.describe())
     broken = {rule: int(figures[rule]) for rule in RULES if figures[rule]}
     asked, served, refused, failed = (int(figures[k]) for k in ("tries", "served", "refused", "failed"))
     shown.caption = (
@@ -50,8 +50,8 @@
     return shown
 
 
-async def run(scenario: Scenario) -> tuple[Play, dict[str, Any]]:
-    play = Play(scenario, Deployment(shape_of(scenario)))
+async def run(scenario: Scenario) -> tuple[ScenarioRun, dict[str, Any]]:
+    play = ScenarioRun(scenario, Deployment(shape_of(scenario)))
     playing = asyncio.create_task(play.run())
     began, console = time.monotonic(), Console(stderr=True)
     with Live(console=console, auto_refresh=False, transient=False) as live:
@@ -73,14 +73,14 @@
         if options.seed is not None:
             scenario = msgspec.structs.replace(scenario, seed=options.seed)
         play, told = uvloop.run(run(scenario))
-    except (OSError, UnicodeDecodeError, BadScenario) as error:
+    except (OSError, UnicodeDecodeError, InvalidScenario) as error:
         print(f"{options.file}: {error}", file=sys.stderr)
         return 2
     failed = bool(told["breaches"] or told["bad_ends"])
     if failed or options.keep:
         kept = Path(options.keep or f"found/{Path(options.file).stem}-{scenario.seed}.toml")
         kept.parent.mkdir(parents=True, exist_ok=True)
-        kept.write_text(kept_text(scenario, play.faults))
+        kept.write_text(scenario_text(scenario, play.faults))
         told["kept"] = str(kept)
     print(json.dumps(told))
     return 1 if failed else 0
--- a/embersill/rig/deployment.py
+++ b/embersill/rig/deployment.py
@@ -21,7 +21,7 @@
 from embersill.rig.books import Books
 from embersill.rig.processes import Member, free_ports
 from embersill.rig.relay import Relay
-from embersill.rig.scenarios import Names
+from embersill.rig.scenarios import Topology
 from embersill.rig.settings import settings_object
 from embersill.rig.standins import (
     HOST,
@@ -84,7 +84,7 @@
         self.traffic: Traffic
         self.folder = tempfile.TemporaryDirectory(prefix="embersill-lab-")
         kind = "forwarder" if shape.planners else "gateway"
-        self.names = Names(
+        self.topology = Topology(
             {
                 **{f"g{n}": kind for n in range(shape.fronts)},
                 **{f"p{n}": "planner" for n in range(shape.planners)},
@@ -104,7 +104,7 @@
         for part in (self.discovery, self.counter, self.billing, *self.backends):
             await part.start()
         for n, backend in enumerate(self.backends):
-            zone = self.names.zone_of(backend.name) or "z"
+            zone = self.topology.zone_of(backend.name) or "z"
             self.discovery.entries[backend.name] = self.discovery.entry(backend, n % 2, zone=zone)
             self.books.cells[backend.name] = n % 2
         ports = free_ports(shape.fronts)
@@ -126,8 +126,8 @@
         """The ways that go over relays: only processes dial."""
         return [
             link
-            for link in self.names.ways(self.shape.relayed)
-            if self.names.roles[link.partition(">")[0]] in ("planner", "forwarder", "gateway")
+            for link in self.topology.links(self.shape.relayed)
+            if self.topology.roles[link.partition(">")[0]] in ("planner", "forwarder", "gateway")
         ]
 
     async def start_relays(self) -> None:
@@ -135,7 +135,7 @@
             begin, _, end = name.partition(">")
             relay = self.relays[name] = Relay(name, self.target_of(begin, end), self.shape.seed)
             await relay.start()
-            if {self.names.roles[begin], self.names.roles[end]} == {"planner"}:
+            if {self.topology.roles[begin], self.topology.roles[end]} == {"planner"}:
                 link = self.link_relays[name] = Relay(f"{name} link", self.link_of(end), self.shape.seed)
                 await link.start()
 
@@ -148,9 +148,9 @@
 
     def target_of(self, begin: str, end: str) -> Callable[[], tuple[str, int]]:
         def target() -> tuple[str, int]:
-            role = self.names.roles[end]
+            role = self.topology.roles[end]
             if role == "planner":
-                ports = self.council_ports if self.names.roles[begin] == "planner" else self.ports
+                ports = self.council_ports if self.topology.roles[begin] == "planner" else self.ports
                 return HOST, ports[end]
             parts = {
                 "discovery": self.discovery,
--- a/embersill/rig/playing.py
+++ b/embersill/rig/playing.py
@@ -1,4 +1,4 @@
-"""Plays a scenario on a deployment of processes, and judges the records of what clients and backends saw."""
+"""Runs a scenario on a deployment of processes, and judges the records of what clients and backends saw."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 import tomli_w
 
 from embersill.rig.deployment import Deployment, Shape
-from embersill.rig.scenarios import WAY_VERBS, FaultTable, Scenario, planned
+from embersill.rig.scenarios import LINK_FAULT_KINDS, FaultTable, Scenario, plan_faults
 from embersill.rig.standins import Behaviour
 from embersill.world.oracles import Rules, judge
 from embersill.world.records import Fault
@@ -30,56 +30,59 @@
     "late_drain_sends",
     "ceiling_over_slack",
 )
-COUNCIL = """[council.export]
+COUNCIL_TABLES = """[council.export]
 billing = "http://BILLING"
 period = 60.0
 [council.probes]
 """
-HEALS = 1.0  # seconds after the last fault for which the traffic's end is waited for
+SETTLE_TIME_S = 1.0  # beyond the longest deadline, for the last requests to end
 
 
 def shape_of(scenario: Scenario, **changes: Any) -> Shape:
-    """The deployment that a scenario describes."""
-    told = scenario.shape
+    """The deployment that a scenario describes; `changes` override its fields."""
+    table = scenario.shape
     shape = Shape(
-        fronts=told.gateways or told.forwarders,
-        planners=0 if told.gateways else told.planners,
-        backends=told.backends,
-        customers=told.customers,
+        fronts=table.gateways or table.forwarders,
+        planners=0 if table.gateways else table.planners,
+        backends=table.backends,
+        customers=table.customers,
         rate=scenario.rate,
         seed=scenario.seed,
         behaviour=Behaviour(0.01, 0.05),
-        zones=dict(told.zones),
-        relayed=told.relayed,
+        zones=dict(table.zones),
+        relayed=table.relayed,
     )
-    if told.council:
-        shape.council_tables = COUNCIL
-    if told.gateways:
-        others = {"@forwarder", "@planner"}
-        shape.relayed = tuple(way for way in told.relayed if not others & {*way.split(">")})
+    if table.council:
+        shape.council_tables = COUNCIL_TABLES
+    if table.gateways:
+        absent_roles = {"@forwarder", "@planner"}
+        shape.relayed = tuple(link for link in table.relayed if not absent_roles & {*link.split(">")})
     for name, value in changes.items():
         setattr(shape, name, value)
     return shape
 
 
-class Play:
-    """One play of a scenario: its deployment, its faults, and what came of it."""
+class ScenarioRun:
+    """One run of a scenario: its deployment, its faults and the result."""
 
     def __init__(self, scenario: Scenario, deployment: Deployment) -> None:
         self.scenario, self.deployment = scenario, deployment
         self.faults: list[FaultTable] = []
-        self.on: list[FaultTable] = []  # that hold now, for whoever looks on
+        self.active_faults: list[FaultTable] = []  # for a live display
         self.counts: Counter[str] = Counter()
         self.disks = 0
 
     async def run(self, meanwhile: Callable[[Deployment], Awaitable[None]] | None = None) -> dict[str, Any]:
-        """Starts all, plays all, ends all; tells the figures. `meanwhile` runs beside the traffic."""
+        """Starts the deployment, runs traffic and faults, stops it and returns the figures.
+
+        `meanwhile` runs beside the traffic.
+        """
         deployment, loop = self.deployment, asyncio.get_running_loop()
-        self.faults = planned(self.scenario, deployment.names, deployment.relayed())
+        self.faults = plan_faults(self.scenario, deployment.topology, deployment.relayed())
         try:
             await deployment.start()
             began = loop.time()
-            tasks = [asyncio.ensure_future(self.one(fault, began)) for fault in self.faults]
+            tasks = [asyncio.ensure_future(self.run_fault(fault, began)) for fault in self.faults]
             if self.scenario.drain_every > 0:
                 tasks.append(
                     asyncio.ensure_future(
@@ -91,50 +94,54 @@
             await deployment.traffic.run(self.scenario.seconds)
             await asyncio.gather(*tasks)
             longest = max(c.deadline for c in deployment.settings.classes)
-            await deployment.traffic.drained(longest + HEALS)
+            await deployment.traffic.drained(longest + SETTLE_TIME_S)
             codes = await deployment.stop()
         finally:
             deployment.close()
-        return self.told(codes)
+        return self.result(codes)
 
-    def told(self, codes: dict[str, int]) -> dict[str, Any]:
+    def result(self, codes: dict[str, int]) -> dict[str, Any]:
+        """Figures of the run with the rules judged; `codes`: exit codes of processes that failed."""
         books = self.deployment.books
         rules = Rules(books.rule_terms(), lambda customer: customer)
-        broken = judge(sorted(books.records, key=lambda record: record[0]), rules)
-        told: dict[str, Any] = dict(books.figures())
-        told["served_share"] = round(told["served"] / max(told["tries"], 1), 4)
-        told["faults"] = dict(self.counts)
-        told["bad_ends"] = {name: code for name, code in codes.items()}
-        told["breaches"] = books.breaches[:10] + ([str(broken)] if broken is not None else [])
-        return told
+        breach = judge(sorted(books.records, key=lambda record: record[0]), rules)
+        result: dict[str, Any] = dict(books.figures())
+        result["served_share"] = round(result["served"] / max(result["tries"], 1), 4)
+        result["faults"] = dict(self.counts)
+        result["bad_ends"] = {name: code for name, code in codes.items()}
+        result["breaches"] = books.breaches[:10] + ([str(breach)] if breach is not None else [])
+        return result
 
     # faults
 
-    async def one(self, fault: FaultTable, began: float) -> None:
+    async def run_fault(self, fault: FaultTable, began: float) -> None:
+        """Waits for a fault's time, records it and applies it for its duration."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(max(began + fault.at - loop.time(), 0.0))
         self.counts[fault.what] += 1
-        self.on.append(fault)
+        self.active_faults.append(fault)
         for name in (*fault.who, *fault.ways):
             self.deployment.books.note(Fault(loop.time(), fault.what, name, fault.seconds))
         try:
-            if fault.what in WAY_VERBS:
-                await self.on_ways(fault)
+            if fault.what in LINK_FAULT_KINDS:
+                await self.apply_link_fault(fault)
             else:
-                await asyncio.gather(*(self.on_process(fault, name) for name in fault.who))
+                await asyncio.gather(*(self.apply_process_fault(fault, name) for name in fault.who))
         finally:
-            self.on.remove(fault)
+            self.active_faults.remove(fault)
 
-    async def on_ways(self, fault: FaultTable) -> None:
-        ways = [way for name in fault.ways for way in self.deployment.relays_of(name)]
-        laid = [(way, await way.add_fault(fault.trouble())) for way in ways]
+    async def apply_link_fault(self, fault: FaultTable) -> None:
+        """Adds the fault to its links' relays and removes it after its duration."""
+        relays = [relay for name in fault.ways for relay in self.deployment.relays_of(name)]
+        added = [(relay, await relay.add_fault(fault.link_fault())) for relay in relays]
         try:
             await asyncio.sleep(fault.seconds)
         finally:
-            for way, number in laid:
-                await way.remove_fault(number)
+            for relay, fault_id in added:
+                await relay.remove_fault(fault_id)
 
-    async def on_process(self, fault: FaultTable, name: str) -> None:
+    async def apply_process_fault(self, fault: FaultTable, name: str) -> None:
+        """Stops, starves, clones, kills or restarts one process."""
         deployment = self.deployment
         member = deployment.members[name]
         if fault.what == "stop":
@@ -163,15 +170,15 @@
                 await deployment.wait_ready(front)
 
     def disk(self, fault: FaultTable, name: str) -> None:
-        """What a process finds on its disk when it comes back."""
+        """Changes the state directory of a stopped process as the fault asks, before it starts again."""
         state = self.deployment.state_of(name)
         if fault.disk == "keep" or not state.exists():
             return
         if fault.disk == "old":
-            kept = state.with_name(f"{state.name}.old")
-            if kept.exists():
+            saved = state.with_name(f"{state.name}.old")
+            if saved.exists():
                 shutil.rmtree(state)
-                shutil.copytree(kept, state)
+                shutil.copytree(saved, state)
         elif fault.disk == "empty":
             shutil.rmtree(state)
         else:
@@ -181,14 +188,14 @@
                     file.truncate(max(size - 5, 0))
 
 
-def kept_text(scenario: Scenario, faults: list[FaultTable]) -> str:
-    """A scenario with its drawn faults written out, as TOML: what is played again."""
+def scenario_text(scenario: Scenario, faults: list[FaultTable]) -> str:
+    """A scenario as TOML with its drawn faults written out, to run the same faults again."""
     fixed = msgspec.structs.replace(scenario, drawn=[], faults=faults)
     return tomli_w.dumps(msgspec.to_builtins(fixed))
 
 
-def owned(deployment: Deployment) -> dict[str, str]:
-    """Which process holds which office, by the processes' own last words."""
+def office_holders(deployment: Deployment) -> dict[str, str]:
+    """Which process holds which office, by the processes' latest status reports."""
     found: dict[str, str] = {}
     for member in deployment.members.values():
         for office in member.status.get("offices", []):
--- a/tests/council/test_processes.py
+++ b/tests/council/test_processes.py
@@ -12,7 +12,7 @@
 from embersill.rig.billing import BillingBehaviour
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.ownership import judge_billing, listen, owner_of, wait_booked, wait_owner, wait_writer
-from embersill.rig.playing import COUNCIL, RULES
+from embersill.rig.playing import COUNCIL_TABLES, RULES
 from embersill.rig.relay import Direction, LinkFault, LinkFaultKind
 from embersill.rig.standins import Behaviour
 
@@ -37,7 +37,7 @@
                 rate=rate,
                 status_every=0.05,
                 behaviour=Behaviour(0.01, 0.03),
-                council_tables=COUNCIL,
+                council_tables=COUNCIL_TABLES,
                 relayed=RELAYED,
             )
         )
--- a/tests/rig/test_causes.py
+++ b/tests/rig/test_causes.py
@@ -9,7 +9,7 @@
 from embersill.rig.books import Asked, Books
 from embersill.rig.causes import UNTOLD, Causes, all_seeing
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import Play, shape_of
+from embersill.rig.playing import ScenarioRun, shape_of
 from embersill.rig.scenarios import FaultTable, Scenario, ShapeTable
 from embersill.rig.settings import lab_settings
 from embersill.throttle import Throttle
@@ -72,7 +72,7 @@
         async def listen(deployment: Deployment) -> None:
             heard.append(Causes(deployment))
 
-        figures = await Play(scenario, deployment).run(listen)
+        figures = await ScenarioRun(scenario, deployment).run(listen)
         assert not figures["breaches"] and not figures["bad_ends"]
         told.update(heard[0].table(), refused=figures["refused"])
 
--- a/tests/rig/test_playing.py
+++ b/tests/rig/test_playing.py
@@ -7,14 +7,14 @@
 import uvloop
 
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import Play, shape_of
+from embersill.rig.playing import ScenarioRun, shape_of
 from embersill.rig.scenarios import Scenario, read_scenario
 from embersill.world.records import Fault
 
 
-def played(scenario: Scenario) -> tuple[Play, dict[str, object]]:
-    async def test() -> tuple[Play, dict[str, object]]:
-        play = Play(scenario, Deployment(shape_of(scenario)))
+def played(scenario: Scenario) -> tuple[ScenarioRun, dict[str, object]]:
+    async def test() -> tuple[ScenarioRun, dict[str, object]]:
+        play = ScenarioRun(scenario, Deployment(shape_of(scenario)))
         async with asyncio.timeout(60.0):
             return play, await play.run()
 
--- a/tests/tiers/test_partition.py
+++ b/tests/tiers/test_partition.py
@@ -10,7 +10,7 @@
 
 from embersill.rig.causes import Causes
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import RULES, Play, shape_of
+from embersill.rig.playing import RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, FaultTable, Scenario, ShapeTable
 from embersill.rig.standins import Behaviour
 from tests.bed import run
@@ -86,7 +86,7 @@
             look(deployment)
         last.update({name: dict(member.status) for name, member in deployment.members.items()})
 
-    told = await Play(scenario, deployment).run(listen)
+    told = await ScenarioRun(scenario, deployment).run(listen)
     told["last"] = last
     told["causes"] = heard[0].table()
     assert not told["breaches"] and not told["bad_ends"], told
