--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -19,7 +19,7 @@
 
 from embersill.counting.bound import Case
 from embersill.counting.terms import Terms
-from embersill.rig.books import Asked
+from embersill.rig.books import ClientRequest
 from embersill.lab.counting.judge import EPOCH, Customer, Judge
 from embersill.lab.counting.standin import TroubledCounter
 from embersill.rig.deployment import Deployment, Shape
@@ -92,7 +92,7 @@
         self.deployment = Deployment(shape)
         self.deployment.counter_of = self.counter.address
         await self.deployment.start()
-        settings, books = read_settings(told), self.deployment.books
+        settings, books = read_settings(told), self.deployment.audit
         plans = {p.name: p for p in settings.plans}
         rng, clients, rate = random.Random(self.seed), [], 0.0
         for number in range(self.customers):
@@ -107,14 +107,14 @@
             settings, books, self.deployment.fronts, clients, rate, self.seed, uneven=0.6, turn_every=9.0
         )
         traffic.most_units = LARGEST
-        books.on_first = self.sent
+        books.on_first_attempt = self.sent
         traffic.on_answer = self.answered
 
-    def sent(self, asked: Asked, now: float) -> None:
+    def sent(self, asked: ClientRequest, now: float) -> None:
         self.judge.passed(asked.customer, asked.units, time.time())
         self.judge.asked(self.trouble_now())
 
-    def answered(self, asked: Asked, status: int) -> None:
+    def answered(self, asked: ClientRequest, status: int) -> None:
         if status == 429 and not asked.sent:
             trouble = self.trouble_now()
             self.judge.asked(trouble)
@@ -224,7 +224,7 @@
     kept, before = (side.told() for side in sides)
     for line in sides[0].deployment.logs():
         print(line, file=sys.stderr)
-    books = sides[0].deployment.books.figures()
+    books = sides[0].deployment.audit.figures()
     return {
         **kept,
         "seconds": seconds,
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -106,13 +106,13 @@
 
     deployment.stop = stop  # type: ignore[method-assign]
     figures = await player.run(meanwhile)
-    books = deployment.books
+    audit = deployment.audit
     told |= judge_billing(deployment.billing)
     told["served_share"] = figures["served_share"]
     told["faults"] = player.counts.total() + told.get("kills", 0)
     told["fault_kinds"] = dict(player.counts)
-    told["units_served"] = sum(asked.units for asked in books.tries.values() if asked.sent)
-    broken = judge(sorted(books.records, key=lambda r: r[0]), Rules(books.rule_terms(), lambda c: c))
+    told["units_served"] = sum(asked.units for asked in audit.requests.values() if asked.sent)
+    broken = judge(sorted(audit.records, key=lambda r: r[0]), Rules(audit.rule_terms(), lambda c: c))
     told["rule_breaches"] = sum(int(figures[rule]) for rule in RULES) + (broken is not None)
     told["bad_ends"] = figures["bad_ends"]
     return told
--- a/benchmarks/partition.py
+++ b/benchmarks/partition.py
@@ -17,7 +17,7 @@
 import msgspec
 import uvloop
 
-from embersill.rig.causes import Causes
+from embersill.rig.causes import RefusalCauses
 from embersill.rig.deployment import Deployment
 from embersill.rig.playing import RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, FaultTable, Scenario, ShapeTable
@@ -84,11 +84,11 @@
     made = Scenario(row, seed, seconds, 200.0, 0.0, shape, faults, drawn)
     deployment = Deployment(shape_of(made, status_every=0.1, tell_refusals=True, helpers=2))
     player = ScenarioRun(made, deployment)
-    causes: list[Causes] = []
+    causes: list[RefusalCauses] = []
     last: dict[str, Any] = {}
 
     async def listen(deployment: Deployment) -> None:
-        causes.append(Causes(deployment))
+        causes.append(RefusalCauses(deployment))
         await asyncio.sleep(seconds)
         last.update({name: dict(member.status) for name, member in deployment.members.items()})
 
--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -330,7 +330,7 @@
         codes = await deployment.stop()
     finally:
         deployment.close()
-    figures = deployment.books.figures()
+    figures = deployment.audit.figures()
     broken = {rule: figures[rule] for rule in RULES if figures[rule]}
     checks.expect(f"{label}: no rule broken", not broken, broken)
     checks.expect(f"{label}: ends in order", not codes, codes)
--- a/embersill/lab/__main__.py
+++ b/embersill/lab/__main__.py
@@ -34,8 +34,8 @@
 
 def table(deployment: Deployment, began: float, before: dict[str, float]) -> Table:
     """What clients got so far, what rules were broken, and who leads how much."""
-    books = deployment.books
-    figures, passed = books.figures(), time.monotonic() - began
+    audit = deployment.audit
+    figures, passed = audit.figures(), time.monotonic() - began
     shown = Table(title=f"embersill lab, {passed:.0f} s", title_justify="left")
     for column in ("process", "role", "state", "cpu s"):
         shown.add_column(column, justify="right" if column == "cpu s" else "left")
--- a/embersill/lab/faults.py
+++ b/embersill/lab/faults.py
@@ -26,7 +26,7 @@
 
 def table(play: ScenarioRun, began: float) -> Table:
     deployment = play.deployment
-    figures = deployment.books.figures()
+    figures = deployment.audit.figures()
     title = f"{play.scenario.name or 'scenario'}, {time.monotonic() - began:.0f} s"
     shown = Table(title=title, title_justify="left")
     for column in ("process", "role", "state"):
--- a/embersill/rig/books.py
+++ b/embersill/rig/books.py
@@ -1,4 +1,7 @@
-"""What really happened in a lab, and what the five rules say of it. No core sees any of this."""
+"""Audit of a deployment's traffic as clients and backends saw it, checked against the five rules.
+
+Nothing of it reaches the software under test.
+"""
 
 from __future__ import annotations
 
@@ -10,46 +13,47 @@
 from embersill.rig.settings import RULE_WORDS
 from embersill.rig.standins import Arrival
 from embersill.world.oracles import Ceiling, ClassTerms, RuleTerms
-from embersill.world.records import Answered, Dropped, Ended, Record, Told, Written
-from embersill.world.records import Asked as Asked_
+from embersill.world.records import Answered, Asked, Dropped, Ended, Record, Told, Written
 
-SLACK_TIME = 0.15  # seconds of a ceiling's rate that its slack is wider by on sockets
-GRACE = 0.55  # seconds after it was told that a drain must be kept, with the sockets' 50 ms
-ALL = "all"  # the processes of a deployment, which discovery tells at one moment
-MOST_RECORDS = 1_000_000  # of a trace: a long run keeps its beginning
-BEFORE = 0.05  # seconds that a refusal may have been decided before it is seen
+CEILING_SLACK_S = 0.15  # of a ceiling's rate, by which its slack is wider on sockets
+DRAIN_GRACE_S = 0.55  # after discovery announced a drain, including 50 ms for sockets
+ALL_PROCESSES = "all"  # in records: discovery informs all processes at the same moment
+MAX_RECORDS = 1_000_000  # a longer run keeps only its beginning
+OBSERVATION_LAG_S = 0.05  # a refusal may have been decided so long before it is seen
 
 
 @dataclass(slots=True)
-class Level:
-    """A token bucket as it really is, over all front machines."""
+class TokenBucket:
+    """The true token bucket of a customer, over all front processes."""
 
     depth: float
     rate: float
     level: float
-    when: float
+    updated_at: float
 
-    def at(self, now: float) -> float:
-        return min(self.depth, self.level + self.rate * (now - self.when))
+    def level_at(self, now: float) -> float:
+        """Units in the bucket at a time."""
+        return min(self.depth, self.level + self.rate * (now - self.updated_at))
 
     def take(self, units: float, now: float) -> float:
-        self.level, self.when = self.at(now) - units, now
+        """Takes units, below 0 if need be; returns the new level."""
+        self.level, self.updated_at = self.level_at(now) - units, now
         return self.level
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A try that was refused, and whether its customer had room by the books then."""
+    """A refused request, and whether its customer's true quota and ceiling had room for it then."""
 
-    when: float
-    asked: Asked
+    time: float
+    request: ClientRequest
     quota_left: bool
     ceiling_left: bool
 
 
 @dataclass(slots=True)
-class Asked:
-    """One try of a client."""
+class ClientRequest:
+    """One request of a client, with what became of it."""
 
     call_id: str
     klass: str
@@ -57,181 +61,220 @@
     customer: str
     units: float
     front: str
-    at: float
-    end: float
+    sent_at: float
+    deadline: float
     answers: int = 0
-    lost_with: bool = False  # its front machine was killed: it is the client's to retry
-    runs: list[tuple[str, float]] = field(default_factory=list)
+    front_killed: bool = False  # its front process was killed, so the retry is up to the client
+    runs: list[tuple[str, float]] = field(default_factory=list)  # backend and time of each execution
     sent: bool = False
-    written: int = 0  # attempts that came whole
+    attempt_count: int = 0  # attempts that backends received completely
+
 
+class TrafficAudit:
+    """Records requests and attempts, counts breaches of the rules, and keeps the true token buckets."""
 
-class Books:
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.plans: dict[str, Plan] = {p.name: p for p in settings.plans}
         self.classes = {c.name: c for c in settings.classes}
-        self.tries: dict[str, Asked] = {}
-        self.ceilings: dict[str, Level] = {}
-        self.quotas: dict[str, Level] = {}
+        self.requests: dict[str, ClientRequest] = {}
+        self.ceilings: dict[str, TokenBucket] = {}
+        self.quotas: dict[str, TokenBucket] = {}
         self.drained: dict[str, float] = {}
         self.cells: dict[str, int] = {}
         self.counts: Counter[str] = Counter()
         self.latencies: list[float] = []
         self.refusals: list[Refusal] = []
         self.ceiling_lowest = 0.0
-        self.units = self.beyond_quota = 0.0  # of plans with a quota: sent on, and of them beyond it
+        self.units = self.beyond_quota = (
+            0.0  # of plans with a quota: units sent on, and those beyond the quota
+        )
         self.breaches: list[str] = []
-        self.on_first: Callable[[Asked, float], None] = lambda asked, now: None  # sent on for the first time
-        self.records: list[Record] = []  # the same as a trace, for checkers that know nothing of this one
-        self.numbers: dict[str, int] = {}  # call ids as the trace has them
-
-    def note(self, record: Record) -> None:
-        if len(self.records) < MOST_RECORDS:
+        # called with the first attempt of each request
+        self.on_first_attempt: Callable[[ClientRequest, float], None] = lambda request, now: None
+        self.records: list[Record] = []  # the same as a trace, for independent checkers
+        self.call_numbers: dict[str, int] = {}  # numbers of calls in the trace, by call id
+
+    def add_record(self, record: Record) -> None:
+        """Appends to the trace, up to MAX_RECORDS."""
+        if len(self.records) < MAX_RECORDS:
             self.records.append(record)
 
     def rule_terms(self) -> RuleTerms:
-        """The rules on sockets, for whoever judges `records`: it is known what came, not what is out."""
+        """Terms for judging `records` of a deployment on sockets.
+
+        There, attempts are known by their arrival, and not while they are in flight.
+        """
         return RuleTerms(
             classes={
-                c.name: ClassTerms(RULE_WORDS[c.repeats], c.memory + BEFORE) for c in self.settings.classes
+                c.name: ClassTerms(RULE_WORDS[c.repeats], c.memory + OBSERVATION_LAG_S)
+                for c in self.settings.classes
             },
             ceilings={
-                p.name: Ceiling(p.ceiling_rate, p.ceiling_depth, self.slack(p))
+                p.name: Ceiling(p.ceiling_rate, p.ceiling_depth, self.ceiling_slack(p))
                 for p in self.settings.plans
                 if p.ceiling_rate > 0
             },
             max_attempts=self.settings.max_attempts,
             second_copies=True,
-            drain_grace=GRACE,
-            late_by=BEFORE,
+            drain_grace=DRAIN_GRACE_S,
+            late_by=OBSERVATION_LAG_S,
         )
 
-    def slack(self, plan: Plan) -> float:
-        return max(0.1 * plan.ceiling_depth, self.settings.most_units) + SLACK_TIME * plan.ceiling_rate
+    def ceiling_slack(self, plan: Plan) -> float:
+        """Units by which a ceiling may be exceeded."""
+        return max(0.1 * plan.ceiling_depth, self.settings.most_units) + CEILING_SLACK_S * plan.ceiling_rate
 
-    def drains(self, backend: str, now: float) -> None:
+    def backend_draining(self, backend: str, now: float) -> None:
+        """Discovery has announced that a backend drains."""
         self.drained[backend] = now
-        self.note(Told(now, ALL, backend, False))
+        self.add_record(Told(now, ALL_PROCESSES, backend, False))
 
-    def serves(self, backend: str, now: float) -> None:
+    def backend_serving(self, backend: str, now: float) -> None:
+        """Discovery is about to announce that a backend serves again."""
         self.drained.pop(backend, None)
-        self.note(Told(now, ALL, backend, True))
+        self.add_record(Told(now, ALL_PROCESSES, backend, True))
 
-    def breach(self, rule: str, text: str) -> None:
+    def report_breach(self, rule: str, text: str) -> None:
+        """Counts a breach of a rule; the first 100 are kept with their text."""
         self.counts[rule] += 1
         if len(self.breaches) < 100:
             self.breaches.append(f"{rule}: {text}")
 
     # clients
 
-    def asked(self, asked: Asked) -> None:
+    def request_sent(self, request: ClientRequest) -> None:
+        """A client sends a request."""
         self.counts["tries"] += 1
-        self.tries[asked.call_id] = asked
-        number = self.numbers[asked.call_id] = len(self.numbers) + 1
-        self.note(
-            Asked_(
-                asked.at, number, asked.klass, asked.plan, asked.customer, asked.units, asked.front, asked.end
+        self.requests[request.call_id] = request
+        number = self.call_numbers[request.call_id] = len(self.call_numbers) + 1
+        self.add_record(
+            Asked(
+                request.sent_at,
+                number,
+                request.klass,
+                request.plan,
+                request.customer,
+                request.units,
+                request.front,
+                request.deadline,
             )
         )
 
-    def answered(self, asked: Asked, status: int, body: bytes, now: float) -> None:
-        asked.answers += 1
-        how = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
-        self.note(Answered(now, self.numbers[asked.call_id], how))
-        if asked.answers > 1:
-            return self.breach("answers_two", asked.call_id)
+    def answer_received(self, request: ClientRequest, status: int, body: bytes, now: float) -> None:
+        """A client receives an answer: the only one, its own, and no refusal of what has run."""
+        request.answers += 1
+        outcome = "served" if status == 200 else "refused" if status in (429, 503) else "failed"
+        self.add_record(Answered(now, self.call_numbers[request.call_id], outcome))
+        if request.answers > 1:
+            return self.report_breach("answers_two", request.call_id)
         if status == 200:
-            if body[: len(asked.call_id)] != asked.call_id.encode():
-                self.breach("answers_wrong", asked.call_id)
+            if body[: len(request.call_id)] != request.call_id.encode():
+                self.report_breach("answers_wrong", request.call_id)
             self.counts["served"] += 1
-            self.latencies.append(now - asked.at)
+            self.latencies.append(now - request.sent_at)
         elif status in (429, 503):
             self.counts["refused"] += 1
-            klass = self.classes[asked.klass]
-            if asked.runs and klass.repeats is not Repeats.SAFE:
-                self.breach("refused_after_run", asked.call_id)
-            plan, ceiling = self.plans[asked.plan], self.ceilings.get(asked.customer)
-            quota_left = plan.rate <= 0 or self.quota(asked, plan, now).at(now - BEFORE) >= asked.units
+            klass = self.classes[request.klass]
+            if request.runs and klass.repeats is not Repeats.SAFE:
+                self.report_breach("refused_after_run", request.call_id)
+            plan, ceiling = self.plans[request.plan], self.ceilings.get(request.customer)
+            quota_left = (
+                plan.rate <= 0
+                or self.quota(request, plan, now).level_at(now - OBSERVATION_LAG_S) >= request.units
+            )
             if plan.rate > 0 and quota_left:
                 self.counts["refused_with_quota_left"] += 1
-            if len(self.refusals) < MOST_RECORDS:
+            if len(self.refusals) < MAX_RECORDS:
                 self.refusals.append(
                     Refusal(
-                        now, asked, quota_left, ceiling is None or ceiling.at(now - BEFORE) >= asked.units
+                        now,
+                        request,
+                        quota_left,
+                        ceiling is None or ceiling.level_at(now - OBSERVATION_LAG_S) >= request.units,
                     )
                 )
         else:
             self.counts["failed"] += 1
         return None
 
-    def unanswered(self, asked: Asked) -> None:
-        """Its time is up, or its connection ended."""
-        if asked.answers:
+    def request_unanswered(self, request: ClientRequest) -> None:
+        """A request ends without an answer: its time is up or its connection was closed."""
+        if request.answers:
             return
-        asked.answers = 1
-        if asked.lost_with:
-            self.note(Dropped(asked.at, self.numbers[asked.call_id]))
+        request.answers = 1
+        if request.front_killed:
+            self.add_record(Dropped(request.sent_at, self.call_numbers[request.call_id]))
             self.counts["with_a_killed_front"] += 1
         else:
-            self.breach("answers_none", f"{asked.call_id} {asked.klass} at {asked.front}")
+            self.report_breach("answers_none", f"{request.call_id} {request.klass} at {request.front}")
 
     # backends
 
-    def arrived(self, arrival: Arrival, runs: bool) -> None:
+    def attempt_arrived(self, arrival: Arrival, executed: bool) -> None:
+        """A backend has received an attempt; `executed`: it runs it and doesn't reject it."""
         self.counts["attempts"] += 1
-        asked = self.tries.get(arrival.call_id)
-        if asked is None:
-            return self.breach("unknown_sent", arrival.call_id)
-        since = self.drained.get(arrival.backend)
-        if since is not None and arrival.first_byte > since + GRACE:
-            self.breach("late_drain_sends", f"{arrival.backend} {arrival.first_byte - since:.3f} s")
-        number, place = self.numbers[arrival.call_id], asked.written
-        asked.written += 1
+        request = self.requests.get(arrival.call_id)
+        if request is None:
+            return self.report_breach("unknown_sent", arrival.call_id)
+        drained_at = self.drained.get(arrival.backend)
+        if drained_at is not None and arrival.first_byte > drained_at + DRAIN_GRACE_S:
+            self.report_breach(
+                "late_drain_sends", f"{arrival.backend} {arrival.first_byte - drained_at:.3f} s"
+            )
+        number, attempt_index = self.call_numbers[arrival.call_id], request.attempt_count
+        request.attempt_count += 1
         group = str(self.cells.get(arrival.backend, 0))
-        self.note(Written(arrival.first_byte, number, place, arrival.backend, group, (ALL,)))
-        self.note(Ended(arrival.whole, number, place, "", not runs))
-        if not asked.sent:
-            asked.sent = True
-            self.on_first(asked, arrival.whole)
-            self.first(asked, arrival.whole)
-        if not runs:
+        self.add_record(
+            Written(arrival.first_byte, number, attempt_index, arrival.backend, group, (ALL_PROCESSES,))
+        )
+        self.add_record(Ended(arrival.whole, number, attempt_index, "", not executed))
+        if not request.sent:
+            request.sent = True
+            self.on_first_attempt(request, arrival.whole)
+            self.charge(request, arrival.whole)
+        if not executed:
             return None
-        klass = self.classes[asked.klass]
-        if asked.runs:
+        klass = self.classes[request.klass]
+        if request.runs:
             self.counts["repeats"] += 1
             if klass.repeats is Repeats.ONCE:
-                self.breach("unsafe_twice", f"{asked.call_id} at {asked.runs[0][0]} and {arrival.backend}")
+                self.report_breach(
+                    "unsafe_twice", f"{request.call_id} at {request.runs[0][0]} and {arrival.backend}"
+                )
             elif klass.repeats is Repeats.BY_KEY:
-                cells = {self.cells[name] for name, _ in asked.runs} | {self.cells[arrival.backend]}
-                if len(cells) > 1 or arrival.whole - asked.runs[0][1] > klass.memory:
-                    self.breach("keyed_twice", asked.call_id)
-        asked.runs.append((arrival.backend, arrival.whole))
+                cells = {self.cells[name] for name, _ in request.runs} | {self.cells[arrival.backend]}
+                if len(cells) > 1 or arrival.whole - request.runs[0][1] > klass.memory:
+                    self.report_breach("keyed_twice", request.call_id)
+        request.runs.append((arrival.backend, arrival.whole))
         return None
 
-    def quota(self, asked: Asked, plan: Plan, now: float) -> Level:
-        return self.quotas.setdefault(asked.customer, Level(plan.burst, plan.rate, plan.burst, now))
+    def quota(self, request: ClientRequest, plan: Plan, now: float) -> TokenBucket:
+        """The true quota of a request's customer, full at its first use."""
+        return self.quotas.setdefault(request.customer, TokenBucket(plan.burst, plan.rate, plan.burst, now))
 
-    def first(self, asked: Asked, now: float) -> None:
-        plan = self.plans[asked.plan]
+    def charge(self, request: ClientRequest, now: float) -> None:
+        """Takes a request's units from its customer's buckets, with its first attempt."""
+        plan = self.plans[request.plan]
         if plan.rate > 0:
-            self.units += asked.units
-            quota = self.quota(asked, plan, now)
-            if quota.take(asked.units, now) < 0:  # beyond the quota, whose debt does not add up
+            self.units += request.units
+            quota = self.quota(request, plan, now)
+            if quota.take(request.units, now) < 0:  # beyond the quota; the debt does not accumulate
                 self.beyond_quota -= quota.level
                 quota.level = 0.0
         if plan.ceiling_rate > 0:
             ceiling = self.ceilings.setdefault(
-                asked.customer, Level(plan.ceiling_depth, plan.ceiling_rate, plan.ceiling_depth, now)
+                request.customer, TokenBucket(plan.ceiling_depth, plan.ceiling_rate, plan.ceiling_depth, now)
             )
-            left = ceiling.take(asked.units, now)
+            left = ceiling.take(request.units, now)
             self.ceiling_lowest = min(self.ceiling_lowest, left)
-            if left < -self.slack(plan):
-                self.breach("ceiling_over_slack", f"{asked.customer} {-left:.2f}")
+            if left < -self.ceiling_slack(plan):
+                self.report_breach("ceiling_over_slack", f"{request.customer} {-left:.2f}")
 
     # figures
 
     def figures(self) -> dict[str, float]:
+        """Counts, breaches by rule, and latencies."""
         names = (
             "tries",
             "served",
@@ -250,10 +293,10 @@
             "late_drain_sends",
             "ceiling_over_slack",
         )
-        told: dict[str, float] = {name: self.counts[name] for name in names}
+        figures: dict[str, float] = {name: self.counts[name] for name in names}
         ordered = sorted(self.latencies)
-        for name, part in (("median_ms", 0.5), ("p99_ms", 0.99)):
-            told[name] = round(1000 * ordered[int(part * (len(ordered) - 1))], 2) if ordered else 0.0
-        told["beyond_quota_share"] = round(self.beyond_quota / max(self.units, 1.0), 4)
-        told["ceiling_lowest"] = round(self.ceiling_lowest, 2)
-        return told
+        for name, fraction in (("median_ms", 0.5), ("p99_ms", 0.99)):
+            figures[name] = round(1000 * ordered[int(fraction * (len(ordered) - 1))], 2) if ordered else 0.0
+        figures["beyond_quota_share"] = round(self.beyond_quota / max(self.units, 1.0), 4)
+        figures["ceiling_lowest"] = round(self.ceiling_lowest, 2)
+        return figures
--- a/embersill/rig/deployment.py
+++ b/embersill/rig/deployment.py
@@ -18,7 +18,7 @@
 
 from embersill.interface import Settings
 from embersill.rig.billing import StandInBilling
-from embersill.rig.books import Books
+from embersill.rig.books import TrafficAudit
 from embersill.rig.processes import Member, free_ports
 from embersill.rig.relay import Relay
 from embersill.rig.scenarios import Topology
@@ -68,7 +68,7 @@
         self.random = random.Random(shape.seed)
         self.object = shape.settings or settings_object(shape.fronts)
         self.settings: Settings = read_settings(self.object)
-        self.books = Books(self.settings)
+        self.audit = TrafficAudit(self.settings)
         self.discovery, self.counter, self.billing = StandInDiscovery(), StandInCounter(), StandInBilling()
         self.backends = [
             StandInBackend(f"b{n}", shape.behaviour, shape.seed, self.arrived) for n in range(shape.backends)
@@ -97,7 +97,7 @@
         )
 
     def arrived(self, arrival: Arrival, runs: bool) -> None:
-        self.books.arrived(arrival, runs)
+        self.audit.attempt_arrived(arrival, runs)
 
     async def start(self) -> None:
         shape = self.shape
@@ -106,7 +106,7 @@
         for n, backend in enumerate(self.backends):
             zone = self.topology.zone_of(backend.name) or "z"
             self.discovery.entries[backend.name] = self.discovery.entry(backend, n % 2, zone=zone)
-            self.books.cells[backend.name] = n % 2
+            self.audit.cells[backend.name] = n % 2
         ports = free_ports(shape.fronts)
         self.fronts = [Front(f"g{n}", port, idle=[]) for n, port in enumerate(ports)]
         await self.start_relays()
@@ -117,7 +117,7 @@
         await asyncio.gather(*(self.members[front.name].start() for front in self.fronts))
         await asyncio.gather(*(self.wait_ready(front) for front in self.fronts))
         self.traffic = Traffic(
-            self.settings, self.books, self.fronts, self.customers(), shape.rate, shape.seed
+            self.settings, self.audit, self.fronts, self.customers(), shape.rate, shape.seed
         )
 
     # ways
@@ -339,18 +339,18 @@
         await asyncio.gather(*tasks)
 
     async def kill_and_restart(self, member: Member, down: float) -> None:
-        self.books.counts["planner_kills"] += 1
+        self.audit.counts["planner_kills"] += 1
         await member.kill()
         await asyncio.sleep(down)
         await member.start()
 
     async def pause(self, member: Member, seconds: float) -> None:
-        self.books.counts["planner_pauses"] += 1
+        self.audit.counts["planner_pauses"] += 1
         await member.pause(seconds)
 
     async def restart_front(self, front: Front, down: float) -> None:
         """Kills a front machine; what it held is its clients' to retry."""
-        self.books.counts["front_kills"] += 1
+        self.audit.counts["front_kills"] += 1
         front.up = False
         await self.members[front.name].kill()
         await asyncio.sleep(down)
@@ -365,10 +365,10 @@
             place = turn % len(self.backends)
             backend = self.backends[place]
             await self.discovery.set(self.discovery.changed_entry(backend.name, "DRAINING"))
-            self.books.drains(backend.name, loop.time())
-            self.books.counts["drains"] += 1
+            self.audit.backend_draining(backend.name, loop.time())
+            self.audit.counts["drains"] += 1
             await asyncio.sleep(every)
-            self.books.serves(backend.name, loop.time())
+            self.audit.backend_serving(backend.name, loop.time())
             await self.discovery.set(self.discovery.changed_entry(backend.name, "SERVING"))
             turn += 1
 
@@ -430,13 +430,13 @@
         codes = await deployment.stop()
     finally:
         deployment.close()
-    counts = deployment.books.counts
-    told: dict[str, Any] = deployment.books.figures()
+    counts = deployment.audit.counts
+    told: dict[str, Any] = deployment.audit.figures()
     for name in ("planner_kills", "planner_pauses", "front_kills", "drains", "no_front"):
         if counts[name]:
             told[name] = counts[name]
     told["bad_ends"] = codes
-    told["breaches"] = deployment.books.breaches[:10]
+    told["breaches"] = deployment.audit.breaches[:10]
     return told
 
 
--- a/embersill/rig/playing.py
+++ b/embersill/rig/playing.py
@@ -102,14 +102,14 @@
 
     def result(self, codes: dict[str, int]) -> dict[str, Any]:
         """Figures of the run with the rules judged; `codes`: exit codes of processes that failed."""
-        books = self.deployment.books
-        rules = Rules(books.rule_terms(), lambda customer: customer)
-        breach = judge(sorted(books.records, key=lambda record: record[0]), rules)
-        result: dict[str, Any] = dict(books.figures())
+        audit = self.deployment.audit
+        rules = Rules(audit.rule_terms(), lambda customer: customer)
+        breach = judge(sorted(audit.records, key=lambda record: record[0]), rules)
+        result: dict[str, Any] = dict(audit.figures())
         result["served_share"] = round(result["served"] / max(result["tries"], 1), 4)
         result["faults"] = dict(self.counts)
         result["bad_ends"] = {name: code for name, code in codes.items()}
-        result["breaches"] = books.breaches[:10] + ([str(breach)] if breach is not None else [])
+        result["breaches"] = audit.breaches[:10] + ([str(breach)] if breach is not None else [])
         return result
 
     # faults
@@ -121,7 +121,7 @@
         self.counts[fault.what] += 1
         self.active_faults.append(fault)
         for name in (*fault.who, *fault.ways):
-            self.deployment.books.note(Fault(loop.time(), fault.what, name, fault.seconds))
+            self.deployment.audit.add_record(Fault(loop.time(), fault.what, name, fault.seconds))
         try:
             if fault.what in LINK_FAULT_KINDS:
                 await self.apply_link_fault(fault)
--- a/embersill/rig/traffic.py
+++ b/embersill/rig/traffic.py
@@ -11,7 +11,7 @@
 import httptools
 
 from embersill.interface import Repeats, Settings
-from embersill.rig.books import Asked, Books
+from embersill.rig.books import ClientRequest, TrafficAudit
 from embersill.rig.standins import HOST
 
 AFTER_END = 0.25  # seconds past a try's end for which its answer is still waited for
@@ -41,7 +41,7 @@
     def __init__(self, traffic: Traffic, front: Front) -> None:
         self.traffic, self.front = traffic, front
         self.transport: asyncio.Transport | None = None
-        self.asked: Asked | None = None
+        self.request: ClientRequest | None = None
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self.body: list[bytes] = []
         self.timer: asyncio.TimerHandle | None = None
@@ -49,25 +49,25 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, asked: Asked, text: bytes) -> None:
+    def ask(self, request: ClientRequest, text: bytes) -> None:
         assert self.transport is not None
-        self.asked, self.body = asked, []
+        self.request, self.body = request, []
         loop = self.traffic.loop
-        self.timer = loop.call_later(max(asked.end - loop.time(), 0.0) + AFTER_END, self.out_of_time)
+        self.timer = loop.call_later(max(request.deadline - loop.time(), 0.0) + AFTER_END, self.out_of_time)
         self.transport.write(text)
 
     def out_of_time(self) -> None:
-        asked, self.asked = self.asked, None
-        if asked is not None:
-            self.traffic.books.unanswered(asked)
+        request, self.request = self.request, None
+        if request is not None:
+            self.traffic.audit.request_unanswered(request)
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
         if self.parser is None:
             return
-        if self.asked is None:  # more than the one answer
-            self.traffic.books.breach("answers_two", f"surplus at {self.front.name}")
+        if self.request is None:  # more than the one answer
+            self.traffic.audit.report_breach("answers_two", f"surplus at {self.front.name}")
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -81,13 +81,13 @@
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        asked, self.asked = self.asked, None
-        if asked is None or self.parser is None:
+        request, self.request = self.request, None
+        if request is None or self.parser is None:
             return
         if self.timer is not None:
             self.timer.cancel()
         keep = self.parser.should_keep_alive()
-        self.traffic.answered(asked, self.parser.get_status_code(), b"".join(self.body))
+        self.traffic.answered(request, self.parser.get_status_code(), b"".join(self.body))
         idle = self.front.idle
         if keep and idle is not None and len(idle) < MOST_IDLE:
             idle.append(self)
@@ -100,10 +100,10 @@
             self.timer.cancel()
         if self.front.idle is not None and self in self.front.idle:
             self.front.idle.remove(self)
-        asked, self.asked = self.asked, None
-        if asked is not None:
-            asked.lost_with = asked.lost_with or not self.front.up
-            self.traffic.books.unanswered(asked)
+        request, self.request = self.request, None
+        if request is not None:
+            request.front_killed = request.front_killed or not self.front.up
+            self.traffic.audit.request_unanswered(request)
 
 
 class Traffic:
@@ -112,7 +112,7 @@
     def __init__(
         self,
         settings: Settings,
-        books: Books,
+        audit: TrafficAudit,
         fronts: list[Front],
         customers: list[Customer],
         rate: float,
@@ -121,7 +121,7 @@
         turn_every: float = 8.0,
     ) -> None:
         """`uneven`: part of a customer's tries that come through its busiest front, which changes in turn."""
-        self.settings, self.books, self.fronts, self.customers = settings, books, fronts, customers
+        self.settings, self.audit, self.fronts, self.customers = settings, audit, fronts, customers
         self.rate, self.uneven, self.turn_every = rate, uneven, turn_every
         self.random = random.Random(seed)
         self.loop = asyncio.get_running_loop()
@@ -129,7 +129,7 @@
         self.weights = [c.weight for c in customers]
         self.made = 0
         self.tasks: set[asyncio.Task[None]] = set()
-        self.on_answer: Callable[[Asked, int], None] = lambda asked, status: None
+        self.on_answer: Callable[[ClientRequest, int], None] = lambda request, status: None
         self.most_units = 3
 
     async def run(self, seconds: float) -> None:
@@ -144,7 +144,7 @@
     async def drained(self, at_most: float) -> None:
         """Waits until every try has its end."""
         end = self.loop.time() + at_most
-        while self.loop.time() < end and any(not a.answers for a in self.books.tries.values()):
+        while self.loop.time() < end and any(not a.answers for a in self.audit.requests.values()):
             await asyncio.sleep(0.02)
 
     def pick_front(self, customer: Customer) -> list[Front]:
@@ -167,7 +167,7 @@
             if connection is None:
                 continue
             now = self.loop.time()
-            asked = Asked(
+            request = ClientRequest(
                 call_id,
                 klass.name,
                 customer.plan,
@@ -177,9 +177,9 @@
                 now,
                 now + budget,
             )
-            self.books.asked(asked)
-            return connection.ask(asked, request_text(asked, klass.repeats, budget, customer))
-        self.books.counts["no_front"] += 1
+            self.audit.request_sent(request)
+            return connection.ask(request, request_text(request, klass.repeats, budget, customer))
+        self.audit.counts["no_front"] += 1
         return None
 
     async def connect(self, front: Front) -> ClientConnection | None:
@@ -196,25 +196,25 @@
             return None
         return connection
 
-    def answered(self, asked: Asked, status: int, body: bytes) -> None:
-        self.books.answered(asked, status, body, self.loop.time())
-        self.on_answer(asked, status)
+    def answered(self, request: ClientRequest, status: int, body: bytes) -> None:
+        self.audit.answer_received(request, status, body, self.loop.time())
+        self.on_answer(request, status)
 
 
-def request_text(asked: Asked, repeats: Repeats, budget: float, customer: Customer) -> bytes:
+def request_text(request: ClientRequest, repeats: Repeats, budget: float, customer: Customer) -> bytes:
     """The try by the platform's protocol."""
     get = repeats is Repeats.SAFE
     lines = [
-        f"{'GET' if get else 'POST'} /api?client={asked.customer} HTTP/1.1",
+        f"{'GET' if get else 'POST'} /api?client={request.customer} HTTP/1.1",
         "Host: backend.local",
-        f"X-Call-Id: {asked.call_id}",
-        f"X-Call-Class: {asked.klass}",
-        f"Plan: {asked.plan}",
+        f"X-Call-Id: {request.call_id}",
+        f"X-Call-Class: {request.klass}",
+        f"Plan: {request.plan}",
         f"X-Budget: {budget:.3f}",
-        f"Quota-Info: units={asked.units:g},spread={customer.spread},first={customer.first}",
+        f"Quota-Info: units={request.units:g},spread={customer.spread},first={customer.first}",
     ]
     if repeats is Repeats.BY_KEY:
-        lines.append(f"Idempotency-Key: k{asked.call_id}")
+        lines.append(f"Idempotency-Key: k{request.call_id}")
     if not get:
         lines.append("Content-Length: 10")
     return "\r\n".join([*lines, "", ""]).encode() + (b"" if get else b"typed text")
--- a/tests/council/test_processes.py
+++ b/tests/council/test_processes.py
@@ -55,7 +55,7 @@
                 codes = await deployment.stop()
         finally:
             deployment.close()
-        figures = deployment.books.figures()
+        figures = deployment.audit.figures()
         assert not codes and not {rule: figures[rule] for rule in RULES if figures[rule]}, figures
         told = judge_billing(deployment.billing)
         assert told["owners_at_once_most"] == 1 and told["appends"] > 0, told
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -426,9 +426,9 @@
                 await until_led(deployment, planners)
                 await deployment.traffic.run(1.0)
                 await deployment.traffic.drained(SOON)
-                told = deployment.books.figures()
+                told = deployment.audit.figures()
                 assert told["answers_none"] == 0 and told["served"] > 0
-                pro = [t for t in deployment.books.tries.values() if t.plan == "pro"]
+                pro = [t for t in deployment.audit.requests.values() if t.plan == "pro"]
                 assert len(limiter.asked) == len(pro) > 0
 
     run(test)
--- a/tests/rig/test_playing.py
+++ b/tests/rig/test_playing.py
@@ -55,7 +55,7 @@
     ways = play.deployment.relays.values()
     assert len(ways) == 3 * (2 + 4) and all(way.counts["connections"] for way in ways)
     assert sum(way.counts["reset"] for way in ways) or not play.counts["cut"]
-    records = [record for record in play.deployment.books.records if isinstance(record, Fault)]
+    records = [record for record in play.deployment.audit.records if isinstance(record, Fault)]
     assert len(records) == sum(len(fault.ways) + len(fault.who) for fault in play.faults)
 
 
--- a/tests/tiers/test_links.py
+++ b/tests/tiers/test_links.py
@@ -231,15 +231,15 @@
         deployment = Deployment(shape())
         told = await played(deployment, 7.0, trouble_every=1.2, drain_every=0.7)
         assert not broken(told) and not told["bad_ends"], told
-        assert deployment.books.counts["planner_kills"] and deployment.books.counts["planner_pauses"]
+        assert deployment.audit.counts["planner_kills"] and deployment.audit.counts["planner_pauses"]
         # and by the simulation's checkers, on what clients and backends saw
-        books = deployment.books
-        rules = Rules(books.rule_terms(), lambda customer: customer)
-        assert judge(sorted(books.records, key=lambda record: record[0]), rules) is None
-        assert rules.ceilings.lowest < 48.0 and len(books.records) > 1000
-        runs = [record for record in books.records if isinstance(record, Written)]
+        audit = deployment.audit
+        rules = Rules(audit.rule_terms(), lambda customer: customer)
+        assert judge(sorted(audit.records, key=lambda record: record[0]), rules) is None
+        assert rules.ceilings.lowest < 48.0 and len(audit.records) > 1000
+        runs = [record for record in audit.records if isinstance(record, Written)]
         again = runs[-1]._replace(attempt=99, at=runs[-1].at + 9.0)
-        assert judge([*books.records, again, again], Rules(books.rule_terms())) is not None
+        assert judge([*audit.records, again, again], Rules(audit.rule_terms())) is not None
         assert told["served"] > 0.8 * told["tries"]  # type: ignore[operator]
         assert not list(deployment.logs())
 
@@ -254,16 +254,16 @@
             traffic = asyncio.create_task(deployment.traffic.run(5.0))
             await asyncio.sleep(1.0)
             await asyncio.gather(*(member.kill() for member in deployment.planners()))
-            served = deployment.books.counts["served"]
+            served = deployment.audit.counts["served"]
             await asyncio.sleep(2.0)
-            assert deployment.books.counts["served"] > served + 40
+            assert deployment.audit.counts["served"] > served + 40
             await asyncio.gather(*(member.start() for member in deployment.planners()))
             await traffic
             await deployment.traffic.drained(SOON)
             codes = await deployment.stop()
         finally:
             deployment.close()
-        told = deployment.books.figures()
+        told = deployment.audit.figures()
         assert not broken({**told}) and not codes, told
 
     runs(test())
@@ -284,7 +284,7 @@
             codes = await deployment.stop()
         finally:
             deployment.close()
-        told = deployment.books.figures()
+        told = deployment.audit.figures()
         assert not broken({**told}) and not codes, told
         assert told["failed"] <= 0.05 * told["tries"]
 
--- a/tests/tiers/test_partition.py
+++ b/tests/tiers/test_partition.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from embersill.rig.causes import Causes
+from embersill.rig.causes import RefusalCauses
 from embersill.rig.deployment import Deployment
 from embersill.rig.playing import RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, FaultTable, Scenario, ShapeTable
@@ -74,12 +74,12 @@
             terms=terms or {},
         )
     )
-    heard: list[Causes] = []
+    heard: list[RefusalCauses] = []
     last: dict[str, dict[str, Any]] = {}
 
     async def listen(deployment: Deployment) -> None:
         loop = asyncio.get_running_loop()
-        heard.append(Causes(deployment))
+        heard.append(RefusalCauses(deployment))
         end = loop.time() + seconds - 0.2
         while loop.time() < end:
             await asyncio.sleep(0.05)
