--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -24,7 +24,7 @@
 from embersill.lab.counting.standin import TroubledCounter
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.settings import settings_object
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 from embersill.rig.traffic import Customer as Client
 from embersill.rig.traffic import Traffic
 from embersill.settings import read_settings
@@ -86,13 +86,13 @@
             seed=self.seed,
             settings=told,
             customers=0,
-            behaviour=Behaviour(0.005, 0.02),
+            behaviour=BackendBehaviour(0.005, 0.02),
             operator="[counting]\n" if self.keeper else "",
         )
         self.deployment = Deployment(shape)
         self.deployment.counter_of = self.counter.address
         await self.deployment.start()
-        settings, books = read_settings(told), self.deployment.audit
+        settings, audit = read_settings(told), self.deployment.audit
         plans = {p.name: p for p in settings.plans}
         rng, clients, rate = random.Random(self.seed), [], 0.0
         for number in range(self.customers):
@@ -104,10 +104,17 @@
             name = f"{0xc000 + number:016x}"
             self.judge.add(name, Customer(case, plan.ceiling_rate, plan.ceiling_depth), time.time())
         self.deployment.traffic = traffic = Traffic(
-            settings, books, self.deployment.fronts, clients, rate, self.seed, uneven=0.6, turn_every=9.0
+            settings,
+            audit,
+            self.deployment.fronts,
+            clients,
+            rate,
+            self.seed,
+            busiest_share=0.6,
+            rotation_period_s=9.0,
         )
-        traffic.most_units = LARGEST
-        books.on_first_attempt = self.sent
+        traffic.max_units = LARGEST
+        audit.on_first_attempt = self.sent
         traffic.on_answer = self.answered
 
     def sent(self, asked: ClientRequest, now: float) -> None:
@@ -215,7 +222,7 @@
         await asyncio.gather(
             *(side.deployment.traffic.run(seconds) for side in sides), trouble_both(sides, seed, seconds)
         )
-        await asyncio.gather(*(side.deployment.traffic.drained(13.0) for side in sides))
+        await asyncio.gather(*(side.deployment.traffic.wait_answered(13.0) for side in sides))
         ends = [await side.deployment.stop() for side in sides]
     finally:
         for side in sides:
--- a/benchmarks/ordinary_path.py
+++ b/benchmarks/ordinary_path.py
@@ -26,7 +26,7 @@
 from benchmarks.tiers import say
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.processes import processor_time, resident_kb
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 
 ANSWER = 200  # bytes
 
@@ -60,14 +60,14 @@
                 fronts=1,
                 planners=0,
                 backends=4,
-                behaviour=Behaviour(0.0, 0.0),
+                behaviour=BackendBehaviour(0.0, 0.0),
                 status_every=0.0,
                 sockets=4096,
             )
         )
         for backend in self.deployment.backends:
-            backend.told = lambda arrival, runs: None
-            backend.pad = b"a" * (ANSWER - 16)
+            backend.on_arrival = lambda arrival, runs: None
+            backend.body_padding = b"a" * (ANSWER - 16)
         self.process: asyncio.subprocess.Process | None = None
         self.pid = self.port = 0
 
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -22,7 +22,7 @@
 from embersill.rig.ownership import Claims, judge_billing, listen, owner_of, wait_booked, wait_owner
 from embersill.rig.playing import COUNCIL_TABLES, RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, Scenario, ShapeTable
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 from embersill.world.oracles import Rules, judge
 
 RELAYED = ("@planner>@planner", "@planner>billing", "@forwarder>@planner")
@@ -128,7 +128,7 @@
             customers=24,
             rate=100.0,
             status_every=0.2,
-            behaviour=Behaviour(0.01, 0.03),
+            behaviour=BackendBehaviour(0.01, 0.03),
             council_tables=COUNCIL_TABLES,
         )
     )
@@ -137,7 +137,7 @@
         traffic = asyncio.create_task(deployment.traffic.run(seconds + 12.0))
         await wait_owner(deployment, "probes")
         deployment.backends[0].close()
-        for connection in list(deployment.backends[0].open):
+        for connection in list(deployment.backends[0].connections):
             connection.close()
         async with asyncio.timeout(30.0):
             while not probes_of(deployment):
@@ -164,7 +164,7 @@
         MIX,
         options.seed,
         0.0,
-        BillingBehaviour(silent=0.05, late=0.05, twice=0.05, busy=0.05),
+        BillingBehaviour(unanswered_share=0.05, late_share=0.05, duplicate_share=0.05, busy_share=0.05),
     )
     gaps = sorted(killed["gaps_ms"])
     handovers = [gap for gap in gaps if gap > 20]
--- a/benchmarks/partition.py
+++ b/benchmarks/partition.py
@@ -21,7 +21,7 @@
 from embersill.rig.deployment import Deployment
 from embersill.rig.playing import RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, FaultTable, Scenario, ShapeTable
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 
 RELAYED = ("@forwarder>@planner", "@planner>@planner")
 LINKS = ["@forwarder>@planner"]
@@ -124,7 +124,7 @@
     faults = [FaultTable("cut", 0.5, seconds, ways=["g0>p0"])] if cut else []
     shape = ShapeTable(1, 2, 0, 4, 60, False, {}, RELAYED)
     made = Scenario("hop", 1, seconds, 400.0, 0.0, shape, faults, [])
-    deployment = Deployment(shape_of(made, plans=("free",), behaviour=Behaviour(0.0, 0.0), helpers=2))
+    deployment = Deployment(shape_of(made, plans=("free",), behaviour=BackendBehaviour(0.0, 0.0), helpers=2))
     figures = await ScenarioRun(made, deployment).run()
     return {"median_ms": figures["median_ms"], "cpu_ms_a_try": cpu_a_try(deployment, figures["tries"])}
 
--- a/benchmarks/ratelimit.py
+++ b/benchmarks/ratelimit.py
@@ -23,7 +23,7 @@
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.processes import processor_time, resident_kb
 from embersill.lab.limiter import Limiter
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 
 CLIENTS = 3  # processes that load a server
 
@@ -94,10 +94,10 @@
 
 async def loaded(text: str, connections: int, seconds: float) -> dict[str, float]:
     deployment = Deployment(
-        Shape(fronts=1, planners=0, backends=4, behaviour=Behaviour(0.0, 0.0), operator=text)
+        Shape(fronts=1, planners=0, backends=4, behaviour=BackendBehaviour(0.0, 0.0), operator=text)
     )
     for backend in deployment.backends:
-        backend.told = lambda arrival, runs: None
+        backend.on_arrival = lambda arrival, runs: None
     try:
         await deployment.start()
         load = ClosedLoop(connections)
--- a/benchmarks/tiers.py
+++ b/benchmarks/tiers.py
@@ -19,7 +19,7 @@
 from benchmarks.closed_loop import ClosedLoop
 from embersill.rig.deployment import Deployment, Shape, play
 from embersill.rig.settings import settings_object
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 
 RULES = (
     "answers_none",
@@ -56,7 +56,9 @@
                 rate=rate,
                 settings=settings,
                 customers=60,
-                behaviour=Behaviour(0.01, 0.04, errors=0.005, resets=0.005, turned_away=0.01),
+                behaviour=BackendBehaviour(
+                    0.01, 0.04, error_share=0.005, reset_share=0.005, reject_share=0.01
+                ),
             )
         )
         told[name] = say(name, await play(deployment, seconds, trouble_every=every, drain_every=2.0))
@@ -83,12 +85,12 @@
 async def loaded(planners: int, connections: int, seconds: float) -> dict[str, Any]:
     """One front machine under a closed load of unlimited lookups to backends that answer at once."""
     deployment = Deployment(
-        Shape(fronts=1, planners=planners, backends=4, behaviour=Behaviour(0.0, 0.0), status_every=0.0)
+        Shape(fronts=1, planners=planners, backends=4, behaviour=BackendBehaviour(0.0, 0.0), status_every=0.0)
     )
     deployment.arrived = lambda arrival, runs: None  # type: ignore[method-assign]
     for backend in deployment.backends:
-        backend.told = lambda arrival, runs: None
-        backend.pad = b"x" * 184
+        backend.on_arrival = lambda arrival, runs: None
+        backend.body_padding = b"x" * 184
     try:
         await deployment.start()
         load = ClosedLoop(connections)
--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -36,7 +36,7 @@
 from embersill.rig.ownership import judge_billing, wait_booked, wait_owner, wait_writer
 from embersill.rig.playing import COUNCIL_TABLES, RULES
 from embersill.rig.processes import Member
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 
 GATEWAYS = 5
 PLAY_TIMEOUT_S = 120.0
@@ -311,7 +311,7 @@
             customers=12,
             rate=60.0,
             status_every=0.05,
-            behaviour=Behaviour(0.01, 0.03),
+            behaviour=BackendBehaviour(0.01, 0.03),
             council_tables=COUNCIL_TABLES if council else "",
         ),
         builds,
@@ -323,7 +323,7 @@
         await between(deployment)
         await asyncio.sleep(TRAFFIC_S)
         traffic.cancel()
-        await deployment.traffic.drained(8.0)
+        await deployment.traffic.wait_answered(8.0)
         if council:
             await wait_owner(deployment, "export")
             await wait_booked(deployment)
@@ -348,7 +348,7 @@
 
     async def replace(deployment: BuildsDeployment) -> None:
         await wait_writer(deployment)
-        highest = deployment.billing.highest
+        highest = deployment.billing.highest_number
         planners = deployment.planners()
         for planner in planners:
             planner.send(signal.SIGTERM)
@@ -362,7 +362,7 @@
         learned = {planner.name: planner.status["council"]["learned"] for planner in planners}
         checks.expect(f"{label}: journals read", not any(learned.values()), learned)
         await wait_writer(deployment)
-        checks.expect(f"{label}: the number grows", deployment.billing.highest > highest)
+        checks.expect(f"{label}: the number grows", deployment.billing.highest_number > highest)
 
     await play_deployment(checks, label, {"forwarder": writer, "planner": writer}, True, replace)
 
--- a/embersill/lab/council/fences.py
+++ b/embersill/lab/council/fences.py
@@ -321,7 +321,7 @@
                 "        if answer.status == 412:  # a later owner",
                 "        if False:  # a later owner",
             ),
-            ("embersill.rig.billing", "        if number < self.highest:", "        if False:"),
+            ("embersill.rig.billing", "        if number < self.highest_number:", "        if False:"),
         ),
     ),
     Fence(
--- a/embersill/lab/council/model.py
+++ b/embersill/lab/council/model.py
@@ -122,7 +122,7 @@
         """Each batch once, in order; and of streams whose planner runs, all that it noted."""
         last: dict[str, int] = {}
         units: dict[str, float] = {}
-        for booked in billing.log:
+        for booked in billing.appends:
             for batch in booked.body["batches"]:
                 stream, number = batch["stream"], batch["number"]
                 if number != last.get(stream, 0) + 1:
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -261,7 +261,7 @@
         self.watching = -1.0  # until when whoever takes the work is cut off
         self.bad = frozenset(shape.get("bad", ()))
         self.books, self.billing = Books(), StandInBilling()
-        self.billing.chance = self.kernel.stream("billing")
+        self.billing.rng = self.kernel.stream("billing")
         self.billing_until: dict[str, float] = {}
         self.receivers = [Receiver(), Receiver()]
         self.nodes = {name: MemberNode(self, name, name) for name in self.names}
@@ -671,7 +671,7 @@
         nodes = self.all_nodes()
         self.counts["late"] = sum(r.late for r in self.receivers) + self.billing.counts["late_refused"]
         self.counts["learned"] = sum(node.seat.member.counts["learned"] for node in nodes)
-        self.counts["appends"] = len(self.billing.log)
+        self.counts["appends"] = len(self.billing.appends)
         return {**self.counts, "events": self.kernel.events, "lowest": 0.0}
 
 
--- a/embersill/rig/books.py
+++ b/embersill/rig/books.py
@@ -218,21 +218,21 @@
         if request is None:
             return self.report_breach("unknown_sent", arrival.call_id)
         drained_at = self.drained.get(arrival.backend)
-        if drained_at is not None and arrival.first_byte > drained_at + DRAIN_GRACE_S:
+        if drained_at is not None and arrival.first_byte_at > drained_at + DRAIN_GRACE_S:
             self.report_breach(
-                "late_drain_sends", f"{arrival.backend} {arrival.first_byte - drained_at:.3f} s"
+                "late_drain_sends", f"{arrival.backend} {arrival.first_byte_at - drained_at:.3f} s"
             )
         number, attempt_index = self.call_numbers[arrival.call_id], request.attempt_count
         request.attempt_count += 1
         group = str(self.cells.get(arrival.backend, 0))
         self.add_record(
-            Written(arrival.first_byte, number, attempt_index, arrival.backend, group, (ALL_PROCESSES,))
+            Written(arrival.first_byte_at, number, attempt_index, arrival.backend, group, (ALL_PROCESSES,))
         )
-        self.add_record(Ended(arrival.whole, number, attempt_index, "", not executed))
+        self.add_record(Ended(arrival.completed_at, number, attempt_index, "", not executed))
         if not request.sent:
             request.sent = True
-            self.on_first_attempt(request, arrival.whole)
-            self.charge(request, arrival.whole)
+            self.on_first_attempt(request, arrival.completed_at)
+            self.charge(request, arrival.completed_at)
         if not executed:
             return None
         klass = self.classes[request.klass]
@@ -244,9 +244,9 @@
                 )
             elif klass.repeats is Repeats.BY_KEY:
                 cells = {self.cells[name] for name, _ in request.runs} | {self.cells[arrival.backend]}
-                if len(cells) > 1 or arrival.whole - request.runs[0][1] > klass.memory:
+                if len(cells) > 1 or arrival.completed_at - request.runs[0][1] > klass.memory:
                     self.report_breach("keyed_twice", request.call_id)
-        request.runs.append((arrival.backend, arrival.whole))
+        request.runs.append((arrival.backend, arrival.completed_at))
         return None
 
     def quota(self, request: ClientRequest, plan: Plan, now: float) -> TokenBucket:
--- a/embersill/rig/deployment.py
+++ b/embersill/rig/deployment.py
@@ -26,7 +26,7 @@
 from embersill.rig.standins import (
     HOST,
     Arrival,
-    Behaviour,
+    BackendBehaviour,
     DiscoveryView,
     StandInBackend,
     StandInCounter,
@@ -48,7 +48,7 @@
     customers: int = 60
     rate: float = 200.0
     seed: int = 1
-    behaviour: Behaviour = field(default_factory=Behaviour)
+    behaviour: BackendBehaviour = field(default_factory=BackendBehaviour)
     plans: tuple[str, ...] = ("basis", "pro", "free")
     settings: dict[str, Any] | None = None
     status_every: float = 0.5
@@ -364,12 +364,12 @@
             await asyncio.sleep(every)
             place = turn % len(self.backends)
             backend = self.backends[place]
-            await self.discovery.set(self.discovery.changed_entry(backend.name, "DRAINING"))
+            await self.discovery.update(self.discovery.entry_with_status(backend.name, "DRAINING"))
             self.audit.backend_draining(backend.name, loop.time())
             self.audit.counts["drains"] += 1
             await asyncio.sleep(every)
             self.audit.backend_serving(backend.name, loop.time())
-            await self.discovery.set(self.discovery.changed_entry(backend.name, "SERVING"))
+            await self.discovery.update(self.discovery.entry_with_status(backend.name, "SERVING"))
             turn += 1
 
     # the end
@@ -426,7 +426,7 @@
         await deployment.traffic.run(seconds)
         await asyncio.gather(*faults)
         longest = max(c.deadline for c in deployment.settings.classes)
-        await deployment.traffic.drained(longest + 1.0)
+        await deployment.traffic.wait_answered(longest + 1.0)
         codes = await deployment.stop()
     finally:
         deployment.close()
--- a/embersill/rig/ownership.py
+++ b/embersill/rig/ownership.py
@@ -79,7 +79,7 @@
     async with asyncio.timeout(within):
         while True:
             owner = owner_of(deployment, "export")
-            writer, _, _ = billing.owners.get(billing.highest, "").partition("/")
+            writer, _, _ = billing.owners.get(billing.highest_number, "").partition("/")
             if owner and writer == owner:
                 return owner
             await asyncio.sleep(LOOK_EVERY)
@@ -106,7 +106,7 @@
     twice = missing = late = 0
     units, highest = 0.0, 0
     owners: dict[int, str] = {}
-    for booked in billing.log:
+    for booked in billing.appends:
         late += booked.number < highest
         highest = max(highest, booked.number)
         owners.setdefault(booked.number, booked.owner)
@@ -117,10 +117,10 @@
             last[batch["stream"]] = max(before, batch["number"])
             units += sum(u for _, _, u in batch["uses"])
     at_once: Counter[int] = Counter(
-        booked.number for booked in billing.log if owners[booked.number] != booked.owner
+        booked.number for booked in billing.appends if owners[booked.number] != booked.owner
     )
     return {
-        "appends": len(billing.log),
+        "appends": len(billing.appends),
         "owners": len(owners),
         "streams": last,
         "units_exported": units,
--- a/embersill/rig/playing.py
+++ b/embersill/rig/playing.py
@@ -15,7 +15,7 @@
 
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.scenarios import LINK_FAULT_KINDS, FaultTable, Scenario, plan_faults
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 from embersill.world.oracles import Rules, judge
 from embersill.world.records import Fault
 
@@ -48,7 +48,7 @@
         customers=table.customers,
         rate=scenario.rate,
         seed=scenario.seed,
-        behaviour=Behaviour(0.01, 0.05),
+        behaviour=BackendBehaviour(0.01, 0.05),
         zones=dict(table.zones),
         relayed=table.relayed,
     )
@@ -94,7 +94,7 @@
             await deployment.traffic.run(self.scenario.seconds)
             await asyncio.gather(*tasks)
             longest = max(c.deadline for c in deployment.settings.classes)
-            await deployment.traffic.drained(longest + SETTLE_TIME_S)
+            await deployment.traffic.wait_answered(longest + SETTLE_TIME_S)
             codes = await deployment.stop()
         finally:
             deployment.close()
--- a/embersill/rig/traffic.py
+++ b/embersill/rig/traffic.py
@@ -1,4 +1,4 @@
-"""Clients: an open load of tries over kept connections, each dealt to one of its customer's fronts."""
+"""Traffic generator: an open load of requests over kept connections to the customers' fronts."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from embersill.rig.books import ClientRequest, TrafficAudit
 from embersill.rig.standins import HOST
 
-AFTER_END = 0.25  # seconds past a try's end for which its answer is still waited for
-MOST_IDLE = 64  # kept connections to a front machine
+ANSWER_GRACE_S = 0.25  # after a request's deadline, for its answer to arrive
+MAX_IDLE_CONNECTIONS = 64  # per front
 
 
 @dataclass(slots=True)
 class Front:
-    """A gateway or forwarder as clients see it."""
+    """A gateway or forwarder as clients see it; `idle`: kept connections to it."""
 
     name: str
     port: int
@@ -30,6 +30,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
+    """A customer: its share of the traffic is by weight; its fronts are `spread` many, from `first` on."""
+
     number: int
     plan: str
     weight: float
@@ -38,6 +40,8 @@
 
 
 class ClientConnection(asyncio.Protocol):
+    """One client connection to a front, with at most one request in flight."""
+
     def __init__(self, traffic: Traffic, front: Front) -> None:
         self.traffic, self.front = traffic, front
         self.transport: asyncio.Transport | None = None
@@ -47,16 +51,21 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keeps the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, request: ClientRequest, text: bytes) -> None:
+    def send(self, request: ClientRequest, data: bytes) -> None:
+        """Sends a request and sets its timer."""
         assert self.transport is not None
         self.request, self.body = request, []
         loop = self.traffic.loop
-        self.timer = loop.call_later(max(request.deadline - loop.time(), 0.0) + AFTER_END, self.out_of_time)
-        self.transport.write(text)
+        self.timer = loop.call_later(
+            max(request.deadline - loop.time(), 0.0) + ANSWER_GRACE_S, self.handle_timeout
+        )
+        self.transport.write(data)
 
-    def out_of_time(self) -> None:
+    def handle_timeout(self) -> None:
+        """Gives the request up and aborts the connection."""
         request, self.request = self.request, None
         if request is not None:
             self.traffic.audit.request_unanswered(request)
@@ -64,9 +73,10 @@
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Parses; data without a request in flight breaks a rule."""
         if self.parser is None:
             return
-        if self.request is None:  # more than the one answer
+        if self.request is None:  # more than one answer
             self.traffic.audit.report_breach("answers_two", f"surplus at {self.front.name}")
         try:
             self.parser.feed_data(data)
@@ -75,26 +85,30 @@
                 self.transport.abort()
 
     def on_message_begin(self) -> None:
+        """Parser callback: an answer begins."""
         self.body = []
 
     def on_body(self, body: bytes) -> None:
+        """Parser callback: a piece of the body."""
         self.body.append(body)
 
     def on_message_complete(self) -> None:
+        """Parser callback: hands the answer over, and keeps or closes the connection."""
         request, self.request = self.request, None
         if request is None or self.parser is None:
             return
         if self.timer is not None:
             self.timer.cancel()
         keep = self.parser.should_keep_alive()
-        self.traffic.answered(request, self.parser.get_status_code(), b"".join(self.body))
+        self.traffic.handle_answer(request, self.parser.get_status_code(), b"".join(self.body))
         idle = self.front.idle
-        if keep and idle is not None and len(idle) < MOST_IDLE:
+        if keep and idle is not None and len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(self)
         elif self.transport is not None:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Ends the request in flight without an answer; excused if the front was down."""
         self.transport = self.parser = None
         if self.timer is not None:
             self.timer.cancel()
@@ -107,7 +121,7 @@
 
 
 class Traffic:
-    """Poisson arrivals of tries at `rate` a second, dealt over customers by weight and over their fronts."""
+    """Poisson arrivals of requests at `rate` a second, over customers by weight and over their fronts."""
 
     def __init__(
         self,
@@ -117,52 +131,57 @@
         customers: list[Customer],
         rate: float,
         seed: int,
-        uneven: float = 0.7,
-        turn_every: float = 8.0,
+        busiest_share: float = 0.7,
+        rotation_period_s: float = 8.0,
     ) -> None:
-        """`uneven`: part of a customer's tries that come through its busiest front, which changes in turn."""
+        """`busiest_share`: share of a customer's requests that goes to its busiest front.
+
+        The busiest front changes every `rotation_period_s`.
+        """
         self.settings, self.audit, self.fronts, self.customers = settings, audit, fronts, customers
-        self.rate, self.uneven, self.turn_every = rate, uneven, turn_every
+        self.rate, self.busiest_share, self.rotation_period_s = rate, busiest_share, rotation_period_s
         self.random = random.Random(seed)
         self.loop = asyncio.get_running_loop()
         self.classes = [c for c in settings.classes]
         self.weights = [c.weight for c in customers]
-        self.made = 0
+        self.request_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
         self.on_answer: Callable[[ClientRequest, int], None] = lambda request, status: None
-        self.most_units = 3
+        self.max_units = 3
 
     async def run(self, seconds: float) -> None:
+        """Sends requests for so long."""
         began = due = self.loop.time()
         while due < began + seconds:
             due += self.random.expovariate(self.rate)
             await asyncio.sleep(max(due - self.loop.time(), 0.0))
-            task = self.loop.create_task(self.one())
+            task = self.loop.create_task(self.send_request())
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def drained(self, at_most: float) -> None:
-        """Waits until every try has its end."""
-        end = self.loop.time() + at_most
+    async def wait_answered(self, timeout_s: float) -> None:
+        """Waits until every request has ended, at most `timeout_s`."""
+        end = self.loop.time() + timeout_s
         while self.loop.time() < end and any(not a.answers for a in self.audit.requests.values()):
             await asyncio.sleep(0.02)
 
-    def pick_front(self, customer: Customer) -> list[Front]:
-        """The customer's fronts, the one that is drawn first: the busiest changes every so often."""
+    def order_fronts(self, customer: Customer) -> list[Front]:
+        """The customer's fronts in the order to try them: first the one drawn."""
         count = len(self.fronts)
-        members = [self.fronts[(customer.first + n) % count] for n in range(customer.spread)]
-        turn = int(self.loop.time() / self.turn_every + customer.number) % customer.spread
-        at = turn if self.random.random() < self.uneven else self.random.randrange(customer.spread)
-        return members[at:] + members[:at]
+        fronts = [self.fronts[(customer.first + n) % count] for n in range(customer.spread)]
+        turn = int(self.loop.time() / self.rotation_period_s + customer.number) % customer.spread
+        at = turn if self.random.random() < self.busiest_share else self.random.randrange(customer.spread)
+        return fronts[at:] + fronts[:at]
 
-    async def one(self) -> None:
+    async def send_request(self) -> None:
+        """Draws a request and sends it to the first of its fronts that accepts a connection."""
         rng = self.random
         customer = rng.choices(self.customers, self.weights)[0]
         klass = rng.choices(self.classes, [0.6, 0.22, 0.18][: len(self.classes)])[0]
-        units, budget = rng.randint(1, self.most_units), klass.deadline * rng.uniform(0.5, 1.0)
-        self.made += 1
-        call_id = f"{self.made:016x}"
-        for front in self.pick_front(customer):
+        units, budget = rng.randint(1, self.max_units), klass.deadline * rng.uniform(0.5, 1.0)
+        self.request_count += 1
+        call_id = f"{self.request_count:016x}"
+        for front in self.order_fronts(customer):
             connection = await self.connect(front)
             if connection is None:
                 continue
@@ -178,11 +197,12 @@
                 now + budget,
             )
             self.audit.request_sent(request)
-            return connection.ask(request, request_text(request, klass.repeats, budget, customer))
+            return connection.send(request, request_text(request, klass.repeats, budget, customer))
         self.audit.counts["no_front"] += 1
         return None
 
     async def connect(self, front: Front) -> ClientConnection | None:
+        """An idle or new connection to a front, none if the front is down."""
         if not front.up:
             return None
         while front.idle:
@@ -196,13 +216,14 @@
             return None
         return connection
 
-    def answered(self, request: ClientRequest, status: int, body: bytes) -> None:
+    def handle_answer(self, request: ClientRequest, status: int, body: bytes) -> None:
+        """Passes an answer to the audit and to `on_answer`."""
         self.audit.answer_received(request, status, body, self.loop.time())
         self.on_answer(request, status)
 
 
 def request_text(request: ClientRequest, repeats: Repeats, budget: float, customer: Customer) -> bytes:
-    """The try by the platform's protocol."""
+    """The request in the platform's protocol."""
     get = repeats is Repeats.SAFE
     lines = [
         f"{'GET' if get else 'POST'} /api?client={request.customer} HTTP/1.1",
--- a/tests/council/test_export.py
+++ b/tests/council/test_export.py
@@ -22,7 +22,7 @@
 from embersill.council.messages import MOST_ENTRIES
 from embersill.council.offices import Mine, Post
 from embersill.council.usage import BATCH_EVERY, MOST_BATCHES, Tally, UseBook
-from embersill.rig.billing import MOST_STEP, StandInBilling
+from embersill.rig.billing import MAX_NUMBER_STEP, StandInBilling
 from tests.council.helpers import TERMS, Bench
 from tests.council.test_journal import world_files
 
@@ -207,7 +207,7 @@
     def batches(self) -> list[tuple[str, int]]:
         return [
             (batch["stream"], batch["number"])
-            for booked in self.billing.log
+            for booked in self.billing.appends
             for batch in booked.body["batches"]
         ]
 
@@ -294,7 +294,7 @@
     for number in range(1, 4):
         owner.exporter.offer("s", number, [("c", 0, 1.0)])
         owner.go(0.5)
-    owner.billing.log.clear()
+    owner.billing.appends.clear()
     owner.next()
     owner.go()
     assert owner.exporter.step is Step.HALTED and "billing is at 0" in owner.exporter.why
@@ -336,7 +336,8 @@
             "PUT", "/usage/owner", {"office-number": str(number), "office-holder": holder}, b"", 0.0
         )[0]
 
-    assert [claim(3, "a"), claim(2, "b"), claim(3, "c"), claim(3 + MOST_STEP + 1, "a"), claim(4, "c")] == [
+    far = 3 + MAX_NUMBER_STEP + 1
+    assert [claim(3, "a"), claim(2, "b"), claim(3, "c"), claim(far, "a"), claim(4, "c")] == [
         200,
         412,
         412,
--- a/tests/council/test_processes.py
+++ b/tests/council/test_processes.py
@@ -14,7 +14,7 @@
 from embersill.rig.ownership import judge_billing, listen, owner_of, wait_booked, wait_owner, wait_writer
 from embersill.rig.playing import COUNCIL_TABLES, RULES
 from embersill.rig.relay import Direction, LinkFault, LinkFaultKind
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 
 RELAYED = ("@planner>@planner", "@planner>billing", "@forwarder>@planner")
 
@@ -36,7 +36,7 @@
                 customers=12,
                 rate=rate,
                 status_every=0.05,
-                behaviour=Behaviour(0.01, 0.03),
+                behaviour=BackendBehaviour(0.01, 0.03),
                 council_tables=COUNCIL_TABLES,
                 relayed=RELAYED,
             )
@@ -48,7 +48,7 @@
                 await wait_owner(deployment, "export")
                 await test(deployment)
                 traffic.cancel()
-                await deployment.traffic.drained(8.0)
+                await deployment.traffic.wait_answered(8.0)
                 await wait_owner(deployment, "export")
                 if not lost_disks:
                     await wait_booked(deployment)
@@ -81,9 +81,9 @@
             way = deployment.relays[f"{owner}>billing"]
             number = await swallowed(deployment, way.name, Direction.UP)
             await asyncio.sleep(0.5)  # its next append is on its way, and does not come
-            highest = deployment.billing.highest
+            highest = deployment.billing.highest_number
             deployment.members[owner].suspend()
-            while deployment.billing.highest == highest:  # until its successor has been there
+            while deployment.billing.highest_number == highest:  # until its successor has been there
                 await asyncio.sleep(0.02)
             await way.remove_fault(number)
             deployment.members[owner].resume()
@@ -100,7 +100,7 @@
     async def test(deployment: Deployment) -> None:
         backend = deployment.backends[0]
         backend.close()  # it is listed, and nobody listens: suspected and probed
-        for connection in list(backend.open):
+        for connection in list(backend.connections):
             connection.close()
         async with asyncio.timeout(60.0):
             while not any(m.status.get("probes", {}).get("out") for m in deployment.planners()):
@@ -138,8 +138,8 @@
         # the reverse: it holds the office, and can't do its work
         number = await deployment.relays[f"{second}>billing"].add_fault(LinkFault(LinkFaultKind.CUT))
         third = await wait_owner(deployment, "export", other_than=second)
-        booked = len(deployment.billing.log)
-        while len(deployment.billing.log) <= booked:
+        booked = len(deployment.billing.appends)
+        while len(deployment.billing.appends) <= booked:
             await asyncio.sleep(0.05)
         assert third != second
         await deployment.relays[f"{second}>billing"].remove_fault(number)
@@ -253,7 +253,7 @@
 def test_the_exporter_is_killed_at_any_moment_and_billing_answers_late_twice_or_never() -> None:
     async def test(deployment: Deployment) -> None:
         deployment.billing.behaviour = BillingBehaviour(
-            silent=0.1, late=0.15, late_by=1.5, twice=0.2, busy=0.1
+            unanswered_share=0.1, late_share=0.15, late_by_s=1.5, duplicate_share=0.2, busy_share=0.1
         )
         for turn in range(14):
             owner = await wait_owner(deployment, "export")
@@ -263,7 +263,7 @@
         deployment.billing.behaviour = BillingBehaviour()
 
     deployment = fleet(test)
-    assert len(deployment.billing.log) > 5 and len(deployment.billing.owners) >= 8
+    assert len(deployment.billing.appends) > 5 and len(deployment.billing.owners) >= 8
 
 
 def test_strangers_are_turned_away_and_harm_nothing() -> None:
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -425,7 +425,7 @@
             async with deployed(text, planners) as deployment:
                 await until_led(deployment, planners)
                 await deployment.traffic.run(1.0)
-                await deployment.traffic.drained(SOON)
+                await deployment.traffic.wait_answered(SOON)
                 told = deployment.audit.figures()
                 assert told["answers_none"] == 0 and told["served"] > 0
                 pro = [t for t in deployment.audit.requests.values() if t.plan == "pro"]
--- a/tests/tiers/test_links.py
+++ b/tests/tiers/test_links.py
@@ -11,7 +11,7 @@
 from embersill.rig.playing import RULES
 from embersill.rig.processes import free_ports
 from embersill.rig.settings import lab_settings
-from embersill.rig.standins import HOST, Behaviour
+from embersill.rig.standins import HOST, BackendBehaviour
 from embersill.tiers.forwarder import Forwarder
 from embersill.tiers.frames import HANDSHAKE_TIMEOUT_S
 from embersill.tiers.links import ForwarderLinks, PlannerServer
@@ -203,7 +203,7 @@
         backends=4,
         customers=24,
         rate=120.0,
-        behaviour=Behaviour(0.01, 0.05, errors=0.01, resets=0.01, turned_away=0.02),
+        behaviour=BackendBehaviour(0.01, 0.05, error_share=0.01, reset_share=0.01, reject_share=0.02),
     )
     for name, value in changes.items():
         setattr(made, name, value)
@@ -259,7 +259,7 @@
             assert deployment.audit.counts["served"] > served + 40
             await asyncio.gather(*(member.start() for member in deployment.planners()))
             await traffic
-            await deployment.traffic.drained(SOON)
+            await deployment.traffic.wait_answered(SOON)
             codes = await deployment.stop()
         finally:
             deployment.close()
@@ -280,7 +280,7 @@
             member.send(signal.SIGTERM)
             assert await member.wait_exit() == 0
             await traffic
-            await deployment.traffic.drained(SOON)
+            await deployment.traffic.wait_answered(SOON)
             codes = await deployment.stop()
         finally:
             deployment.close()
--- a/tests/tiers/test_partition.py
+++ b/tests/tiers/test_partition.py
@@ -12,7 +12,7 @@
 from embersill.rig.deployment import Deployment
 from embersill.rig.playing import RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, FaultTable, Scenario, ShapeTable
-from embersill.rig.standins import Behaviour
+from embersill.rig.standins import BackendBehaviour
 from tests.bed import run
 
 RELAYED = ("@forwarder>@planner", "@planner>@planner")
@@ -70,7 +70,7 @@
             status_every=0.05,
             tell_refusals=True,
             helpers=2,
-            behaviour=Behaviour(*spell),
+            behaviour=BackendBehaviour(*spell),
             terms=terms or {},
         )
     )
