--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -90,7 +90,7 @@
             operator="[counting]\n" if self.keeper else "",
         )
         self.deployment = Deployment(shape)
-        self.deployment.counter_of = self.counter.address
+        self.deployment.counter_addresses = self.counter.address
         await self.deployment.start()
         settings, audit = read_settings(told), self.deployment.audit
         plans = {p.name: p for p in settings.plans}
--- a/benchmarks/tiers.py
+++ b/benchmarks/tiers.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from benchmarks.closed_loop import ClosedLoop
-from embersill.rig.deployment import Deployment, Shape, play
+from embersill.rig.deployment import Deployment, Shape, run_with_faults
 from embersill.rig.settings import settings_object
 from embersill.rig.standins import BackendBehaviour
 
@@ -61,7 +61,8 @@
                 ),
             )
         )
-        told[name] = say(name, await play(deployment, seconds, trouble_every=every, drain_every=2.0))
+        figures = await run_with_faults(deployment, seconds, planner_fault_every=every, drain_every=2.0)
+        told[name] = say(name, figures)
     shares = {name: figures["served"] / figures["tries"] for name, figures in told.items()}
     figures = {rule: told["troubled"][rule] + told["calm"][rule] for rule in RULES}
     return say(
@@ -208,7 +209,7 @@
             seed=3,
         )
         deployment = Deployment(shape)
-        told = say(f"{name} level", await play(deployment, seconds, restart_front_every=4.0))
+        told = say(f"{name} level", await run_with_faults(deployment, seconds, restart_front_every=4.0))
         figures[f"refused_with_quota_left_{name}"] = told["refused_with_quota_left"]
         figures[f"refused_{name}"] = told["refused"]
         figures[f"share_{name}"] = round(told["refused_with_quota_left"] / told["tries"], 4)
--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -289,9 +289,9 @@
         super().__init__(shape)
         self.builds = dict(builds)
 
-    async def add(self, name: str, role: str, port: int, config: str = "") -> None:
+    async def add_process(self, name: str, role: str, port: int, config: str = "") -> None:
         """A further process, of its role's build."""
-        await super().add(name, role, port, config)
+        await super().add_process(name, role, port, config)
         self.members[config or name].environ.update(environment_of(self.builds[role]))
 
 
--- a/embersill/lab/__main__.py
+++ b/embersill/lab/__main__.py
@@ -16,7 +16,7 @@
 
 from embersill.lab import commands, faults
 from embersill.lab.edge import control_command, days, plots, sites, soak_command, totals, trying
-from embersill.rig.deployment import Deployment, Shape, play
+from embersill.rig.deployment import Deployment, Shape, run_with_faults
 from embersill.lab.fuzzing import command as fuzzing
 
 REFRESH = 0.5  # seconds between looks at the figures
@@ -73,10 +73,10 @@
         )
     )
     playing = asyncio.create_task(
-        play(
+        run_with_faults(
             deployment,
             options.seconds,
-            trouble_every=options.trouble_every,
+            planner_fault_every=options.trouble_every,
             drain_every=options.drain_every,
             restart_front_every=options.restart_front_every,
         )
--- a/embersill/rig/deployment.py
+++ b/embersill/rig/deployment.py
@@ -1,4 +1,4 @@
-"""A whole small deployment on loopback: front machines as processes of their own, the rest in this one."""
+"""A small deployment on loopback: gateways, forwarders and planners are processes, the rest runs here."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 from embersill.rig.traffic import Customer, Front, Traffic
 from embersill.settings import read_settings
 
-READY_WITHIN = 15.0  # seconds for a process to take clients
+READY_TIMEOUT_S = 15.0  # for a front to accept clients
 
 
 @dataclass(slots=True)
 class Shape:
-    """What a lab consists of. With planners the fronts are forwarders, with none they are gateways."""
+    """What a deployment consists of. With planners the fronts are forwarders, without they are gateways."""
 
     fronts: int = 3
     planners: int = 2
@@ -52,35 +52,39 @@
     plans: tuple[str, ...] = ("basis", "pro", "free")
     settings: dict[str, Any] | None = None
     status_every: float = 0.5
-    sockets: int = 1024  # descriptors that a front machine may hold
-    operator: str = ""  # further tables of the operator file, for whoever decides
-    council_tables: str = ""  # tables below [council], with BILLING for billing's address; "" is no council
-    relayed: tuple[str, ...] = ()  # ways that go over relays, in the words of scenarios
+    sockets: int = 1024  # file descriptors of each process, at most
+    operator: str = ""  # further tables of the operator file of planners or gateways
+    council_tables: str = ""  # below [council], with BILLING for billing's address; empty: no council
+    relayed: tuple[str, ...] = ()  # links that go over relays, as patterns of scenarios
     zones: dict[str, list[str]] = field(default_factory=dict)
-    helpers: int = 0  # other planners over which forwarders reach each one
-    tell_refusals: bool = False  # forwarders write a line on each
-    terms: dict[str, float] = field(default_factory=dict)  # of tiers/terms.py, where not the usual
+    helpers: int = 0  # other planners through which forwarders reach each one
+    tell_refusals: bool = False  # forwarders print a line for each
+    terms: dict[str, float] = field(
+        default_factory=dict
+    )  # of tiers/terms.py, where they differ from the defaults
 
 
 class Deployment:
+    """The processes, relays and stand-ins of one run, with the audit of its traffic."""
+
     def __init__(self, shape: Shape) -> None:
         self.shape = shape
         self.random = random.Random(shape.seed)
-        self.object = shape.settings or settings_object(shape.fronts)
-        self.settings: Settings = read_settings(self.object)
+        self.settings_document = shape.settings or settings_object(shape.fronts)
+        self.settings: Settings = read_settings(self.settings_document)
         self.audit = TrafficAudit(self.settings)
         self.discovery, self.counter, self.billing = StandInDiscovery(), StandInCounter(), StandInBilling()
         self.backends = [
             StandInBackend(f"b{n}", shape.behaviour, shape.seed, self.arrived) for n in range(shape.backends)
         ]
-        self.counter_of: dict[str, str] = {}  # addresses of the counter by gateway, where they differ
+        self.counter_addresses: dict[str, str] = {}  # by gateway, where they differ
         self.fronts: list[Front] = []
         self.members: dict[str, Member] = {}
         self.ports: dict[str, int] = {}  # of planners, for forwarders
         self.council_ports: dict[str, int] = {}  # of planners, for each other
         self.relays: dict[str, Relay] = {}
         self.link_relays: dict[str, Relay] = {}  # between planners, for forwarders' connections
-        self.views: list[DiscoveryView] = []
+        self.discovery_views: list[DiscoveryView] = []
         self.traffic: Traffic
         self.folder = tempfile.TemporaryDirectory(prefix="embersill-lab-")
         kind = "forwarder" if shape.planners else "gateway"
@@ -97,12 +101,14 @@
         )
 
     def arrived(self, arrival: Arrival, runs: bool) -> None:
+        """Passes a backend's request to the audit."""
         self.audit.attempt_arrived(arrival, runs)
 
     async def start(self) -> None:
+        """Starts stand-ins, relays and processes, and waits until every front is ready."""
         shape = self.shape
-        for part in (self.discovery, self.counter, self.billing, *self.backends):
-            await part.start()
+        for stand_in in (self.discovery, self.counter, self.billing, *self.backends):
+            await stand_in.start()
         for n, backend in enumerate(self.backends):
             zone = self.topology.zone_of(backend.name) or "z"
             self.discovery.entries[backend.name] = self.discovery.entry(backend, n % 2, zone=zone)
@@ -113,17 +119,17 @@
         if shape.planners:
             await self.start_planners([front.name for front in self.fronts])
         for front in self.fronts:
-            await self.add(front.name, "forwarder" if shape.planners else "gateway", front.port)
+            await self.add_process(front.name, "forwarder" if shape.planners else "gateway", front.port)
         await asyncio.gather(*(self.members[front.name].start() for front in self.fronts))
         await asyncio.gather(*(self.wait_ready(front) for front in self.fronts))
         self.traffic = Traffic(
             self.settings, self.audit, self.fronts, self.customers(), shape.rate, shape.seed
         )
 
-    # ways
+    # relays
 
     def relayed(self) -> list[str]:
-        """The ways that go over relays: only processes dial."""
+        """The links that go over relays: only processes open connections."""
         return [
             link
             for link in self.topology.links(self.shape.relayed)
@@ -131,44 +137,50 @@
         ]
 
     async def start_relays(self) -> None:
+        """Starts a relay for each such link; between planners, a second for forwarders' connections."""
         for name in self.relayed():
-            begin, _, end = name.partition(">")
-            relay = self.relays[name] = Relay(name, self.target_of(begin, end), self.shape.seed)
+            source, _, destination = name.partition(">")
+            relay = self.relays[name] = Relay(name, self.relay_target(source, destination), self.shape.seed)
             await relay.start()
-            if {self.topology.roles[begin], self.topology.roles[end]} == {"planner"}:
-                link = self.link_relays[name] = Relay(f"{name} link", self.link_of(end), self.shape.seed)
+            if {self.topology.roles[source], self.topology.roles[destination]} == {"planner"}:
+                link = self.link_relays[name] = Relay(
+                    f"{name} link", self.link_target(destination), self.shape.seed
+                )
                 await link.start()
 
-    def link_of(self, planner: str) -> Callable[[], tuple[str, int]]:
+    def link_target(self, planner: str) -> Callable[[], tuple[str, int]]:
+        """Target of a relay that leads to a planner's port for forwarders."""
         return lambda: (HOST, self.ports[planner])
 
     def relays_of(self, name: str) -> list[Relay]:
-        """What a fault on a way lies on: all that processes dial over it."""
+        """All relays of a link, which a fault of the link affects."""
         return [relays[name] for relays in (self.relays, self.link_relays) if name in relays]
 
-    def target_of(self, begin: str, end: str) -> Callable[[], tuple[str, int]]:
+    def relay_target(self, source: str, destination: str) -> Callable[[], tuple[str, int]]:
+        """Target of a link's relay: its destination's current address."""
+
         def target() -> tuple[str, int]:
-            role = self.topology.roles[end]
+            role = self.topology.roles[destination]
             if role == "planner":
-                ports = self.council_ports if self.topology.roles[begin] == "planner" else self.ports
-                return HOST, ports[end]
-            parts = {
+                ports = self.council_ports if self.topology.roles[source] == "planner" else self.ports
+                return HOST, ports[destination]
+            stand_ins = {
                 "discovery": self.discovery,
                 "counter": self.counter,
                 "billing": self.billing,
                 **{backend.name: backend for backend in self.backends},
             }
-            return HOST, parts[end].port
+            return HOST, stand_ins[destination].port
 
         return target
 
-    def dialled(self, begin: str, end: str, address: str) -> str:
-        """Where a process dials another: a relay if one lies between them."""
-        relay = self.relays.get(f"{begin}>{end}")
+    def address_for(self, source: str, destination: str, address: str) -> str:
+        """Address at which a process reaches another: the relay's if there is one between them."""
+        relay = self.relays.get(f"{source}>{destination}")
         return address if relay is None else relay.address
 
     async def start_planners(self, forwarders: list[str]) -> dict[str, int]:
-        """Starts the planners for forwarders by these names; tells the ports."""
+        """Starts the planners for forwarders of these names; returns the planners' ports."""
         names = [f"p{n}" for n in range(self.shape.planners)]
         ports = free_ports(2 * len(names))
         self.ports = dict(zip(names, ports, strict=False))
@@ -176,18 +188,21 @@
         folder = Path(self.folder.name)
         (folder / "secret").write_text(secrets.token_hex(16))
         for name in forwarders:
-            self.write_operator(name, "forwarder", forwarders)
+            self.write_operator_file(name, "forwarder", forwarders)
         for name in names:
-            self.write_operator(name, "planner", forwarders)
-            await self.add(name, "planner", 0)
+            self.write_operator_file(name, "planner", forwarders)
+            await self.add_process(name, "planner", 0)
         await asyncio.gather(*(self.members[name].start() for name in names))
         return self.ports
 
-    def write_operator(self, name: str, role: str, forwarders: list[str]) -> None:
-        ways = self.relays if role == "forwarder" else self.link_relays
+    def write_operator_file(self, name: str, role: str, forwarders: list[str]) -> None:
+        """Writes the operator file of a forwarder or planner."""
+        relays = self.relays if role == "forwarder" else self.link_relays
         planners = {
-            p: ways[f"{name}>{p}"].address if f"{name}>{p}" in ways else f"{HOST}:{port}"
-            for p, port in self.ports.items()
+            planner: relays[f"{name}>{planner}"].address
+            if f"{name}>{planner}" in relays
+            else f"{HOST}:{port}"
+            for planner, port in self.ports.items()
         }
         lines = [
             f'role = "{role}"',
@@ -198,84 +213,90 @@
             f"helpers = {self.shape.helpers}",
             f"tell_refusals = {str(self.shape.tell_refusals).lower()}",
             "[tiers.planners]",
-            *(f'{p} = "{address}"' for p, address in planners.items()),
+            *(f'{planner} = "{address}"' for planner, address in planners.items()),
             "[tiers.terms]",
             *(f"{name} = {seconds}" for name, seconds in self.shape.terms.items()),
         ]
         text = "\n".join(lines) + "\n"
         if role == "planner":
-            text += self.shape.operator + self.council_text(name)
+            text += self.shape.operator + self.council_section(name)
         self.operator_file(name).write_text(text)
 
-    def council_text(self, name: str) -> str:
+    def council_section(self, name: str) -> str:
+        """Council tables of a planner's operator file, empty without a council."""
         if not self.shape.council_tables:
             return ""
         members = {
-            p: f"{HOST}:{port}" if p == name else self.dialled(name, p, f"{HOST}:{port}")
-            for p, port in self.council_ports.items()
+            planner: f"{HOST}:{port}"
+            if planner == name
+            else self.address_for(name, planner, f"{HOST}:{port}")
+            for planner, port in self.council_ports.items()
         }
-        billing = self.dialled(name, "billing", self.billing.address)
+        billing = self.address_for(name, "billing", self.billing.address)
         lines = [
             "[council]",
             f'state = "state-{name}"',
             "[council.members]",
-            *(f'{p} = "{address}"' for p, address in members.items()),
+            *(f'{planner} = "{address}"' for planner, address in members.items()),
         ]
         return "\n".join(lines) + "\n" + self.shape.council_tables.replace("BILLING", billing)
 
     def operator_file(self, name: str) -> Path:
+        """Path of a process's operator file."""
         return Path(self.folder.name) / f"{name}.toml"
 
-    def state_of(self, name: str) -> Path:
-        """Where a planner keeps what the council has it remember."""
+    def state_dir(self, name: str) -> Path:
+        """Directory of a planner's persistent council state."""
         return Path(self.folder.name) / f"state-{name}"
 
     async def copy_state(self, name: str, target: Path) -> None:
-        """Copies a planner's state as its disk has it at one moment; nothing is copied if there is none.
+        """Copies a consistent snapshot of a planner's state directory, if it exists.
 
-        The planner stands still meanwhile: its files are renamed while it runs, and a copy would miss some.
+        The planner is suspended meanwhile: it renames files while it runs, and a copy could miss some.
         """
         async with self.members[name].while_suspended():
-            if self.state_of(name).exists():
-                shutil.copytree(self.state_of(name), target)
+            if self.state_dir(name).exists():
+                shutil.copytree(self.state_dir(name), target)
 
-    async def add(self, name: str, role: str, port: int, config: str = "") -> None:
-        """A further process, not started yet; `config` names its files where the name is taken."""
+    async def add_process(self, name: str, role: str, port: int, config: str = "") -> None:
+        """Adds a process without starting it; `config` names its files where `name` is in use."""
         folder = Path(self.folder.name)
         discovery, known = self.discovery.address, self.discovery.listing()
-        places = {
+        relay_addresses = {
             b.name: self.relays[f"{name}>{b.name}"].address
             for b in self.backends
             if f"{name}>{b.name}" in self.relays
         }
-        if places:
-            view = DiscoveryView(self.discovery, places)
+        if relay_addresses:
+            view = DiscoveryView(self.discovery, relay_addresses)
             await view.start()
-            self.views.append(view)
+            self.discovery_views.append(view)
             discovery, known = view.address, view.listing()
-        told = {
+        config_document = {
             "name": name,
             "listen": f"{HOST}:{port or 1}",
-            "discovery": self.dialled(name, "discovery", discovery),
-            "counter": self.dialled(name, "counter", self.counter_of.get(name, self.counter.address)),
+            "discovery": self.address_for(name, "discovery", discovery),
+            "counter": self.address_for(
+                name, "counter", self.counter_addresses.get(name, self.counter.address)
+            ),
             "seed": f"{self.random.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.shape.sockets},
             "known": known,
-            "settings": self.object,
+            "settings": self.settings_document,
         }
         config = config or name
         path = folder / f"{config}.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(config_document))
         command = [sys.executable, "-m", "embersill"]
         if role == "gateway" and self.shape.operator:
             (folder / f"{config}.toml").write_text(self.shape.operator)
         if role != "gateway" or self.shape.operator:
             command += ["--operator", str(folder / f"{config}.toml")]
-        kept = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "EMBERSILL_"))}
-        self.members[config] = Member(config, role, command, {**kept, "RELAY_CONFIG": str(path)})
+        inherited = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "EMBERSILL_"))}
+        self.members[config] = Member(config, role, command, {**inherited, "RELAY_CONFIG": str(path)})
 
     async def clone(self, name: str) -> Member:
-        """A second planner of that name, as on another machine: its own addresses, a copy of the disk."""
+        """Starts a second planner of the same name, with its own addresses and a copy of the disk."""
         config = f"{name}+{sum(member.startswith(f'{name}+') for member in self.members) + 1}"
         folder = Path(self.folder.name)
         state = folder / f"state-{config}"
@@ -286,12 +307,13 @@
         text = text.replace(f'{name} = "{HOST}:{self.council_ports[name]}"', f'{name} = "{HOST}:{council}"')
         text = text.replace(f'state = "state-{name}"', f'state = "{state.name}"')
         self.operator_file(config).write_text(text)
-        await self.add(name, "planner", 0, config)
+        await self.add_process(name, "planner", 0, config)
         await self.members[config].start()
         return self.members[config]
 
     async def wait_ready(self, front: Front) -> None:
-        async with asyncio.timeout(READY_WITHIN):
+        """Polls a front until it is ready, and marks it up; TimeoutError after READY_TIMEOUT_S."""
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
                 try:
                     reader, writer = await asyncio.open_connection(HOST, front.port)
@@ -306,24 +328,25 @@
                 await asyncio.sleep(0.02)
 
     def customers(self) -> list[Customer]:
-        """A few large customers and many small ones, their plans by turns."""
-        shape, made = self.shape, []
+        """Customers with the plans in rotation; those of `pro` have the largest share of the traffic."""
+        shape, customers = self.shape, []
         for n in range(shape.customers):
             plan = shape.plans[n % len(shape.plans)]
             weight = 3.0 if plan == "pro" else 1.0
             spread = min(2 + n % 3, shape.fronts)
-            made.append(Customer(0xC000 + n, plan, weight, self.random.randrange(shape.fronts), spread))
-        return made
+            customers.append(Customer(0xC000 + n, plan, weight, self.random.randrange(shape.fronts), spread))
+        return customers
 
     def planners(self) -> list[Member]:
+        """All planners, clones included."""
         return [member for member in self.members.values() if member.role == "planner"]
 
     # faults
 
-    async def trouble_planners(
+    async def disturb_planners(
         self, every: float, until: float, down: float = 1.0, paused: float = 1.5
     ) -> None:
-        """Kills or pauses one planner after the other, by turns, until the loop's time `until`."""
+        """Kills or pauses the planners in rotation until the loop's time `until`."""
         loop, turn = asyncio.get_running_loop(), 0
         tasks: list[asyncio.Task[None]] = []
         while loop.time() + every < until:
@@ -339,17 +362,19 @@
         await asyncio.gather(*tasks)
 
     async def kill_and_restart(self, member: Member, down: float) -> None:
+        """Kills a planner and starts it again after `down` seconds."""
         self.audit.counts["planner_kills"] += 1
         await member.kill()
         await asyncio.sleep(down)
         await member.start()
 
     async def pause(self, member: Member, seconds: float) -> None:
+        """Suspends a planner for so long."""
         self.audit.counts["planner_pauses"] += 1
         await member.pause(seconds)
 
     async def restart_front(self, front: Front, down: float) -> None:
-        """Kills a front machine; what it held is its clients' to retry."""
+        """Kills a front and restarts it; retrying its open requests is up to the clients."""
         self.audit.counts["front_kills"] += 1
         front.up = False
         await self.members[front.name].kill()
@@ -357,8 +382,8 @@
         await self.members[front.name].start()
         await self.wait_ready(front)
 
-    async def drain_by_turns(self, every: float, until: float) -> None:
-        """Drains one backend after the other and brings it back."""
+    async def drain_in_rotation(self, every: float, until: float) -> None:
+        """Drains the backends in rotation, each for `every` seconds."""
         loop, turn = asyncio.get_running_loop(), 0
         while loop.time() + 2 * every < until:
             await asyncio.sleep(every)
@@ -372,18 +397,18 @@
             await self.discovery.update(self.discovery.entry_with_status(backend.name, "SERVING"))
             turn += 1
 
-    # the end
+    # shutdown
 
     async def stop(self) -> dict[str, int]:
-        """Ends all in order, the fronts first; tells who did not end well, by its exit code."""
+        """Stops all processes, the fronts first; returns the exit codes of those that failed."""
         codes = {}
         for roles in (("forwarder", "gateway"), ("planner",)):
-            ending = [m for m in self.members.values() if m.role in roles and m.running]
-            for member in ending:
+            stopping = [m for m in self.members.values() if m.role in roles and m.running]
+            for member in stopping:
                 member.earlier_cpu_s += member.cpu_seconds()
                 member.resume()
                 member.send(signal.SIGTERM)
-            for member in ending:
+            for member in stopping:
                 code = await member.wait_exit()
                 if code:
                     codes[member.name] = code
@@ -391,36 +416,38 @@
         return codes
 
     def close(self) -> None:
+        """Kills what still runs and removes all files."""
         for member in self.members.values():
             member.kill_now()
-        for part in (self.discovery, self.counter, self.billing, *self.backends, *self.views):
-            part.close()
+        for stand_in in (self.discovery, self.counter, self.billing, *self.backends, *self.discovery_views):
+            stand_in.close()
         for relay in (*self.relays.values(), *self.link_relays.values()):
             relay.close()
         self.folder.cleanup()
 
     def logs(self) -> Iterable[str]:
+        """Log lines of all processes."""
         return (f"{m.name}: {line}" for m in self.members.values() for line in m.log)
 
 
-async def play(
+async def run_with_faults(
     deployment: Deployment,
     seconds: float,
     *,
-    trouble_every: float = 0.0,
+    planner_fault_every: float = 0.0,
     drain_every: float = 0.0,
     restart_front_every: float = 0.0,
 ) -> dict[str, Any]:
-    """Starts a deployment, sends it traffic and trouble, ends it, and tells what happened."""
+    """Runs a deployment with traffic and periodic faults, stops it and returns the figures."""
     loop = asyncio.get_running_loop()
     try:
         await deployment.start()
         until = loop.time() + seconds
         faults: list[asyncio.Task[None]] = []
-        if trouble_every > 0 and deployment.shape.planners:
-            faults.append(asyncio.create_task(deployment.trouble_planners(trouble_every, until)))
+        if planner_fault_every > 0 and deployment.shape.planners:
+            faults.append(asyncio.create_task(deployment.disturb_planners(planner_fault_every, until)))
         if drain_every > 0:
-            faults.append(asyncio.create_task(deployment.drain_by_turns(drain_every, until)))
+            faults.append(asyncio.create_task(deployment.drain_in_rotation(drain_every, until)))
         if restart_front_every > 0:
             faults.append(asyncio.create_task(restart_fronts(deployment, restart_front_every, until)))
         await deployment.traffic.run(seconds)
@@ -431,16 +458,17 @@
     finally:
         deployment.close()
     counts = deployment.audit.counts
-    told: dict[str, Any] = deployment.audit.figures()
+    figures: dict[str, Any] = deployment.audit.figures()
     for name in ("planner_kills", "planner_pauses", "front_kills", "drains", "no_front"):
         if counts[name]:
-            told[name] = counts[name]
-    told["bad_ends"] = codes
-    told["breaches"] = deployment.audit.breaches[:10]
-    return told
+            figures[name] = counts[name]
+    figures["bad_ends"] = codes
+    figures["breaches"] = deployment.audit.breaches[:10]
+    return figures
 
 
 async def restart_fronts(deployment: Deployment, every: float, until: float) -> None:
+    """Kills and restarts the fronts in rotation until the loop's time `until`."""
     loop, turn = asyncio.get_running_loop(), 0
     while loop.time() + 2 * every < until:
         await asyncio.sleep(every)
--- a/embersill/rig/playing.py
+++ b/embersill/rig/playing.py
@@ -86,7 +86,7 @@
             if self.scenario.drain_every > 0:
                 tasks.append(
                     asyncio.ensure_future(
-                        deployment.drain_by_turns(self.scenario.drain_every, began + self.scenario.seconds)
+                        deployment.drain_in_rotation(self.scenario.drain_every, began + self.scenario.seconds)
                     )
                 )
             if meanwhile is not None:
@@ -171,7 +171,7 @@
 
     def disk(self, fault: FaultTable, name: str) -> None:
         """Changes the state directory of a stopped process as the fault asks, before it starts again."""
-        state = self.deployment.state_of(name)
+        state = self.deployment.state_dir(name)
         if fault.disk == "keep" or not state.exists():
             return
         if fault.disk == "old":
--- a/tests/council/test_processes.py
+++ b/tests/council/test_processes.py
@@ -226,15 +226,15 @@
 
 def test_all_members_are_killed_at_once_and_three_of_five_disks_are_not_what_they_were() -> None:
     async def test(deployment: Deployment) -> None:
-        old = deployment.state_of("p1").with_name("yesterday")
+        old = deployment.state_dir("p1").with_name("yesterday")
         await deployment.copy_state("p1", old)
         await asyncio.sleep(1.5)
         number = max(deployment.billing.owners, default=0)
         await asyncio.gather(*(member.kill() for member in deployment.planners()))
-        shutil.rmtree(deployment.state_of("p1"))
-        shutil.copytree(old, deployment.state_of("p1"))  # yesterday's
-        shutil.rmtree(deployment.state_of("p2"))  # none
-        with open(deployment.state_of("p3") / "council", "r+b") as file:  # a torn last record
+        shutil.rmtree(deployment.state_dir("p1"))
+        shutil.copytree(old, deployment.state_dir("p1"))  # yesterday's
+        shutil.rmtree(deployment.state_dir("p2"))  # none
+        with open(deployment.state_dir("p3") / "council", "r+b") as file:  # a torn last record
             file.seek(0, 2)
             file.write(b"\x93EJ1\0\0\0\x40torn")
         await asyncio.gather(*(member.start() for member in deployment.planners()))
--- a/tests/tiers/test_links.py
+++ b/tests/tiers/test_links.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from embersill.rig.deployment import Deployment, Shape, play
+from embersill.rig.deployment import Deployment, Shape, run_with_faults
 from embersill.rig.playing import RULES
 from embersill.rig.processes import free_ports
 from embersill.rig.settings import lab_settings
@@ -216,7 +216,7 @@
 
 async def played(deployment: Deployment, seconds: float, **trouble: float) -> dict[str, object]:
     async with asyncio.timeout(seconds + 4 * SOON):
-        return await play(deployment, seconds, **trouble)
+        return await run_with_faults(deployment, seconds, **trouble)
 
 
 def runs(test: object) -> None:
@@ -229,7 +229,7 @@
 def test_planners_that_are_killed_and_paused_break_no_rule() -> None:
     async def test() -> None:
         deployment = Deployment(shape())
-        told = await played(deployment, 7.0, trouble_every=1.2, drain_every=0.7)
+        told = await played(deployment, 7.0, planner_fault_every=1.2, drain_every=0.7)
         assert not broken(told) and not told["bad_ends"], told
         assert deployment.audit.counts["planner_kills"] and deployment.audit.counts["planner_pauses"]
         # and by the simulation's checkers, on what clients and backends saw
