--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -19,7 +19,14 @@
 
 from embersill.rig.billing import BillingBehaviour
 from embersill.rig.deployment import Deployment, Shape
-from embersill.rig.ownership import Claims, judge_billing, listen, owner_of, wait_booked, wait_owner
+from embersill.rig.ownership import (
+    OwnershipLog,
+    judge_billing,
+    owner_of,
+    record_ownership,
+    wait_exported,
+    wait_owner,
+)
 from embersill.rig.playing import COUNCIL_TABLES, RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, Scenario, ShapeTable
 from embersill.rig.standins import BackendBehaviour
@@ -62,12 +69,12 @@
         deployment.billing.behaviour = billing
     player = ScenarioRun(made, deployment)
     told: dict[str, Any] = {}
-    claims: list[Claims] = []
+    claims: list[OwnershipLog] = []
 
     async def meanwhile(deployment: Deployment) -> None:
         loop = asyncio.get_running_loop()
         await wait_owner(deployment, "export")
-        claims.append(listen(deployment))
+        claims.append(record_ownership(deployment))
         began = loop.time()
         while kill_every and loop.time() < began + seconds - kill_every - 3.0:
             await asyncio.sleep(kill_every)
@@ -75,7 +82,7 @@
             if owner:
                 told["kills"] = told.get("kills", 0) + 1
                 member = deployment.members[owner]
-                claims[0].killed.append((loop.time(), owner))
+                claims[0].kills.append((loop.time(), owner))
                 await member.kill()
                 await asyncio.sleep(1.0)
                 await member.start()
@@ -91,7 +98,7 @@
 
     async def stop() -> dict[str, int]:
         try:
-            await wait_booked(deployment, 30.0)
+            await wait_exported(deployment, 30.0)
         except TimeoutError:
             told["not_booked"] = {m.name: m.status.get("export") for m in deployment.planners()}
         statuses = {m.name: m.status for m in deployment.planners()}
--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -33,7 +33,7 @@
 
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.hall import CORE, Backend, Hall
-from embersill.rig.ownership import judge_billing, wait_booked, wait_owner, wait_writer
+from embersill.rig.ownership import judge_billing, wait_exported, wait_owner, wait_writer
 from embersill.rig.playing import COUNCIL_TABLES, RULES
 from embersill.rig.processes import Member
 from embersill.rig.standins import BackendBehaviour
@@ -326,7 +326,7 @@
         await deployment.traffic.wait_answered(8.0)
         if council:
             await wait_owner(deployment, "export")
-            await wait_booked(deployment)
+            await wait_exported(deployment)
         codes = await deployment.stop()
     finally:
         deployment.close()
--- a/embersill/rig/clerks.py
+++ b/embersill/rig/clerks.py
@@ -1,8 +1,8 @@
-"""Members of a council as processes that do nothing but read and write its register, and say what they found.
+"""Council members as processes that only read and write the replicated register and print what they read.
 
-`python -m embersill.rig.clerks FILE` is one of them. It prints a line as each operation begins and one as it
-ends, with the machine's monotonic clock, which all processes share: what they print together is a history
-that can be judged, and one that is killed leaves an operation of which nobody knows whether it took effect.
+`python -m embersill.rig.clerks FILE` runs one of them. It prints a line when an operation begins and one when
+it ends, with the machine's monotonic clock, which all processes share. Their lines together are a history to
+check for linearizability; a process that is killed leaves an operation of unknown effect.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 from embersill.world.histories import Op
 
 KEYS = ("k0", "k1", "k2")
-EVERY = 0.02  # seconds between operations, on the mean
+MEAN_OPERATION_INTERVAL_S = 0.02
 
 
-class Told(msgspec.Struct, forbid_unknown_fields=True):
-    """What a clerk is told. `stale`: it answers reads from memory, which a checker has to notice."""
+class WorkerConfig(msgspec.Struct, forbid_unknown_fields=True):
+    """Settings of a worker. `stale`: it answers reads from its cache, which the checker has to notice."""
 
     name: str
     members: dict[str, tuple[str, int]]
@@ -44,34 +44,39 @@
     stale: bool = False
 
 
-class Clerk:
-    def __init__(self, told: Told) -> None:
-        self.told = told
-        council = Council(Path(told.state), told.members, CouncilTerms(), None, None, {})
-        self.chair = Chair(council, told.name, b"k" * 32, start_clock())
-        self.chance = random.Random(f"{told.seed} {told.name} {time.monotonic()}")
-        self.numbers = 0
+class RegisterWorker:
+    """One process: starts operations on the register and prints their beginnings and ends."""
+
+    def __init__(self, config: WorkerConfig) -> None:
+        self.config = config
+        council = Council(Path(config.state), config.members, CouncilTerms(), None, None, {})
+        self.chair = Chair(council, config.name, b"k" * 32, start_clock())
+        self.rng = random.Random(f"{config.seed} {config.name} {time.monotonic()}")
+        self.operation_count = 0
         self.cache: dict[str, str | None] = {}
 
-    def say(self, **line: object) -> None:
-        print(json.dumps({"name": self.told.name, "at": time.monotonic(), **line}), flush=True)
+    def print_event(self, **line: object) -> None:
+        """Prints an event as a JSON line with the time."""
+        print(json.dumps({"name": self.config.name, "at": time.monotonic(), **line}), flush=True)
 
     async def run(self) -> None:
+        """Starts operations until the process is killed."""
         await self.chair.start()
         while True:
-            await asyncio.sleep(EVERY * 2 * self.chance.random())
-            self.one()
+            await asyncio.sleep(MEAN_OPERATION_INTERVAL_S * 2 * self.rng.random())
+            self.start_operation()
 
-    def one(self) -> None:
-        self.numbers += 1
-        number, key = f"{self.told.name}.{self.chance.getrandbits(48):x}", self.chance.choice(KEYS)
-        writes = self.chance.random() < 0.4
-        values: dict[str, str | None] = {}  # what was written, and what it was put in place of
+    def start_operation(self) -> None:
+        """Starts a read or a write of a random key."""
+        self.operation_count += 1
+        operation, key = f"{self.config.name}.{self.rng.getrandbits(48):x}", self.rng.choice(KEYS)
+        writes = self.rng.random() < 0.4
+        written: dict[str, str | None] = {}  # each value written, and the value that it replaced
 
         def change(entry: Entry | None) -> bytes:
-            value = f"{number}.{len(values)}"
-            values[value] = None if entry is None else entry.data.decode()
-            self.say(op=number, key=key, writes=value, found=values[value])
+            value = f"{operation}.{len(written)}"
+            written[value] = None if entry is None else entry.data.decode()
+            self.print_event(op=operation, key=key, writes=value, found=written[value])
             return value.encode()
 
         def done(result: Result, now: float) -> None:
@@ -79,14 +84,14 @@
             if result.how is How.DONE:
                 self.cache.setdefault(key, found)
             if result.how is How.DONE and writes:
-                self.say(op=number, key=key, end="done", value=found, found=values[found or ""])
+                self.print_event(op=operation, key=key, end="done", value=found, found=written[found or ""])
             elif result.how is How.DONE:
-                found = self.cache[key] if self.told.stale else found
-                self.say(op=number, key=key, end="done", found=found)
+                found = self.cache[key] if self.config.stale else found
+                self.print_event(op=operation, key=key, end="done", found=found)
             else:
-                self.say(op=number, key=key, end=result.how.value)
+                self.print_event(op=operation, key=key, end=result.how.value)
 
-        self.say(op=number, key=key, begin="write" if writes else "read")
+        self.print_event(op=operation, key=key, begin="write" if writes else "read")
         if writes:
             self.chair.seat.member.write(key, change, done, self.chair.clock())
         else:
@@ -94,8 +99,8 @@
         self.chair.send()
 
 
-class Clerks:
-    """Some of them, with a relay on each way between two, and the history that they tell."""
+class RegisterCluster:
+    """Several worker processes with a relay on each link between two, and the history that they print."""
 
     def __init__(self, count: int, seed: int, stale: str = "") -> None:
         self.names = [f"m{n}" for n in range(count)]
@@ -106,30 +111,34 @@
         self.lines: list[dict[str, object]] = []
 
     async def start(self) -> None:
+        """Starts the relays and the processes."""
         ports = dict(zip(self.names, free_ports(len(self.names)), strict=True))
-        for one in self.names:
-            for other in self.names:
-                if one != other:
+        for sender in self.names:
+            for receiver in self.names:
+                if sender != receiver:
                     relay = Relay(
-                        f"{one}>{other}",
-                        lambda port=ports[other]: (HOST, port),  # type: ignore[misc]
+                        f"{sender}>{receiver}",
+                        lambda port=ports[receiver]: (HOST, port),  # type: ignore[misc]
                         self.seed,
                     )
                     self.relays[relay.name] = relay
                     await relay.start()
         for name in self.names:
-            told = {
+            config = {
                 "name": name,
                 "state": f"{self.folder.name}/{name}",
                 "seed": self.seed,
                 "stale": name == self.stale,
                 "members": {
-                    other: [HOST, ports[name] if other == name else self.relays[f"{name}>{other}"].port]
-                    for other in self.names
+                    receiver: [
+                        HOST,
+                        ports[name] if receiver == name else self.relays[f"{name}>{receiver}"].port,
+                    ]
+                    for receiver in self.names
                 },
             }
             path = Path(self.folder.name) / f"{name}.json"
-            path.write_text(json.dumps(told))
+            path.write_text(json.dumps(config))
             member = Member(name, "clerk", [sys.executable, "-m", "embersill.rig.clerks", str(path)], {})
             member.environ = {"PYTHONPATH": str(Path(__file__).parents[2]), "PATH": "/usr/bin:/bin"}
             member.on_status = lambda member: self.lines.append(member.status)
@@ -137,6 +146,7 @@
         await asyncio.gather(*(member.start() for member in self.members.values()))
 
     def close(self) -> None:
+        """Kills the processes and closes the relays."""
         for member in self.members.values():
             member.kill_now()
         for relay in self.relays.values():
@@ -144,23 +154,23 @@
         self.folder.cleanup()
 
     def histories(self) -> dict[str, list[Op]]:
-        """By key, what was told so far."""
+        """Operations so far, by key."""
         begun: dict[str, tuple[str, float]] = {}
-        tried: dict[str, list[tuple[str | None, str]]] = {}
+        attempted: dict[str, list[tuple[str | None, str]]] = {}
         ended: dict[str, dict[str, object]] = {}
         for line in self.lines:
-            number = str(line["op"])
+            operation = str(line["op"])
             if "begin" in line:
-                begun[number] = str(line["key"]), float(str(line["at"]))
+                begun[operation] = str(line["key"]), float(str(line["at"]))
             elif "writes" in line:
                 found = line["found"]
                 pair = None if found is None else str(found), str(line["writes"])
-                tried.setdefault(number, []).append(pair)
+                attempted.setdefault(operation, []).append(pair)
             else:
-                ended[number] = line
-        made: dict[str, list[Op]] = {}
-        for number, (key, at) in begun.items():
-            ops, end = made.setdefault(key, []), ended.get(number)
+                ended[operation] = line
+        histories: dict[str, list[Op]] = {}
+        for operation, (key, at) in begun.items():
+            ops, end = histories.setdefault(key, []), ended.get(operation)
             if end is not None and end["end"] == "done":
                 found, value = end["found"], end.get("value")
                 ops.append(
@@ -172,12 +182,16 @@
                     )
                 )
             elif end is None or end["end"] == "unknown":
-                ops += [Op(at, math.inf, found, value, sure=False) for found, value in tried.get(number, ())]
-        return made
+                ops += [
+                    Op(at, math.inf, found, value, sure=False)
+                    for found, value in attempted.get(operation, ())
+                ]
+        return histories
 
 
 async def main(path: str) -> None:
-    await Clerk(msgspec.json.decode(Path(path).read_bytes(), type=Told)).run()
+    """Runs the worker that a settings file describes."""
+    await RegisterWorker(msgspec.json.decode(Path(path).read_bytes(), type=WorkerConfig)).run()
 
 
 if __name__ == "__main__":
--- a/embersill/rig/ownership.py
+++ b/embersill/rig/ownership.py
@@ -1,4 +1,4 @@
-"""Who owned what in a deployment with a council: by what receivers took, and what processes said."""
+"""Ownership of offices in a deployment with a council: by status reports, and by what billing accepted."""
 
 from __future__ import annotations
 
@@ -11,28 +11,32 @@
 from embersill.rig.deployment import Deployment
 from embersill.rig.processes import Member
 
-LOOK_EVERY = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 @dataclass(slots=True)
-class Claims:
-    """What processes say: until when who holds an office, as far as was heard."""
+class OwnershipLog:
+    """Leases of offices, as the processes' status lines report them."""
 
-    spans: dict[str, list[tuple[float, float, str]]] = field(default_factory=dict)  # from, until, whose
-    killed: list[tuple[float, str]] = field(default_factory=list)  # when, who
+    leases: dict[str, list[tuple[float, float, str]]] = field(default_factory=dict)  # start, end, holder
+    kills: list[tuple[float, str]] = field(default_factory=list)  # time and process
 
-    def heard(self, member: Member) -> None:
+    def record_status(self, member: Member) -> None:
+        """Records the leases in a process's latest status."""
         now = asyncio.get_running_loop().time()
         for office in member.status.get("offices", ()):
             if office["held"]:
-                self.spans.setdefault(office["name"], []).append((now, now + office["left"], member.name))
+                self.leases.setdefault(office["name"], []).append((now, now + office["left"], member.name))
 
     def gaps(self, office: str, begin: float, end: float) -> list[float]:
-        """How long nobody that lived held it, each time; else a lease is taken to be used to its end."""
+        """Lengths of the times in which no living process held an office.
+
+        A lease counts to its end, unless its holder was killed before.
+        """
         found: list[float] = []
         covered = begin
-        for start, until, name in sorted(self.spans.get(office, ())):
-            deaths = [when for when, who in self.killed if who == name and start <= when < until]
+        for start, until, name in sorted(self.leases.get(office, ())):
+            deaths = [at for at, killed in self.kills if killed == name and start <= at < until]
             until = min([until, *deaths])
             if start > covered and start <= end:
                 found.append(start - covered)
@@ -42,52 +46,54 @@
         return found
 
     def changes(self, office: str) -> int:
-        """How often another than before was heard to hold it."""
-        names = [name for _, _, name in sorted(self.spans.get(office, ()))]
+        """How often a reported holder differs from the one before."""
+        names = [name for _, _, name in sorted(self.leases.get(office, ()))]
         return sum(a != b for a, b in zip(names, names[1:], strict=False))
 
 
-def listen(deployment: Deployment) -> Claims:
-    """From now on what processes say is kept."""
-    claims = Claims()
+def record_ownership(deployment: Deployment) -> OwnershipLog:
+    """Records the status lines of all processes from now on."""
+    log = OwnershipLog()
     for member in deployment.members.values():
-        member.on_status = claims.heard
-    return claims
+        member.on_status = log.record_status
+    return log
 
 
 def owner_of(deployment: Deployment, office: str) -> str:
-    """Who said last that it holds an office; empty if nobody does."""
+    """A running process that reports that it holds an office; empty if none does."""
     for member in deployment.members.values():
         if member.running and not member.suspended:
-            for told in member.status.get("offices", ()):
-                if told["name"] == office and told["held"]:
+            for office_status in member.status.get("offices", ()):
+                if office_status["name"] == office and office_status["held"]:
                     return member.name
     return ""
 
 
-async def wait_owner(deployment: Deployment, office: str, other_than: str = "", within: float = 30.0) -> str:
-    """Who holds an office as soon as somebody does; TimeoutError if nobody does in time."""
-    async with asyncio.timeout(within):
+async def wait_owner(
+    deployment: Deployment, office: str, other_than: str = "", timeout_s: float = 30.0
+) -> str:
+    """Waits for a holder of an office other than `other_than`; raises TimeoutError."""
+    async with asyncio.timeout(timeout_s):
         while (found := owner_of(deployment, office)) in ("", other_than):
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
     return found
 
 
-async def wait_writer(deployment: Deployment, within: float = 30.0) -> str:
-    """The exporter, once billing has taken a call under its newest number; TimeoutError if none comes."""
+async def wait_writer(deployment: Deployment, timeout_s: float = 30.0) -> str:
+    """Waits for an exporter whose number is the newest that billing has accepted; raises TimeoutError."""
     billing = deployment.billing
-    async with asyncio.timeout(within):
+    async with asyncio.timeout(timeout_s):
         while True:
             owner = owner_of(deployment, "export")
             writer, _, _ = billing.owners.get(billing.highest_number, "").partition("/")
             if owner and writer == owner:
                 return owner
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def wait_booked(deployment: Deployment, within: float = 30.0) -> None:
-    """Until all planners' use is booked, and they know it."""
-    async with asyncio.timeout(within):
+async def wait_exported(deployment: Deployment, timeout_s: float = 30.0) -> None:
+    """Waits until all planners' usage is stored by billing and confirmed; raises TimeoutError."""
+    async with asyncio.timeout(timeout_s):
         while any(
             m.running
             and (
@@ -97,27 +103,27 @@
             for m in deployment.members.values()
             if m.role == "planner"
         ):
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def judge_billing(billing: StandInBilling) -> dict[str, Any]:
-    """What was booked, held against what has to be: each batch once, in order, and one owner at a time."""
+    """Checks the accepted appends: each batch once and in order, and one owner at a time."""
     last: dict[str, int] = {}
     twice = missing = late = 0
     units, highest = 0.0, 0
     owners: dict[int, str] = {}
-    for booked in billing.appends:
-        late += booked.number < highest
-        highest = max(highest, booked.number)
-        owners.setdefault(booked.number, booked.owner)
-        for batch in booked.body["batches"]:
-            before = last.get(batch["stream"], 0)
-            twice += batch["number"] <= before
-            missing += max(batch["number"] - before - 1, 0)
-            last[batch["stream"]] = max(before, batch["number"])
+    for append in billing.appends:
+        late += append.number < highest
+        highest = max(highest, append.number)
+        owners.setdefault(append.number, append.owner)
+        for batch in append.body["batches"]:
+            previous = last.get(batch["stream"], 0)
+            twice += batch["number"] <= previous
+            missing += max(batch["number"] - previous - 1, 0)
+            last[batch["stream"]] = max(previous, batch["number"])
             units += sum(u for _, _, u in batch["uses"])
-    at_once: Counter[int] = Counter(
-        booked.number for booked in billing.appends if owners[booked.number] != booked.owner
+    shared_numbers: Counter[int] = Counter(
+        append.number for append in billing.appends if owners[append.number] != append.owner
     )
     return {
         "appends": len(billing.appends),
@@ -128,5 +134,5 @@
         "exported_out_of_order": missing,
         "late_effects_taken": late,
         "late_effects_refused": billing.counts["late_refused"],
-        "owners_at_once_most": 1 + (1 if at_once or billing.counts["two_owners"] or late else 0),
+        "owners_at_once_most": 1 + (1 if shared_numbers or billing.counts["two_owners"] or late else 0),
     }
--- a/tests/council/test_processes.py
+++ b/tests/council/test_processes.py
@@ -11,7 +11,14 @@
 
 from embersill.rig.billing import BillingBehaviour
 from embersill.rig.deployment import Deployment, Shape
-from embersill.rig.ownership import judge_billing, listen, owner_of, wait_booked, wait_owner, wait_writer
+from embersill.rig.ownership import (
+    judge_billing,
+    record_ownership,
+    owner_of,
+    wait_exported,
+    wait_owner,
+    wait_writer,
+)
 from embersill.rig.playing import COUNCIL_TABLES, RULES
 from embersill.rig.relay import Direction, LinkFault, LinkFaultKind
 from embersill.rig.standins import BackendBehaviour
@@ -51,7 +58,7 @@
                 await deployment.traffic.wait_answered(8.0)
                 await wait_owner(deployment, "export")
                 if not lost_disks:
-                    await wait_booked(deployment)
+                    await wait_exported(deployment)
                 codes = await deployment.stop()
         finally:
             deployment.close()
@@ -161,7 +168,7 @@
     taken: list[int] = []
 
     async def test(deployment: Deployment) -> None:
-        claims = listen(deployment)
+        claims = record_ownership(deployment)
         laid = [
             (name, await deployment.relays[name].add_fault(LinkFault(LinkFaultKind.CUT)))
             for name in ("p0>p2", "p2>p0")
@@ -172,7 +179,7 @@
         for name, number in laid:
             await deployment.relays[name].remove_fault(number)
         await asyncio.sleep(0.5)
-        claims = listen(deployment)
+        claims = record_ownership(deployment)
         mute = await wait_owner(deployment, "export")
         laid = [
             (f"{mute}>{b}", await swallowed(deployment, f"{mute}>{b}", Direction.UP))
