--- a/benchmarks/lapse.py
+++ b/benchmarks/lapse.py
@@ -22,7 +22,7 @@
 
 from embersill.lab.edge.lapsing import TROUBLES, WAYS, measured, play
 from embersill.lab.edge.town import at_part
-from embersill.rig.hall import Answered, Hall
+from embersill.rig.hall import GatewayCluster, RequestResult
 
 HALL_TENANTS = {"lapsed": (60.0, 60.0), "dispatch": (60.0, 60.0)}
 HALL_ASKED = {"lapsed": 90.0, "dispatch": 40.0}  # requests a second
@@ -36,18 +36,20 @@
     return {"gateways": gateways, "trouble": trouble, "way": way, "seed": seed, **measured(played, without)}
 
 
-async def callers(hall: Hall, tenant: str, per_s: float, until: float, book: list[Answered]) -> None:
+async def callers(
+    cluster: GatewayCluster, tenant: str, per_s: float, until: float, book: list[RequestResult]
+) -> None:
     """Tries by chance, at gateways that get uneven parts, half of them on connections of their own."""
     chance, open_ones = random.Random(tenant), set[asyncio.Task[None]]()
-    weights = [1 + number % 3 for number in range(hall.size)]
+    weights = [1 + number % 3 for number in range(cluster.size)]
 
     async def ask(number: int, gateway: int) -> None:
         route = "order" if number % 4 == 0 else "ask"
-        book.append(await hall.ask(tenant, gateway, route, fresh=number % 2 == 0))
+        book.append(await cluster.send_request(tenant, gateway, route, fresh=number % 2 == 0))
 
     number = 0
     while time.monotonic() < until:
-        task = asyncio.create_task(ask(number, chance.choices(range(hall.size), weights)[0]))
+        task = asyncio.create_task(ask(number, chance.choices(range(cluster.size), weights)[0]))
         open_ones.add(task)
         task.add_done_callback(open_ones.discard)
         number += 1
@@ -56,19 +58,19 @@
 
 
 async def in_a_hall(gateways: int) -> dict[str, Any]:
-    book: list[Answered] = []
+    book: list[RequestResult] = []
     with tempfile.TemporaryDirectory() as folder:
-        async with Hall(Path(folder), gateways, tenants=HALL_TENANTS) as hall:
+        async with GatewayCluster(Path(folder), gateways, tenants=HALL_TENANTS) as cluster:
             began = time.monotonic()
             until = began + HALL_CALM + HALL_STEP * len(HALL_SHARES)
             calling = [
-                asyncio.create_task(callers(hall, name, rate, until, book))
+                asyncio.create_task(callers(cluster, name, rate, until, book))
                 for name, rate in HALL_ASKED.items()
             ]
             await asyncio.sleep(HALL_CALM)
             ladder = [{"share": share, "lasts_s": HALL_STEP} for share in HALL_SHARES]
             ordered_at = time.monotonic()
-            status, told = await hall.control(
+            status, told = await cluster.control(
                 gateways - 1,
                 "PUT",
                 "/api/lapses/lapsed",
@@ -77,22 +79,22 @@
             if status != 200:
                 raise RuntimeError(f"the order was answered {status}: {told}")
             await asyncio.gather(*calling)
-            _, report = await hall.control(0, "GET", "/api/lapses/lapsed")
+            _, report = await cluster.control(0, "GET", "/api/lapses/lapsed")
             return {
-                **hall_figures(book, ordered_at, gateways),
-                "doubled": sum(count > 1 for count in hall.ran().values()),
+                **cluster_figures(book, ordered_at, gateways),
+                "doubled": sum(count > 1 for count in cluster.run_counts().values()),
                 "report": report,
             }
 
 
-def hall_figures(book: list[Answered], ordered_at: float, gateways: int) -> dict[str, Any]:
+def cluster_figures(book: list[RequestResult], ordered_at: float, gateways: int) -> dict[str, Any]:
     found: dict[str, Any] = {"lost": sum(one.status in (0, 502, 504) for one in book)}
     others = [one for one in book if one.tenant != "lapsed"]
     for name, asked in (
-        ("before", [one for one in others if one.asked_at < ordered_at]),
-        ("during", [one for one in others if one.asked_at >= ordered_at]),
+        ("before", [one for one in others if one.sent_at < ordered_at]),
+        ("during", [one for one in others if one.sent_at >= ordered_at]),
     ):
-        took = sorted(one.took for one in asked if one.status == 200)
+        took = sorted(one.duration_s for one in asked if one.status == 200)
         found[f"others_served_{name}"] = round(len(took) / max(len(asked), 1), 4)
         found[f"others_p99_ms_{name}"] = round(1000 * at_part(took, 0.99), 1)
     for step, share in enumerate(HALL_SHARES):
@@ -100,7 +102,7 @@
         asked = [
             one
             for one in book
-            if one.tenant == "lapsed" and since <= one.asked_at < since + HALL_STEP - HALL_SETTLES - 0.5
+            if one.tenant == "lapsed" and since <= one.sent_at < since + HALL_STEP - HALL_SETTLES - 0.5
         ]
         by_gateway = [[one for one in asked if one.gateway == number] for number in range(gateways)]
         parts = [
--- a/benchmarks/linked.py
+++ b/benchmarks/linked.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from benchmarks.linked_gateways import Report
-from embersill.rig.hall import CORE, Hall
+from embersill.rig.hall import CORE_GATEWAYS, GatewayCluster
 from embersill.rig.processes import processor_time, resident_kb
 
 SIZES = (30, 100, 300, 1000)
@@ -53,8 +53,8 @@
 class Gateways:
     """The hollow gateways of one run, in several processes that report what theirs have."""
 
-    def __init__(self, hall: Hall, count: int, processes: int) -> None:
-        self.hall, self.count, self.processes = hall, count, processes
+    def __init__(self, system: GatewayCluster, count: int, processes: int) -> None:
+        self.system, self.count, self.processes = system, count, processes
         self.running: list[asyncio.subprocess.Process] = []
         self.readers: list[asyncio.Task[None]] = []
         self.reports: dict[int, Report] = {}  # the latest of each process
@@ -66,7 +66,10 @@
             first = number * self.count // self.processes
             part = (number + 1) * self.count // self.processes - first
             command = [sys.executable, "-m", "benchmarks.linked_gateways", str(first), str(part)]
-            command += [str(self.hall.ports[3]), *(self.hall.ip(member) for member in range(CORE))]
+            command += [
+                str(self.system.ports[3]),
+                *(self.system.ip(member) for member in range(CORE_GATEWAYS)),
+            ]
             process = await asyncio.create_subprocess_exec(*command, stdout=asyncio.subprocess.PIPE)
             self.running.append(process)
             self.readers.append(asyncio.create_task(self.read(number, process)))
@@ -110,21 +113,21 @@
 
 
 @asynccontextmanager
-async def cluster(count: int, processes: int) -> AsyncIterator[tuple[Hall, Gateways]]:
+async def cluster(count: int, processes: int) -> AsyncIterator[tuple[GatewayCluster, Gateways]]:
     """Three members with a configuration in force, and hollow gateways that are being started."""
     with tempfile.TemporaryDirectory(prefix="embersill-linked-") as folder:
-        async with Hall(Path(folder), size=CORE, backends=3) as hall:
-            gateways = Gateways(hall, count, processes)
+        async with GatewayCluster(Path(folder), size=CORE_GATEWAYS, backends=3) as system:
+            gateways = Gateways(system, count, processes)
             try:
                 await gateways.start()
-                yield hall, gateways
+                yield system, gateways
             finally:
                 await gateways.stop()
 
 
-async def calm(hall: Hall) -> tuple[float, float, float]:
+async def calm(system: GatewayCluster) -> tuple[float, float, float]:
     """A member's share of a core, bytes of memory and descriptors, mean over the members."""
-    pids = [member.process.pid for member in hall.gateways if member.process is not None]
+    pids = [member.process.pid for member in system.gateways if member.process is not None]
     before = [sum(processor_time(pid)) for pid in pids]
     began = time.monotonic()
     await asyncio.sleep(CALM_SECONDS)
@@ -134,11 +137,11 @@
     return sum(spent) / len(pids) / took, memory, sum(map(descriptors, pids)) / len(pids)
 
 
-async def change(hall: Hall, gateways: Gateways, version: int) -> tuple[float, float]:
+async def change(system: GatewayCluster, gateways: Gateways, version: int) -> tuple[float, float]:
     """Seconds from an operator's call until its change is in force at half of the gateways, and at all."""
     began = time.monotonic()
-    body = hall.configuration(version, version - 1)
-    status, told = await hall.control(version % CORE, "PUT", "/api/configuration", body)
+    body = system.configuration(version, version - 1)
+    status, told = await system.control(version % CORE_GATEWAYS, "PUT", "/api/configuration", body)
     if status != 200:
         raise RuntimeError(f"version {version} was answered {status}: {told}")
     await until(lambda: len(gateways.had(version)) == gateways.count)
@@ -146,29 +149,29 @@
     return times[len(times) // 2] - began, times[-1] - began
 
 
-async def member_back(hall: Hall, gateways: Gateways) -> float:
+async def member_back(system: GatewayCluster, gateways: Gateways) -> float:
     """Seconds from the start of a member that was killed until all gateways are linked to it."""
-    member = hall.gateways[-1]
+    member = system.gateways[-1]
     await member.kill()
-    await until(lambda: gateways.links == gateways.count * (CORE - 1))
+    await until(lambda: gateways.links == gateways.count * (CORE_GATEWAYS - 1))
     began = time.monotonic()
     await member.start()
-    await until(lambda: gateways.links == gateways.count * CORE)
+    await until(lambda: gateways.links == gateways.count * CORE_GATEWAYS)
     return time.monotonic() - began
 
 
 async def measure(count: int, processes: int) -> Measured:
     """One size of the cluster."""
-    async with cluster(count, processes) as (hall, gateways):
+    async with cluster(count, processes) as (system, gateways):
         began = time.monotonic()
-        await until(lambda: gateways.links == count * CORE)
+        await until(lambda: gateways.links == count * CORE_GATEWAYS)
         linking = time.monotonic() - began
         await asyncio.sleep(SETTLED_SECONDS)
-        processor, memory, open_files = await calm(hall)
-        changes = [await change(hall, gateways, version) for version in range(2, 2 + CHANGES)]
+        processor, memory, open_files = await calm(system)
+        changes = [await change(system, gateways, version) for version in range(2, 2 + CHANGES)]
         halves = sorted(half for half, _ in changes)
         slowest = max(everywhere for _, everywhere in changes)
-        back = await member_back(hall, gateways)
+        back = await member_back(system, gateways)
     middle = halves[len(halves) // 2]
     return Measured(count, processor, memory, open_files, linking, middle, slowest, back)
 
--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -32,7 +32,7 @@
 import uvloop
 
 from embersill.rig.deployment import Deployment, Shape
-from embersill.rig.hall import CORE, Backend, Hall
+from embersill.rig.hall import CORE_GATEWAYS, Backend, GatewayCluster
 from embersill.rig.ownership import judge_billing, wait_exported, wait_owner, wait_writer
 from embersill.rig.playing import COUNCIL_TABLES, RULES
 from embersill.rig.processes import Member
@@ -86,7 +86,7 @@
             self.seen[name] = seen
 
 
-class BuildsHall(Hall):
+class BuildsCluster(GatewayCluster):
     """A system whose gateways are of several builds."""
 
     def __init__(self, folder: Path, builds: list[Path], new_system: bool = True) -> None:
@@ -95,30 +95,30 @@
         tenants = {"t": (200.0, 200.0), "u": (200.0, 200.0)}
         super().__init__(folder, len(builds), tenants=tenants, make_backend=self.new_backend)
 
-    def new_backend(self, hall: Hall, number: int) -> Backend:
+    def new_backend(self, cluster: GatewayCluster, number: int) -> Backend:
         """A backend under an id that no earlier system on these folders has seen."""
-        made = Backend(hall, number)
+        made = Backend(cluster, number)
         made.name = f"i-{'first' if self.new_system else 'second'}-{number}"
         return made
 
-    async def __aenter__(self) -> BuildsHall:
+    async def __aenter__(self) -> BuildsCluster:
         await super().__aenter__()
         return self
 
-    def member(self, number: int) -> Member:
+    def make_process(self, number: int) -> Member:
         """A gateway's process, of its own build."""
-        made = super().member(number)
+        made = super().make_process(number)
         made.environ.update(environment_of(self.builds[number]))
         return made
 
-    def settings(self, number: int, first: bool) -> Path:
+    def write_settings(self, number: int, first: bool) -> Path:
         """A gateway's settings; on folders that were written before it is not the system's first start."""
-        return super().settings(number, first and self.new_system)
+        return super().write_settings(number, first and self.new_system)
 
-    async def until_ready(self) -> None:
+    async def wait_ready(self) -> None:
         """Waits until all gateways are ready; brings the first configuration only to a new system."""
         if self.new_system:
-            return await super().until_ready()
+            return await super().wait_ready()
         async with asyncio.timeout(APPLY_TIMEOUT_S):
             for number in range(self.size):
                 while not await self.is_ready(number):
@@ -192,7 +192,9 @@
     async def serve_everywhere(self) -> list[int]:
         """Statuses of a request of each kind at each gateway."""
         answers = [
-            await self.ask("u", number, route) for number in range(self.size) for route in ("ask", "order")
+            await self.send_request("u", number, route)
+            for number in range(self.size)
+            for route in ("ask", "order")
         ]
         return [answer.status for answer in answers]
 
@@ -206,77 +208,85 @@
 async def play_state(checks: Checks, label: str, writer: Path, reader: Path) -> None:
     """One build writes the folders of a system, the other one starts on them."""
     with tempfile.TemporaryDirectory(prefix="two-builds-") as folder:
-        async with BuildsHall(Path(folder), [writer] * GATEWAYS) as hall:
-            checks.expect(f"{label}: change taken", await hall.change(3, 3, 1) == 200)
-            lapse = await hall.send_until_taken(4, "PUT", "/api/lapses/t", LAPSE)
+        async with BuildsCluster(Path(folder), [writer] * GATEWAYS) as cluster:
+            checks.expect(f"{label}: change taken", await cluster.change(3, 3, 1) == 200)
+            lapse = await cluster.send_until_taken(4, "PUT", "/api/lapses/t", LAPSE)
             checks.expect(f"{label}: order taken", lapse == 200, lapse)
-            rollout = await hall.send_until_taken(2, "PUT", "/api/rollout", ROLLOUT)
+            rollout = await cluster.send_until_taken(2, "PUT", "/api/rollout", ROLLOUT)
             checks.expect(f"{label}: staged policy taken", rollout == 200, rollout)
             pause = {"action": "pause", "by": "two_builds"}
             checks.expect(
                 f"{label}: staged policy paused",
-                await hall.send_until_taken(2, "PUT", "/api/rollout", pause) == 200,
+                await cluster.send_until_taken(2, "PUT", "/api/rollout", pause) == 200,
             )
-            checks.expect(f"{label}: in force at the writer's", await hall.wait_version(3))
+            checks.expect(f"{label}: in force at the writer's", await cluster.wait_version(3))
             await asyncio.sleep(1.0)
-            before = await hall.read(0)
-            checks.expect(f"{label}: the writer ends in order", await hall.end_in_order() == [0] * GATEWAYS)
-        async with BuildsHall(Path(folder), [reader] * GATEWAYS, new_system=False) as hall:
-            checks.expect(f"{label}: in force at the reader's", await hall.wait_version(3))
-            after = await hall.read_everywhere()
+            before = await cluster.read(0)
+            checks.expect(
+                f"{label}: the writer ends in order", await cluster.end_in_order() == [0] * GATEWAYS
+            )
+        async with BuildsCluster(Path(folder), [reader] * GATEWAYS, new_system=False) as cluster:
+            checks.expect(f"{label}: in force at the reader's", await cluster.wait_version(3))
+            after = await cluster.read_everywhere()
             digests = [{path: digest(body) for path, body in found.items()} for found in (before, *after)]
             same = all(found == digests[0] for found in digests) and set(digests[0]) == set(STORED_PATHS)
             stored = before["/api/lapses"] and before["/api/rollout"]["run"]
             checks.expect(f"{label}: same version, orders and policy", same and bool(stored), digests)
-            checks.expect(f"{label}: changes go on", await hall.change(1, 5, 3) == 200)
-            await hall.wait_served()
-            statuses = await hall.serve_everywhere()
+            checks.expect(f"{label}: changes go on", await cluster.change(1, 5, 3) == 200)
+            await cluster.wait_served()
+            statuses = await cluster.serve_everywhere()
             checks.expect(f"{label}: served", set(statuses) == {200}, statuses)
-            checks.expect(f"{label}: the reader ends in order", await hall.end_in_order() == [0] * GATEWAYS)
+            checks.expect(
+                f"{label}: the reader ends in order", await cluster.end_in_order() == [0] * GATEWAYS
+            )
 
 
 async def play_mixed(checks: Checks, label: str, most: Path, others: Path) -> None:
     """Three gateways of one build and two of the other, of each some with a disk and some without."""
     builds = [most, most, others, others, most]
     with tempfile.TemporaryDirectory(prefix="two-builds-") as folder:
-        async with BuildsHall(Path(folder), builds) as hall:
-            status = (await hall.control(4, "GET", "/api/status"))[1]
+        async with BuildsCluster(Path(folder), builds) as cluster:
+            status = (await cluster.control(4, "GET", "/api/status"))[1]
             members = sorted(status["members"])
-            checks.expect(f"{label}: elected", members == [f"g{n}" for n in range(CORE)], members)
+            checks.expect(f"{label}: elected", members == [f"g{n}" for n in range(CORE_GATEWAYS)], members)
             for version, gateway in ((3, 3), (5, 4), (7, 2), (9, 0)):
-                taken = await hall.change(gateway, version, version - 2)
+                taken = await cluster.change(gateway, version, version - 2)
                 checks.expect(f"{label}: change taken by g{gateway}", taken == 200, taken)
                 checks.expect(
-                    f"{label}: in force everywhere, from g{gateway}", await hall.wait_version(version)
+                    f"{label}: in force everywhere, from g{gateway}", await cluster.wait_version(version)
                 )
             for gateway in (3, 4):  # without a disk: the order and its answer go through a member
                 body = {**LAPSE, "by": f"g{gateway}"}
-                taken = await hall.send_until_taken(gateway, "PUT", f"/api/lapses/{'tu'[gateway - 3]}", body)
+                taken = await cluster.send_until_taken(
+                    gateway, "PUT", f"/api/lapses/{'tu'[gateway - 3]}", body
+                )
                 checks.expect(f"{label}: order by way of g{gateway}", taken == 200, taken)
                 restore = {"action": "restore", "by": "two_builds"}
-                await hall.send_until_taken(7 - gateway, "PUT", f"/api/lapses/{'tu'[gateway - 3]}", restore)
-            read = {digest(found) for found in await hall.read_everywhere()}
+                await cluster.send_until_taken(
+                    7 - gateway, "PUT", f"/api/lapses/{'tu'[gateway - 3]}", restore
+                )
+            read = {digest(found) for found in await cluster.read_everywhere()}
             checks.expect(f"{label}: all read the same", len(read) == 1, sorted(read))
-            statuses = await hall.serve_everywhere()
+            statuses = await cluster.serve_everywhere()
             checks.expect(f"{label}: served", set(statuses) == {200}, statuses)
-            await drain_backends(checks, label, hall)
-            codes = await hall.end_in_order()
+            await drain_backends(checks, label, cluster)
+            codes = await cluster.end_in_order()
             checks.expect(f"{label}: all end in order", codes == [0] * GATEWAYS, codes)
 
 
-async def drain_backends(checks: Checks, label: str, hall: BuildsHall) -> None:
+async def drain_backends(checks: Checks, label: str, cluster: BuildsCluster) -> None:
     """A backend leaves at a gateway of either build; no gateway sends it anything after a while."""
-    for backend, gateway in zip(hall.backends, (1, 3), strict=False):
-        backend.beating.cancel()
+    for backend, gateway in zip(cluster.backends, (1, 3), strict=False):
+        backend.heartbeat_task.cancel()
         async with asyncio.timeout(APPLY_TIMEOUT_S):
-            while not await backend.say(gateway, "draining"):
+            while not await backend.report_state(gateway, "draining"):
                 await asyncio.sleep(POLL_INTERVAL_S)
         await asyncio.sleep(1.0)
-        ran = sum(backend.ran.values())
-        statuses = [status for _ in range(4) for status in await hall.serve_everywhere()]
+        ran = sum(backend.run_counts.values())
+        statuses = [status for _ in range(4) for status in await cluster.serve_everywhere()]
         checks.expect(
             f"{label}: drained at g{gateway}",
-            set(statuses) == {200} and sum(backend.ran.values()) == ran,
+            set(statuses) == {200} and sum(backend.run_counts.values()) == ran,
             sorted(set(statuses)),
         )
 
--- a/embersill/rig/settings.py
+++ b/embersill/rig/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the lab's own deployments, in the platform's form."""
+"""Settings of test deployments, in the platform's format."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def settings_object(gateways: int) -> dict[str, Any]:
-    """The settings object of a gateway among `gateways`: three classes, three plans, one with a ceiling."""
+    """Settings document of one of `gateways` gateways: three classes, and three plans, one with a ceiling."""
 
     def plan(name: str, rate: float, burst: float, ceiling_rate: float, depth: float) -> dict[str, Any]:
         return {
@@ -24,14 +24,14 @@
             "overrun_cost": 1.0,
         }
 
-    def service(name: str, semantics: str, scope: str, aim: float) -> dict[str, Any]:
+    def service(name: str, semantics: str, scope: str, target_ms: float) -> dict[str, Any]:
         return {
             "name": name,
             "semantics": semantics,
             "dedup_scope": scope,
             "memory_span": 5000.0,
-            "aim": aim,
-            "deadline": 4 * aim,
+            "aim": target_ms,
+            "deadline": 4 * target_ms,
             "late_share": 0.2,
             "credit": 3.0,
             "stream": False,
@@ -80,9 +80,10 @@
     }
 
 
-# what a class allows once an attempt may have run, in the words of the rules' checkers
+# what a class allows once an attempt may have run, as the rule checkers name it
 RULE_WORDS = {Repeats.SAFE: "safe", Repeats.BY_KEY: "by key", Repeats.ONCE: "once"}
 
 
 def lab_settings(gateways: int) -> Settings:
+    """The same, parsed."""
     return read_settings(settings_object(gateways))
--- a/embersill/rig/soak/backends.py
+++ b/embersill/rig/soak/backends.py
@@ -6,7 +6,7 @@
 import contextlib
 from collections.abc import Callable
 
-from embersill.rig.hall import SLOTS, Backend, Hall
+from embersill.rig.hall import BACKEND_SLOTS, Backend, GatewayCluster
 from embersill.rig.soak.record import Drain, Run, RunEnd
 from embersill.rig.soak.schedule import BackendKind
 
@@ -22,9 +22,14 @@
     """One backend; each connection is served by a task, a request at a time."""
 
     def __init__(
-        self, hall: Hall, number: int, kind: BackendKind, runs: list[Run], clock: Callable[[], float]
+        self,
+        cluster: GatewayCluster,
+        number: int,
+        kind: BackendKind,
+        runs: list[Run],
+        clock: Callable[[], float],
     ) -> None:
-        super().__init__(hall, number)
+        super().__init__(cluster, number)
         self.kind, self.runs, self.clock = kind, runs, clock
         self.served, self.lives, self.first_name = 0, 1, self.name
         self.late: dict[asyncio.StreamWriter, str] = {}  # whose answer comes once more, by connection
@@ -34,39 +39,39 @@
         """Listens, and begins to say that it is there."""
         self.server = await asyncio.start_server(self.accepted, "127.0.0.1", 0, backlog=256)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
-        self.beating = asyncio.create_task(self.beat())
+        self.heartbeat_task = asyncio.create_task(self.send_heartbeats())
         self.flapping = asyncio.create_task(self.flap())
 
     async def flap(self) -> None:
         """Says nothing for some seconds, again and again, if that is its kind."""
         while self.kind is BackendKind.FLAPPING:
             await asyncio.sleep(FLAP_EVERY)
-            self.beating.cancel()
+            self.heartbeat_task.cancel()
             await asyncio.sleep(FLAP_FOR)
-            self.beating = asyncio.create_task(self.beat())
+            self.heartbeat_task = asyncio.create_task(self.send_heartbeats())
 
     async def drain(self, drains: list[Drain]) -> None:
         """Says that it leaves, serves on, leaves, and begins another life at another address."""
-        self.beating.cancel()
+        self.heartbeat_task.cancel()
         self.flapping.cancel()
         drain = Drain(self.name, 0.0)
         drains.append(drain)
-        gateway = self.hall.chance.randrange(self.hall.size)
+        gateway = self.cluster.rng.randrange(self.cluster.size)
         for number in range(DRAIN_TRIES):
-            if await self.say((gateway + number) % self.hall.size, "draining"):
+            if await self.report_state((gateway + number) % self.cluster.size, "draining"):
                 drain.acknowledged_at = self.clock()
                 break
             await asyncio.sleep(DRAIN_PAUSE)
         await asyncio.sleep(SERVES_ON)
-        await self.hall.control(gateway, "DELETE", f"/api/instances/{self.name}")
+        await self.cluster.control(gateway, "DELETE", f"/api/instances/{self.name}")
         await self.stop()
         self.lives += 1
-        self.name, self.calls = f"{self.first_name}.{self.lives}", 0
+        self.name, self.call_sequence = f"{self.first_name}.{self.lives}", 0
         await self.start()
 
     async def stop(self) -> None:
         """Ends at once."""
-        self.beating.cancel()
+        self.heartbeat_task.cancel()
         self.flapping.cancel()
         self.server.close()
         for task in list(self.tasks):
@@ -101,7 +106,7 @@
         self.served += 1
         late = self.late.pop(writer, None)
         if late is not None:
-            writer.write(self.whole(late, f"0,0,{SLOTS}", b"late"))
+            writer.write(self.whole(late, f"0,0,{BACKEND_SLOTS}", b"late"))
         if headers.get("x-expected-instance", self.name) != self.name:
             return self.decline(writer, run, 421)
         if self.kind is BackendKind.FULL and self.served % DECLINE_EVERY == 0:
@@ -144,7 +149,7 @@
     async def work_in_slot(self, closing: asyncio.Future[bytes], run: Run, seconds: float) -> bool:
         """Works with a slot of its own."""
         run.began = self.clock()
-        self.ran[run.attempt] = self.ran.get(run.attempt, 0) + 1
+        self.run_counts[run.attempt] = self.run_counts.get(run.attempt, 0) + 1
         wanted = seconds * (SLOWER if self.kind is BackendKind.SLOW else 1.0)
         if self.kind is BackendKind.STUBBORN:
             await asyncio.sleep(wanted)
@@ -166,7 +171,7 @@
             run.end = RunEnd.SILENT
             return True
         run.end = RunEnd.FINISHED
-        load = f"{self.running},{self.waiting},{SLOTS}"
+        load = f"{self.running},{self.waiting},{BACKEND_SLOTS}"
         writer.write(self.whole(run.attempt, load, body or b"whole"))
         if self.kind is BackendKind.SURPLUS:
             self.late[writer] = run.attempt
--- a/embersill/rig/soak/clients.py
+++ b/embersill/rig/soak/clients.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from embersill.rig.hall import Hall
+from embersill.rig.hall import GatewayCluster
 from embersill.rig.soak.record import Answer, Try
 from embersill.rig.soak.schedule import BODY_BYTES, Action, Leave, Phase, Route
 
@@ -44,8 +44,8 @@
 class Clients:
     """All clients of a run."""
 
-    def __init__(self, hall: Hall, tries: list[Try], clock: Callable[[], float]) -> None:
-        self.hall, self.tries, self.clock = hall, tries, clock
+    def __init__(self, cluster: GatewayCluster, tries: list[Try], clock: Callable[[], float]) -> None:
+        self.cluster, self.tries, self.clock = cluster, tries, clock
         self.kept: dict[tuple[int, int], Connection] = {}
 
     async def play(self, client: int, actions: list[Action]) -> None:
@@ -66,7 +66,9 @@
             return kept
         try:
             async with asyncio.timeout(CONNECT_WITHIN):
-                reader, writer = await asyncio.open_connection(self.hall.ip(gateway), self.hall.ports[0])
+                reader, writer = await asyncio.open_connection(
+                    self.cluster.ip(gateway), self.cluster.ports[0]
+                )
         except (OSError, TimeoutError):
             return None
         made = Connection(reader, writer)
@@ -99,7 +101,7 @@
 
     async def come_again(self, action: Action) -> None:
         """Tries once more at the next gateway, on a new connection."""
-        gateway = (action.gateway + 1) % self.hall.size
+        gateway = (action.gateway + 1) % self.cluster.size
         await asyncio.sleep(RETRY_AFTER_MOST / 4)
         connection = await self.connection(action, gateway, True)
         if connection is not None:
--- a/embersill/rig/soak/lives.py
+++ b/embersill/rig/soak/lives.py
@@ -10,7 +10,7 @@
 import socket
 from collections.abc import Callable
 
-from embersill.rig.hall import Hall
+from embersill.rig.hall import GatewayCluster
 from embersill.rig.soak.record import Exit
 
 START_AGAIN = 0.2  # seconds from a process's end to its next start
@@ -23,7 +23,9 @@
 class Life:
     """One gateway: whatever ends its process, it is started again."""
 
-    def __init__(self, hall: Hall, number: int, exits: list[Exit], clock: Callable[[], float]) -> None:
+    def __init__(
+        self, hall: GatewayCluster, number: int, exits: list[Exit], clock: Callable[[], float]
+    ) -> None:
         self.hall, self.number, self.exits, self.clock = hall, number, exits, clock
         self.member = hall.gateways[number]
         self.started_at = -STARTING
--- a/embersill/rig/soak/operator.py
+++ b/embersill/rig/soak/operator.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from embersill.rig.hall import Hall
+from embersill.rig.hall import GatewayCluster
 from embersill.rig.soak.record import Change
 
 TRIES = 12  # sends of one change
@@ -17,8 +17,8 @@
 class Operator:
     """Sends changes to gateways that may be down, and notes each answer."""
 
-    def __init__(self, hall: Hall, changes: list[Change], clock: Callable[[], float]) -> None:
-        self.hall, self.changes, self.clock = hall, changes, clock
+    def __init__(self, cluster: GatewayCluster, changes: list[Change], clock: Callable[[], float]) -> None:
+        self.cluster, self.changes, self.clock = cluster, changes, clock
         self.version, self.highest = 1, 1  # the newest that is known to be taken, and that was ever sent
         self.lock = asyncio.Lock()
 
@@ -49,7 +49,7 @@
 
     def document(self, change: Change) -> dict[str, Any]:
         """The configuration that a change brings; each has another timeout, so that all differ."""
-        document = self.hall.configuration(change.version, change.based_on)
+        document = self.cluster.configuration(change.version, change.based_on)
         document["routes"]["ask"]["timeout_s"] = 8.0 + change.version / 1000.0
         if not change.valid:
             document["routes"]["ask"]["service"] = "unknown"
@@ -59,8 +59,8 @@
         """Sends a change, from gateway to gateway, until its answer is clear."""
         document = self.document(change)
         for number in range(TRIES):
-            where = (gateway + number) % self.hall.size
-            status, _ = await self.hall.control(where, "PUT", "/api/configuration", document)
+            where = (gateway + number) % self.cluster.size
+            status, _ = await self.cluster.control(where, "PUT", "/api/configuration", document)
             change.statuses.append(status)
             if status in CLEAR:
                 if status == 200:
@@ -71,7 +71,7 @@
     async def learn(self, gateway: int) -> None:
         """Reads the newest version back: a change whose answer was never clear may be in force."""
         for number in range(TRIES):
-            version = await self.read((gateway + number) % self.hall.size)
+            version = await self.read((gateway + number) % self.cluster.size)
             if version:
                 self.version = max(self.version, version)
                 return
@@ -79,5 +79,5 @@
 
     async def read(self, gateway: int) -> int:
         """The version that a gateway reads back; 0 without an answer."""
-        status, told = await self.hall.control(gateway, "GET", "/api/configuration")
+        status, told = await self.cluster.control(gateway, "GET", "/api/configuration")
         return int(told["version"], 16) if status == 200 else 0
--- a/embersill/rig/soak/play.py
+++ b/embersill/rig/soak/play.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from embersill.rig.hall import ZONES, Hall
+from embersill.rig.hall import ZONES, GatewayCluster
 from embersill.rig.soak.backends import SoakBackend
 from embersill.rig.soak.clients import Clients
 from embersill.rig.soak.judge import GAUGES, GRACE
@@ -33,7 +33,7 @@
 CALM_WITHIN = 15.0  # seconds after the run until nothing is under way
 
 
-class SoakHall(Hall):
+class SoakCluster(GatewayCluster):
     """A hall whose routes let a backend work for seconds."""
 
     def configuration(self, version: int = 1, based_on: int = 0) -> dict[str, Any]:
@@ -54,12 +54,12 @@
         self.backends: list[SoakBackend] = []
         self.releasing = asyncio.Lock()
 
-        def backend(hall: Hall, number: int) -> SoakBackend:
-            made = SoakBackend(hall, number, kinds[number], self.record.runs, self.clock)
+        def backend(cluster: GatewayCluster, number: int) -> SoakBackend:
+            made = SoakBackend(cluster, number, kinds[number], self.record.runs, self.clock)
             self.backends.append(made)
             return made
 
-        self.hall = SoakHall(
+        self.cluster = SoakCluster(
             folder,
             schedule.gateways,
             len(kinds),
@@ -69,8 +69,8 @@
             grace=GRACE,
             environ=environ,
         )
-        self.operator = Operator(self.hall, self.record.changes, self.clock)
-        self.clients = Clients(self.hall, self.record.tries, self.clock)
+        self.operator = Operator(self.cluster, self.record.changes, self.clock)
+        self.clients = Clients(self.cluster, self.record.tries, self.clock)
         self.lives: list[Life] = []
         self.strikes: dict[TroubleKind, Callable[[Life, Trouble], Awaitable[None]]] = {
             TroubleKind.HUP: self.hup,
@@ -98,10 +98,12 @@
 
     async def play(self) -> Record:
         """Starts all, plays the schedule, waits for calm, and ends all."""
-        async with self.hall:
+        async with self.cluster:
             self.began = time.monotonic()
             self.record.runs.clear()
-            self.lives = [Life(self.hall, n, self.record.exits, self.clock) for n in range(self.hall.size)]
+            self.lives = [
+                Life(self.cluster, n, self.record.exits, self.clock) for n in range(self.cluster.size)
+            ]
             watching = asyncio.create_task(self.watch_itself())
             try:
                 await asyncio.gather(self.traffic(), self.troubles())
@@ -196,13 +198,13 @@
 
     async def zone(self, life: Life, trouble: Trouble) -> None:
         """All processes of a zone end at once."""
-        there = [n for n in range(self.hall.size) if n % len(ZONES) == trouble.gateway % len(ZONES)]
+        there = [n for n in range(self.cluster.size) if n % len(ZONES) == trouble.gateway % len(ZONES)]
         killed = (self.noted(TroubleKind.KILL, n, self.kill(self.lives[n], trouble)) for n in there)
         await asyncio.gather(*killed)
 
     async def core_roll(self, life: Life, trouble: Trouble) -> None:
         """The core ends one by one, with a change between."""
-        for number in range(min(CORE, self.hall.size)):
+        for number in range(min(CORE, self.cluster.size)):
             await self.noted(TroubleKind.TERM, number, self.term(self.lives[number], trouble))
             await self.operator.change(number)
 
@@ -244,7 +246,7 @@
         """Waits until nothing is under way at any gateway, and notes how each stands then."""
         end = self.clock() + CALM_WITHIN
         while True:
-            self.record.calm = [await self.look(number) for number in range(self.hall.size)]
+            self.record.calm = [await self.look(number) for number in range(self.cluster.size)]
             settled = all(self.is_calm(calm) for calm in self.record.calm)
             if settled or self.clock() > end:
                 return
@@ -268,9 +270,9 @@
 
     async def figures(self, number: int) -> dict[str, float]:
         """A gateway's metrics; empty without an answer."""
-        url = f"http://{self.hall.ip(number)}:{self.hall.ports[1]}/api/metrics"
+        url = f"http://{self.cluster.ip(number)}:{self.cluster.ports[1]}/api/metrics"
         try:
-            async with self.hall.session.get(url, timeout=aiohttp.ClientTimeout(1.0)) as answer:
+            async with self.cluster.session.get(url, timeout=aiohttp.ClientTimeout(1.0)) as answer:
                 lines = (await answer.text()).splitlines()
         except (aiohttp.ClientError, TimeoutError):
             return {}
@@ -278,4 +280,4 @@
 
     def logs(self) -> list[str]:
         """What all processes wrote."""
-        return [line for gateway in self.hall.gateways for line in gateway.log]
+        return [line for gateway in self.cluster.gateways for line in gateway.log]
