--- a/embersill/lab/edge/soak_command.py
+++ b/embersill/lab/edge/soak_command.py
@@ -59,7 +59,7 @@
 def tell(result: Result) -> None:
     """One line for a run, and some for what it broke."""
     record = result.record
-    left = sum(one.gone for one in record.tries)
+    left = sum(one.disconnected for one in record.tries)
     print(
         f"seed {result.schedule.seed}: {len(record.tries)} requests, {left} whose clients left, "
         f"{len(record.struck)} troubles, {len(record.exits)} exits: {len(result.findings)} findings",
@@ -117,7 +117,7 @@
         "bad": sum(bool(result.findings) for result in results),
         **{rule.value: counts[rule] for rule in Rule},
         "requests": sum(len(result.record.tries) for result in results),
-        "left": sum(one.gone for result in results for one in result.record.tries),
+        "left": sum(one.disconnected for result in results for one in result.record.tries),
         "processes_most": max((result.record.processes_most for result in results), default=0),
     }
 
--- a/embersill/rig/soak/clients.py
+++ b/embersill/rig/soak/clients.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 from embersill.rig.hall import GatewayCluster
-from embersill.rig.soak.record import Answer, Try
-from embersill.rig.soak.schedule import BODY_BYTES, Action, Leave, Phase, Route
+from embersill.rig.soak.record import Answer, ClientRequest
+from embersill.rig.soak.schedule import BODY_BYTES, Action, Disconnect, Phase, Route
 
 PATIENCE = 9.0  # seconds that a client waits for its answers
 DEADLINE = 8.0  # seconds that it says it waits
@@ -44,7 +44,9 @@
 class Clients:
     """All clients of a run."""
 
-    def __init__(self, cluster: GatewayCluster, tries: list[Try], clock: Callable[[], float]) -> None:
+    def __init__(
+        self, cluster: GatewayCluster, tries: list[ClientRequest], clock: Callable[[], float]
+    ) -> None:
         self.cluster, self.tries, self.clock = cluster, tries, clock
         self.kept: dict[tuple[int, int], Connection] = {}
 
@@ -76,12 +78,14 @@
             self.kept[key] = made
         return made
 
-    def new_tries(self, action: Action, gateway: int, count: int) -> list[Try]:
+    def new_tries(self, action: Action, gateway: int, count: int) -> list[ClientRequest]:
         """Entries for requests that are about to be sent."""
         made = []
         for _ in range(count):
             name = f"a{len(self.tries)}"
-            one = Try(name, action.client, gateway, action.tenant, action.route, action.work, self.clock())
+            one = ClientRequest(
+                name, action.client, gateway, action.tenant, action.route, action.work, self.clock()
+            )
             self.tries.append(one)
             made.append(one)
         return made
@@ -108,7 +112,7 @@
             await self.send_and_wait(action, connection, self.new_tries(action, gateway, 1), last=True)
 
     async def send_and_wait(
-        self, action: Action, connection: Connection, tries: list[Try], last: bool = False
+        self, action: Action, connection: Connection, tries: list[ClientRequest], last: bool = False
     ) -> None:
         """Sends requests and reads their answers."""
         self.write(connection, tries)
@@ -118,18 +122,20 @@
             async with asyncio.timeout(PATIENCE):
                 await self.receive(connection, tries)
         except TimeoutError:
-            self.left(tries, Leave.CLOSE, Phase.WORKING)
+            self.left(tries, Disconnect.CLOSE, Phase.WORKING)
             connection.usable = False
         if action.fresh or last or not connection.usable:
             connection.writer.transport.abort()
 
-    def write(self, connection: Connection, tries: list[Try]) -> None:
+    def write(self, connection: Connection, tries: list[ClientRequest]) -> None:
         """Writes requests, all at once."""
         connection.writer.write(b"".join(request(one) for one in tries))
         for one in tries:
             one.whole = True
 
-    async def send_and_leave(self, action: Action, connection: Connection, tries: list[Try]) -> None:
+    async def send_and_leave(
+        self, action: Action, connection: Connection, tries: list[ClientRequest]
+    ) -> None:
         """Sends requests, or a part of one, and leaves."""
         assert action.leave is not None
         connection.usable = False
@@ -149,25 +155,25 @@
         await asyncio.gather(reading, return_exceptions=True)
         connection.writer.transport.abort()
 
-    def left(self, tries: list[Try], leave: Leave, phase: Phase) -> None:
+    def left(self, tries: list[ClientRequest], leave: Disconnect, phase: Phase) -> None:
         """Notes that the client leaves now, for what is not answered."""
         for one in tries:
             if not one.answers and not one.cut_at:
                 one.left_at, one.leave, one.phase = self.clock(), leave, phase
 
-    async def leave(self, leave: Leave, connection: Connection) -> None:
+    async def leave(self, leave: Disconnect, connection: Connection) -> None:
         """Leaves in one of the ways."""
-        if leave is Leave.RESET:
+        if leave is Disconnect.RESET:
             connection.reset()
-        elif leave is Leave.CLOSE:
+        elif leave is Disconnect.CLOSE:
             connection.writer.close()
-        elif leave is Leave.HALF_CLOSE and not connection.writer.is_closing():
+        elif leave is Disconnect.HALF_CLOSE and not connection.writer.is_closing():
             connection.writer.write_eof()
             await asyncio.sleep(READ_AFTER_HALF_CLOSE)
-        elif leave is Leave.SILENCE:
+        elif leave is Disconnect.SILENCE:
             await asyncio.sleep(SILENT_FOR)
 
-    async def receive(self, connection: Connection, tries: list[Try]) -> None:
+    async def receive(self, connection: Connection, tries: list[ClientRequest]) -> None:
         """Reads the answers of requests, in their order."""
         for place, one in enumerate(tries):
             try:
@@ -180,13 +186,13 @@
                 return self.cut(tries[place + 1 :])
         return None
 
-    def cut(self, tries: list[Try]) -> None:
+    def cut(self, tries: list[ClientRequest]) -> None:
         """Notes that the gateway ended the connection without these answers."""
         for one in tries:
             if not one.left_at:
                 one.cut_at = self.clock()
 
-    async def receive_one(self, reader: asyncio.StreamReader, one: Try) -> bool:
+    async def receive_one(self, reader: asyncio.StreamReader, one: ClientRequest) -> bool:
         """Reads one answer; True if more may follow on the connection."""
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").strip()
         first, *lines = head.split("\r\n")
@@ -204,7 +210,7 @@
         return headers.get("connection", "").lower() != "close"
 
 
-def request(one: Try) -> bytes:
+def request(one: ClientRequest) -> bytes:
     """The bytes of a client's request; its path says how long a backend works on it."""
     method, body = ("GET", b"") if one.route is Route.ASK else ("POST", b"x" * BODY_BYTES)
     length = f"Content-Length: {len(body)}\r\n" if body else ""
--- a/embersill/rig/soak/play.py
+++ b/embersill/rig/soak/play.py
@@ -16,11 +16,11 @@
 from embersill.rig.hall import ZONES, GatewayCluster
 from embersill.rig.soak.backends import SoakBackend
 from embersill.rig.soak.clients import Clients
-from embersill.rig.soak.judge import GAUGES, GRACE
+from embersill.rig.soak.judge import GAUGES, GRACE_PERIOD_S
 from embersill.rig.soak.lives import Life
 from embersill.rig.soak.operator import Operator
-from embersill.rig.soak.record import Calm, Record, Struck
-from embersill.rig.soak.schedule import CORE, Action, Schedule, Trouble, TroubleKind
+from embersill.rig.soak.record import IdleState, InjectedFault, Record
+from embersill.rig.soak.schedule import CORE_GATEWAYS, Action, FaultKind, Schedule, ScheduledFault
 
 AIM = 4.0  # seconds: attempts are kept on for longer than the longest work
 TIMEOUT = 8.0  # seconds, by the routes
@@ -66,30 +66,30 @@
             schedule.seed,
             TENANTS,
             make_backend=backend,
-            grace=GRACE,
+            grace=GRACE_PERIOD_S,
             environ=environ,
         )
         self.operator = Operator(self.cluster, self.record.changes, self.clock)
         self.clients = Clients(self.cluster, self.record.tries, self.clock)
         self.lives: list[Life] = []
-        self.strikes: dict[TroubleKind, Callable[[Life, Trouble], Awaitable[None]]] = {
-            TroubleKind.HUP: self.hup,
-            TroubleKind.HUP_SERIES: self.hup_series,
-            TroubleKind.TERM: self.term,
-            TroubleKind.TERM_IN_CHANGE: self.term_in_change,
-            TroubleKind.KILL: self.kill,
-            TroubleKind.KILL_IN_DRAIN: self.kill_in_drain,
-            TroubleKind.STOP: self.stop,
-            TroubleKind.STARVE: self.starve,
-            TroubleKind.ZONE: self.zone,
-            TroubleKind.CORE_ROLL: self.core_roll,
-            TroubleKind.WIPE: self.wipe,
-            TroubleKind.PORT_HELD: self.port_held,
-            TroubleKind.DISK_FULL: self.disk_full,
-            TroubleKind.RELEASE: self.release,
-            TroubleKind.CHANGE: self.change,
-            TroubleKind.RACE: self.race,
-            TroubleKind.INVALID: self.invalid,
+        self.strikes: dict[FaultKind, Callable[[Life, ScheduledFault], Awaitable[None]]] = {
+            FaultKind.HUP: self.hup,
+            FaultKind.HUP_SERIES: self.hup_series,
+            FaultKind.TERM: self.term,
+            FaultKind.TERM_IN_CHANGE: self.term_in_change,
+            FaultKind.KILL: self.kill,
+            FaultKind.KILL_IN_DRAIN: self.kill_in_drain,
+            FaultKind.STOP: self.stop,
+            FaultKind.STARVE: self.starve,
+            FaultKind.ZONE: self.zone,
+            FaultKind.CORE_ROLL: self.core_roll,
+            FaultKind.WIPE: self.wipe,
+            FaultKind.PORT_HELD: self.port_held,
+            FaultKind.DISK_FULL: self.disk_full,
+            FaultKind.RELEASE: self.release,
+            FaultKind.CHANGE: self.change,
+            FaultKind.RACE: self.race,
+            FaultKind.INVALID: self.invalid,
         }
 
     def clock(self) -> float:
@@ -138,49 +138,49 @@
         """All troubles, each at its time, whatever else goes on."""
         await asyncio.gather(*(self.strike(trouble) for trouble in self.schedule.troubles))
 
-    async def strike(self, trouble: Trouble) -> None:
+    async def strike(self, trouble: ScheduledFault) -> None:
         """One trouble."""
         await asyncio.sleep(max(trouble.at - self.clock(), 0.0))
         during = self.strikes[trouble.kind](self.lives[trouble.gateway], trouble)
         await self.noted(trouble.kind, trouble.gateway, during)
 
-    async def noted(self, kind: TroubleKind, gateway: int, during: Awaitable[None]) -> None:
+    async def noted(self, kind: FaultKind, gateway: int, during: Awaitable[None]) -> None:
         """Notes from when to when a gateway is in a trouble, which may be a part of another one."""
-        struck = Struck(kind, gateway, self.clock(), float("inf"))
+        struck = InjectedFault(kind, gateway, self.clock(), float("inf"))
         self.record.struck.append(struck)
         await during
         struck.ended = self.clock()
 
-    async def hup(self, life: Life, trouble: Trouble) -> None:
+    async def hup(self, life: Life, trouble: ScheduledFault) -> None:
         """The settings are read again."""
         await life.hang_up()
 
-    async def hup_series(self, life: Life, trouble: Trouble) -> None:
+    async def hup_series(self, life: Life, trouble: ScheduledFault) -> None:
         """The settings are read again, and again."""
         for _ in range(HUPS):
             await life.hang_up()
             await asyncio.sleep(HUP_GAP)
 
-    async def term(self, life: Life, trouble: Trouble) -> None:
+    async def term(self, life: Life, trouble: ScheduledFault) -> None:
         """A planned restart."""
         before = life.member.start_count
-        await life.terminate(GRACE)
+        await life.terminate(GRACE_PERIOD_S)
         await life.until_ready(before)
 
-    async def term_in_change(self, life: Life, trouble: Trouble) -> None:
+    async def term_in_change(self, life: Life, trouble: ScheduledFault) -> None:
         """A planned restart of the gateway that is just taking a change."""
         changing = asyncio.create_task(self.operator.change(trouble.gateway))
         await asyncio.sleep(0)
         await self.term(life, trouble)
         await changing
 
-    async def kill(self, life: Life, trouble: Trouble) -> None:
+    async def kill(self, life: Life, trouble: ScheduledFault) -> None:
         """The process ends without a word."""
         before = life.member.start_count
         life.kill()
         await life.until_ready(before)
 
-    async def kill_in_drain(self, life: Life, trouble: Trouble) -> None:
+    async def kill_in_drain(self, life: Life, trouble: ScheduledFault) -> None:
         """The process is told to end, and ends before it has."""
         before = life.member.start_count
         life.signal(signal.SIGTERM)
@@ -188,57 +188,57 @@
         life.kill()
         await life.until_ready(before)
 
-    async def stop(self, life: Life, trouble: Trouble) -> None:
+    async def stop(self, life: Life, trouble: ScheduledFault) -> None:
         """The process stands still for some seconds."""
         await life.member.pause(trouble.seconds)
 
-    async def starve(self, life: Life, trouble: Trouble) -> None:
+    async def starve(self, life: Life, trouble: ScheduledFault) -> None:
         """The process has a quota of the processor: full speed, then nothing for the rest of a tenth."""
         await life.member.starve(trouble.seconds, STARVED_SHARE)
 
-    async def zone(self, life: Life, trouble: Trouble) -> None:
+    async def zone(self, life: Life, trouble: ScheduledFault) -> None:
         """All processes of a zone end at once."""
         there = [n for n in range(self.cluster.size) if n % len(ZONES) == trouble.gateway % len(ZONES)]
-        killed = (self.noted(TroubleKind.KILL, n, self.kill(self.lives[n], trouble)) for n in there)
+        killed = (self.noted(FaultKind.KILL, n, self.kill(self.lives[n], trouble)) for n in there)
         await asyncio.gather(*killed)
 
-    async def core_roll(self, life: Life, trouble: Trouble) -> None:
+    async def core_roll(self, life: Life, trouble: ScheduledFault) -> None:
         """The core ends one by one, with a change between."""
-        for number in range(min(CORE, self.cluster.size)):
-            await self.noted(TroubleKind.TERM, number, self.term(self.lives[number], trouble))
+        for number in range(min(CORE_GATEWAYS, self.cluster.size)):
+            await self.noted(FaultKind.TERM, number, self.term(self.lives[number], trouble))
             await self.operator.change(number)
 
-    async def wipe(self, life: Life, trouble: Trouble) -> None:
+    async def wipe(self, life: Life, trouble: ScheduledFault) -> None:
         """The process ends, and its disk is lost."""
         before = life.member.start_count
-        life.kill(wipes=trouble.gateway < CORE)
+        life.kill(wipes=trouble.gateway < CORE_GATEWAYS)
         await life.until_ready(before)
 
-    async def port_held(self, life: Life, trouble: Trouble) -> None:
+    async def port_held(self, life: Life, trouble: ScheduledFault) -> None:
         """The process ends, and somebody else listens at its port for a while."""
         before = life.member.start_count
         await life.hold_port(trouble.seconds)
         await life.until_ready(before)
 
-    async def disk_full(self, life: Life, trouble: Trouble) -> None:
+    async def disk_full(self, life: Life, trouble: ScheduledFault) -> None:
         """The disk of a gateway takes no more bytes."""
         await life.fill_disk(trouble.seconds)
 
-    async def release(self, life: Life, trouble: Trouble) -> None:
+    async def release(self, life: Life, trouble: ScheduledFault) -> None:
         """A backend drains and ends, and another one comes in its place."""
         async with self.releasing:
             chosen = self.backends[len(self.record.drains) % len(self.backends)]
             await chosen.drain(self.record.drains)
 
-    async def change(self, life: Life, trouble: Trouble) -> None:
+    async def change(self, life: Life, trouble: ScheduledFault) -> None:
         """The operator changes the configuration."""
         await self.operator.change(trouble.gateway)
 
-    async def race(self, life: Life, trouble: Trouble) -> None:
+    async def race(self, life: Life, trouble: ScheduledFault) -> None:
         """Two operators change the configuration at once."""
         await self.operator.race(trouble.gateway)
 
-    async def invalid(self, life: Life, trouble: Trouble) -> None:
+    async def invalid(self, life: Life, trouble: ScheduledFault) -> None:
         """The operator sends what can't be taken."""
         await self.operator.invalid(trouble.gateway)
 
@@ -252,12 +252,12 @@
                 return
             await asyncio.sleep(LOOK_EVERY)
 
-    def is_calm(self, calm: Calm) -> bool:
+    def is_calm(self, calm: IdleState) -> bool:
         """True if nothing is under way at a gateway, and it has the newest configuration."""
         counts = [calm.figures.get(f"embersill_{name}", 1.0) for name in GAUGES]
         return not any(counts) and calm.version >= self.operator.version
 
-    async def look(self, number: int) -> Calm:
+    async def look(self, number: int) -> IdleState:
         """What one gateway tells of itself now."""
         process = self.lives[number].member.process
         assert process is not None
@@ -266,7 +266,7 @@
         except OSError:
             descriptors = 0
         version = await self.operator.read(number)
-        return Calm(number, await self.figures(number), version, descriptors)
+        return IdleState(number, await self.figures(number), version, descriptors)
 
     async def figures(self, number: int) -> dict[str, float]:
         """A gateway's metrics; empty without an answer."""
--- a/embersill/rig/soak/record.py
+++ b/embersill/rig/soak/record.py
@@ -1,6 +1,6 @@
-"""What clients, backends and the operator saw in a run of the soak. Plain data, by one steady clock.
+"""Record of a soak run as clients, backends and the operator saw it: plain data, one monotonic clock.
 
-Times are seconds from the start of traffic; 0 stands for what has not happened.
+Times are seconds from the start of traffic; 0 means that something has not happened.
 """
 
 from __future__ import annotations
@@ -9,18 +9,18 @@
 
 import msgspec
 
-from embersill.rig.soak.schedule import BackendKind, Leave, Phase, Route, TroubleKind
+from embersill.rig.soak.schedule import BackendKind, Disconnect, FaultKind, Phase, Route
 
 
 class RunEnd(Enum):
     """How a request's work at a backend ended."""
 
-    OPEN = "open"  # it has not
+    OPEN = "open"  # not yet
     FINISHED = "finished"
-    DROPPED = "dropped"  # the connection closed, and the backend stopped
-    DECLINED = "declined"  # it was never begun
-    BROKEN = "broken"  # it was done, and the backend broke its answer off
-    SILENT = "silent"  # it was done, and the backend said nothing
+    DROPPED = "dropped"  # the backend stopped because the connection was closed
+    DECLINED = "declined"  # not begun
+    BROKEN = "broken"  # done, but the backend broke the answer off
+    SILENT = "silent"  # done, but the backend sent no answer
 
 
 class Answer(msgspec.Struct):
@@ -33,7 +33,7 @@
     whole: bool
 
 
-class Try(msgspec.Struct):
+class ClientRequest(msgspec.Struct):
     """One request of a client."""
 
     attempt: str
@@ -43,17 +43,17 @@
     route: Route
     work: float
     sent_at: float
-    whole: bool = False  # all of it was written
+    whole: bool = False  # written completely
     left_at: float = 0.0
-    leave: Leave | None = None
+    leave: Disconnect | None = None
     phase: Phase | None = None
     answers: list[Answer] = msgspec.field(default_factory=list)
-    cut_at: float = 0.0  # the connection ended without its answer, by the gateway
+    cut_at: float = 0.0  # the gateway closed the connection without an answer
 
     @property
-    def gone(self) -> bool:
-        """Its client has left for good; one that falls silent is still connected."""
-        return self.left_at > 0 and self.leave is not Leave.SILENCE
+    def disconnected(self) -> bool:
+        """Whether its client has disconnected; one that falls silent is still connected."""
+        return self.left_at > 0 and self.leave is not Disconnect.SILENCE
 
 
 class Run(msgspec.Struct):
@@ -66,14 +66,14 @@
     tenant: str
     began: float = 0.0
     ended: float = 0.0
-    closed_at: float = 0.0  # the gateway closed the connection while the backend was at work
+    closed_at: float = 0.0  # the gateway closed the connection while the backend ran the request
     end: RunEnd = RunEnd.OPEN
 
 
-class Struck(msgspec.Struct):
-    """A trouble as it came about: from when to when a gateway was in it."""
+class InjectedFault(msgspec.Struct):
+    """A fault as it was injected: the time in which it affected a gateway."""
 
-    kind: TroubleKind
+    kind: FaultKind
     gateway: int
     began: float
     ended: float
@@ -95,36 +95,38 @@
     gateway: int
     at: float
     code: int
-    wanted: bool  # by a signal of the soak's
-    overdue: bool = False  # SIGTERM had not ended it within the grace
+    wanted: bool  # caused by a signal of the soak
+    overdue: bool = False  # still running at the end of the grace period after SIGTERM
 
 
 class Drain(msgspec.Struct):
-    """A backend that said that it leaves."""
+    """A backend that announced its drain."""
 
     backend: str
     acknowledged_at: float  # 0 without an acknowledgement
 
 
-class Calm(msgspec.Struct):
-    """One gateway after the run, with nothing under way."""
+class IdleState(msgspec.Struct):
+    """State of one gateway after the run, when nothing should be in flight."""
 
     gateway: int
     figures: dict[str, float]  # its metrics
-    version: int  # of the configuration that it reads back, 0 without an answer
+    version: int  # of its configuration, 0 without an answer
     descriptors: int
 
 
 class Record(msgspec.Struct):
-    """Everything that was seen in a run."""
+    """Everything that was recorded in a run."""
 
-    tries: list[Try] = msgspec.field(default_factory=list)
+    tries: list[ClientRequest] = msgspec.field(default_factory=list)
     runs: list[Run] = msgspec.field(default_factory=list)
-    struck: list[Struck] = msgspec.field(default_factory=list)
+    struck: list[InjectedFault] = msgspec.field(default_factory=list)
     changes: list[Change] = msgspec.field(default_factory=list)
     exits: list[Exit] = msgspec.field(default_factory=list)
     drains: list[Drain] = msgspec.field(default_factory=list)
-    calm: list[Calm] = msgspec.field(default_factory=list)
-    stalls: list[tuple[float, float]] = msgspec.field(default_factory=list)  # the soak itself stood still
+    calm: list[IdleState] = msgspec.field(default_factory=list)
+    stalls: list[tuple[float, float]] = msgspec.field(
+        default_factory=list
+    )  # times in which the soak itself was stalled
     processes_most: int = 0
     quotas: dict[str, tuple[float, float]] = msgspec.field(default_factory=dict)  # rate and burst by tenant
--- a/tests/rig/test_scenarios.py
+++ b/tests/rig/test_scenarios.py
@@ -9,10 +9,10 @@
 
 from embersill.rig.playing import scenario_text, shape_of
 from embersill.rig.scenarios import (
-    InvalidScenario,
     FaultTable,
-    Topology,
+    InvalidScenario,
     Scenario,
+    Topology,
     plan_faults,
     read_scenario,
 )
