--- a/embersill/lab/edge/soak_command.py
+++ b/embersill/lab/edge/soak_command.py
@@ -15,7 +15,7 @@
 
 from embersill.rig.soak.fences import FENCES, cut_copy
 from embersill.rig.soak.judge import Finding, Rule, judge
-from embersill.rig.soak.play import Play
+from embersill.rig.soak.play import SoakRun
 from embersill.rig.soak.record import Record
 from embersill.rig.soak.schedule import Schedule, generate
 from embersill.rig.soak.shrink import shrink
@@ -35,9 +35,9 @@
 async def run(schedule: Schedule, environ: dict[str, str]) -> Result:
     """Plays a schedule in a folder that is gone afterwards."""
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
-        play = Play(schedule, Path(folder), environ)
-        record = await play.play()
-        return Result(schedule, record, judge(record), play.logs())
+        soak_run = SoakRun(schedule, Path(folder), environ)
+        record = await soak_run.run()
+        return Result(schedule, record, judge(record), soak_run.logs())
 
 
 async def run_all(schedules: list[Schedule], jobs: int, environ: dict[str, str], keep: Path) -> list[Result]:
--- a/embersill/rig/soak/fences.py
+++ b/embersill/rig/soak/fences.py
@@ -1,6 +1,6 @@
-"""Lines of the product without which the soak has to find something: a copy of the package without them.
+"""Safeguards without which the soak must find a breach, and a copy of the package without one of them.
 
-The fences are those of `embersill/world/fences.py`; processes of their own run a copy on disk.
+A `Fence` of `embersill/world/fences.py` names the lines to replace; the processes run a changed copy on disk.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
         Fence(
             "cancel",
             "embersill.edge.dataplane.attempts",
-            "repeatable attempts would go on for a client that has left",
+            "repeatable attempts continue after the client has disconnected",
             "if job.klass.repeats is Repeats.SAFE:",
             "if False:",
         ),
         Fence(
             "leave",
             "embersill.net.clients",
-            "an end of a client's stream would be no leave",
+            "the end of a client's stream does not count as a disconnect",
             "        self.leave(LeftBy.CLOSE)\n        return False",
             "        self.ended = True\n        return bool(self.exchanges)",
         ),
         Fence(
             "drain",
             "embersill.edge.program",
-            "a gateway that is told to end would not wait for what it has taken",
+            "a gateway does not finish accepted requests after SIGTERM",
             "max(end - self.clock() - 5 * SHORT_PAUSE_S, SHORT_PAUSE_S)",
             "SHORT_PAUSE_S",
             (("embersill.edge.program", "self.driver.fail_unanswered()", "pass"),),
@@ -40,7 +40,7 @@
         Fence(
             "identity",
             "embersill.net.backends",
-            "whose answer it is would not be looked at",
+            "the attempt id of an answer is not checked",
             "if self.answers_to and self.attempt is not None and",
             "if False and",
             (
@@ -54,14 +54,14 @@
         Fence(
             "count",
             "embersill.attempts",
-            "an attempt that has ended would stay counted at its backend",
+            "an ended attempt stays counted at its backend",
             "        if not attempt.begun:\n            attempt.server.flight -= 1",
             "        if not attempt.begun:\n            attempt.server.flight -= 0",
         ),
         Fence(
             "forget",
             "embersill.net.driver",
-            "a held request whose client has left would stay known",
+            "a held request is not forgotten after its client has disconnected",
             "            self.post(ClientLeft(number))\n            self.forget(pending)",
             "            self.post(ClientLeft(number))",
         ),
@@ -70,9 +70,9 @@
 
 
 def cut_copy(name: str, folder: Path) -> dict[str, str]:
-    """Copies the package without a fence; the variables with which processes run the copy.
+    """Copies the package without a fence; returns the environment variables to run the copy with.
 
-    NoFence if a text of the fence does not stand there exactly once.
+    Raises NoFence unless each quoted text occurs exactly once.
     """
     shutil.copytree(PACKAGE, folder / PACKAGE.name, ignore=shutil.ignore_patterns("__pycache__"))
     fence = FENCES[name]
--- a/embersill/rig/soak/operator.py
+++ b/embersill/rig/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator of the soak: changes, races and invalid ones, each sent again until its answer is clear."""
+"""Operator of the soak: valid, racing and invalid changes, each sent again until its result is known."""
 
 from __future__ import annotations
 
@@ -9,46 +9,46 @@
 from embersill.rig.hall import GatewayCluster
 from embersill.rig.soak.record import Change
 
-TRIES = 12  # sends of one change
-PAUSE = 0.2  # seconds between them
-CLEAR = frozenset((200, 400, 412))
+MAX_SENDS = 12  # of one change
+SEND_INTERVAL_S = 0.2
+FINAL_STATUSES = frozenset((200, 400, 412))
 
 
 class Operator:
-    """Sends changes to gateways that may be down, and notes each answer."""
+    """Sends configuration changes to gateways that may be down, and records each answer."""
 
     def __init__(self, cluster: GatewayCluster, changes: list[Change], clock: Callable[[], float]) -> None:
         self.cluster, self.changes, self.clock = cluster, changes, clock
-        self.version, self.highest = 1, 1  # the newest that is known to be taken, and that was ever sent
+        self.version, self.last_sent = 1, 1  # the newest known to be accepted, and the newest sent
         self.lock = asyncio.Lock()
 
     async def change(self, gateway: int) -> None:
-        """One proper change."""
+        """Sends a valid change."""
         async with self.lock:
             await self.send(self.next_change(valid=True), gateway)
-            await self.learn(gateway)
+            await self.refresh_version(gateway)
 
     async def race(self, gateway: int) -> None:
-        """Two changes on the same version at once, at two gateways: one wins at most."""
+        """Sends two changes based on the same version at once: at most one may be accepted."""
         async with self.lock:
             pair = [self.next_change(valid=True), self.next_change(valid=True)]
-            await asyncio.gather(*(self.send(one, gateway + place) for place, one in enumerate(pair)))
-            await self.learn(gateway)
+            await asyncio.gather(*(self.send(change, gateway + offset) for offset, change in enumerate(pair)))
+            await self.refresh_version(gateway)
 
     async def invalid(self, gateway: int) -> None:
-        """A change that names a service which there is none of."""
+        """Sends a change that names an unknown service."""
         async with self.lock:
             await self.send(self.next_change(valid=False), gateway)
 
     def next_change(self, valid: bool) -> Change:
-        """The entry of a change that is about to be sent."""
-        self.highest += 1
-        change = Change(self.highest, self.version, valid, self.clock())
+        """Records a change that is about to be sent."""
+        self.last_sent += 1
+        change = Change(self.last_sent, self.version, valid, self.clock())
         self.changes.append(change)
         return change
 
     def document(self, change: Change) -> dict[str, Any]:
-        """The configuration that a change brings; each has another timeout, so that all differ."""
+        """Configuration document of a change; each has another timeout, so that all differ."""
         document = self.cluster.configuration(change.version, change.based_on)
         document["routes"]["ask"]["timeout_s"] = 8.0 + change.version / 1000.0
         if not change.valid:
@@ -56,28 +56,28 @@
         return document
 
     async def send(self, change: Change, gateway: int) -> None:
-        """Sends a change, from gateway to gateway, until its answer is clear."""
+        """Sends a change to one gateway after the other until its result is known."""
         document = self.document(change)
-        for number in range(TRIES):
-            where = (gateway + number) % self.cluster.size
-            status, _ = await self.cluster.control(where, "PUT", "/api/configuration", document)
+        for number in range(MAX_SENDS):
+            target = (gateway + number) % self.cluster.size
+            status, _ = await self.cluster.control(target, "PUT", "/api/configuration", document)
             change.statuses.append(status)
-            if status in CLEAR:
+            if status in FINAL_STATUSES:
                 if status == 200:
                     self.version = max(self.version, change.version)
                 return
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(SEND_INTERVAL_S)
 
-    async def learn(self, gateway: int) -> None:
-        """Reads the newest version back: a change whose answer was never clear may be in force."""
-        for number in range(TRIES):
+    async def refresh_version(self, gateway: int) -> None:
+        """Reads the newest version: a change whose result never became known may be in force."""
+        for number in range(MAX_SENDS):
             version = await self.read((gateway + number) % self.cluster.size)
             if version:
                 self.version = max(self.version, version)
                 return
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(SEND_INTERVAL_S)
 
     async def read(self, gateway: int) -> int:
-        """The version that a gateway reads back; 0 without an answer."""
-        status, told = await self.cluster.control(gateway, "GET", "/api/configuration")
-        return int(told["version"], 16) if status == 200 else 0
+        """Version of a gateway's configuration; 0 without an answer."""
+        status, answer = await self.cluster.control(gateway, "GET", "/api/configuration")
+        return int(answer["version"], 16) if status == 200 else 0
--- a/embersill/rig/soak/play.py
+++ b/embersill/rig/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays a schedule of the soak on real processes, and returns what was seen."""
+"""Runs a schedule of the soak on real processes and returns the record."""
 
 from __future__ import annotations
 
@@ -22,42 +22,42 @@
 from embersill.rig.soak.record import IdleState, InjectedFault, Record
 from embersill.rig.soak.schedule import CORE_GATEWAYS, Action, FaultKind, Schedule, ScheduledFault
 
-AIM = 4.0  # seconds: attempts are kept on for longer than the longest work
-TIMEOUT = 8.0  # seconds, by the routes
+TARGET_LATENCY_S = 4.0  # attempts are kept for longer than the longest work
+ROUTE_TIMEOUT_S = 8.0  # of the routes
 TENANTS = {"wide": (1000.0, 1000.0), "tight": (5.0, 5.0)}  # requests a second, and burst
-STARVED_SHARE = 0.3  # of each tenth of a second
-HUPS, HUP_GAP = 5, 0.1  # signals of a series, and seconds between them
-KILLED_AFTER = 0.3  # seconds from a SIGTERM to the SIGKILL that meets it
-STALLED = 0.5  # seconds by which the soak itself comes late that count as a stall
-LOOK_EVERY = 0.05
-CALM_WITHIN = 15.0  # seconds after the run until nothing is under way
+STARVED_SHARE = 0.3  # of each 0.1 s in which the process runs
+HUP_COUNT, HUP_INTERVAL_S = 5, 0.1  # of a series of signals
+KILL_DELAY_S = 0.3  # from SIGTERM to SIGKILL
+STALL_THRESHOLD_S = 0.5  # by which the soak itself runs late in a stall
+POLL_INTERVAL_S = 0.05
+QUIET_TIMEOUT_S = 15.0  # after the run, until nothing is in flight
 
 
 class SoakCluster(GatewayCluster):
-    """A hall whose routes let a backend work for seconds."""
+    """A cluster whose routes let a backend work for seconds."""
 
     def configuration(self, version: int = 1, based_on: int = 0) -> dict[str, Any]:
-        """A configuration with long timeouts and aims."""
+        """A configuration with long timeouts and target latencies."""
         document = super().configuration(version, based_on)
         for route in document["routes"].values():
-            route["timeout_s"], route["target_latency_s"] = TIMEOUT, AIM
+            route["timeout_s"], route["target_latency_s"] = ROUTE_TIMEOUT_S, TARGET_LATENCY_S
         return document
 
 
-class Play:
-    """One run."""
+class SoakRun:
+    """One run of a schedule."""
 
     def __init__(self, schedule: Schedule, folder: Path, environ: Mapping[str, str] | None = None) -> None:
-        """`folder`: for settings and disks. `environ`: more variables for the gateways' processes."""
+        """`folder`: for settings and disks. `environ`: additional variables for the gateways' processes."""
         self.schedule, self.record, self.began = schedule, Record(quotas=dict(TENANTS)), 0.0
         kinds = schedule.backends
         self.backends: list[SoakBackend] = []
-        self.releasing = asyncio.Lock()
+        self.drain_lock = asyncio.Lock()
 
         def backend(cluster: GatewayCluster, number: int) -> SoakBackend:
-            made = SoakBackend(cluster, number, kinds[number], self.record.runs, self.clock)
-            self.backends.append(made)
-            return made
+            soak_backend = SoakBackend(cluster, number, kinds[number], self.record.runs, self.clock)
+            self.backends.append(soak_backend)
+            return soak_backend
 
         self.cluster = SoakCluster(
             folder,
@@ -72,7 +72,7 @@
         self.operator = Operator(self.cluster, self.record.changes, self.clock)
         self.clients = Clients(self.cluster, self.record.tries, self.clock)
         self.lives: list[Life] = []
-        self.strikes: dict[FaultKind, Callable[[Life, ScheduledFault], Awaitable[None]]] = {
+        self.handlers: dict[FaultKind, Callable[[Life, ScheduledFault], Awaitable[None]]] = {
             FaultKind.HUP: self.hup,
             FaultKind.HUP_SERIES: self.hup_series,
             FaultKind.TERM: self.term,
@@ -96,20 +96,20 @@
         """Seconds since traffic began."""
         return time.monotonic() - self.began
 
-    async def play(self) -> Record:
-        """Starts all, plays the schedule, waits for calm, and ends all."""
+    async def run(self) -> Record:
+        """Starts the cluster, runs the schedule, waits until nothing is in flight, and stops everything."""
         async with self.cluster:
             self.began = time.monotonic()
             self.record.runs.clear()
             self.lives = [
                 Life(self.cluster, n, self.record.exits, self.clock) for n in range(self.cluster.size)
             ]
-            watching = asyncio.create_task(self.watch_itself())
+            stall_detector = asyncio.create_task(self.detect_stalls())
             try:
-                await asyncio.gather(self.traffic(), self.troubles())
-                await self.until_calm()
+                await asyncio.gather(self.run_clients(), self.inject_faults())
+                await self.wait_quiet()
             finally:
-                watching.cancel()
+                stall_detector.cancel()
                 for life in self.lives:
                     life.closing = True
                     life.member.resume()
@@ -117,148 +117,148 @@
             life.watching.cancel()
         return self.record
 
-    async def watch_itself(self) -> None:
-        """Notes when the soak itself stood still: what it saw then is not to be trusted in its times."""
+    async def detect_stalls(self) -> None:
+        """Records when the soak itself was stalled: times measured then are not reliable."""
         while True:
-            due = self.clock() + LOOK_EVERY
-            await asyncio.sleep(LOOK_EVERY)
-            if self.clock() - due > STALLED:
+            due = self.clock() + POLL_INTERVAL_S
+            await asyncio.sleep(POLL_INTERVAL_S)
+            if self.clock() - due > STALL_THRESHOLD_S:
                 self.record.stalls.append((due, self.clock()))
             running = sum(life.member.running for life in self.lives)
             self.record.processes_most = max(self.record.processes_most, running + 1)
 
-    async def traffic(self) -> None:
-        """All clients do what they do."""
+    async def run_clients(self) -> None:
+        """Runs all clients."""
         actions: dict[int, list[Action]] = defaultdict(list)
         for action in self.schedule.actions:
             actions[action.client].append(action)
-        await asyncio.gather(*(self.clients.play(client, some) for client, some in actions.items()))
-
-    async def troubles(self) -> None:
-        """All troubles, each at its time, whatever else goes on."""
-        await asyncio.gather(*(self.strike(trouble) for trouble in self.schedule.troubles))
-
-    async def strike(self, trouble: ScheduledFault) -> None:
-        """One trouble."""
-        await asyncio.sleep(max(trouble.at - self.clock(), 0.0))
-        during = self.strikes[trouble.kind](self.lives[trouble.gateway], trouble)
-        await self.noted(trouble.kind, trouble.gateway, during)
-
-    async def noted(self, kind: FaultKind, gateway: int, during: Awaitable[None]) -> None:
-        """Notes from when to when a gateway is in a trouble, which may be a part of another one."""
-        struck = InjectedFault(kind, gateway, self.clock(), float("inf"))
-        self.record.struck.append(struck)
-        await during
-        struck.ended = self.clock()
-
-    async def hup(self, life: Life, trouble: ScheduledFault) -> None:
-        """The settings are read again."""
+        await asyncio.gather(*(self.clients.run_client(client, own) for client, own in actions.items()))
+
+    async def inject_faults(self) -> None:
+        """Injects all faults, each at its time, independently of each other."""
+        await asyncio.gather(*(self.inject_fault(fault) for fault in self.schedule.troubles))
+
+    async def inject_fault(self, fault: ScheduledFault) -> None:
+        """Injects one fault at its time."""
+        await asyncio.sleep(max(fault.at - self.clock(), 0.0))
+        effect = self.handlers[fault.kind](self.lives[fault.gateway], fault)
+        await self.record_fault(fault.kind, fault.gateway, effect)
+
+    async def record_fault(self, kind: FaultKind, gateway: int, effect: Awaitable[None]) -> None:
+        """Records the time of a fault at a gateway, which may be a part of another fault."""
+        injected = InjectedFault(kind, gateway, self.clock(), float("inf"))
+        self.record.struck.append(injected)
+        await effect
+        injected.ended = self.clock()
+
+    async def hup(self, life: Life, fault: ScheduledFault) -> None:
+        """Sends SIGHUP: the settings are read again."""
         await life.hang_up()
 
-    async def hup_series(self, life: Life, trouble: ScheduledFault) -> None:
-        """The settings are read again, and again."""
-        for _ in range(HUPS):
+    async def hup_series(self, life: Life, fault: ScheduledFault) -> None:
+        """Sends a series of SIGHUPs."""
+        for _ in range(HUP_COUNT):
             await life.hang_up()
-            await asyncio.sleep(HUP_GAP)
+            await asyncio.sleep(HUP_INTERVAL_S)
 
-    async def term(self, life: Life, trouble: ScheduledFault) -> None:
-        """A planned restart."""
+    async def term(self, life: Life, fault: ScheduledFault) -> None:
+        """Restarts the gateway in order."""
         before = life.member.start_count
         await life.terminate(GRACE_PERIOD_S)
         await life.until_ready(before)
 
-    async def term_in_change(self, life: Life, trouble: ScheduledFault) -> None:
-        """A planned restart of the gateway that is just taking a change."""
-        changing = asyncio.create_task(self.operator.change(trouble.gateway))
+    async def term_in_change(self, life: Life, fault: ScheduledFault) -> None:
+        """Restarts a gateway in order while it accepts a change."""
+        changing = asyncio.create_task(self.operator.change(fault.gateway))
         await asyncio.sleep(0)
-        await self.term(life, trouble)
+        await self.term(life, fault)
         await changing
 
-    async def kill(self, life: Life, trouble: ScheduledFault) -> None:
-        """The process ends without a word."""
+    async def kill(self, life: Life, fault: ScheduledFault) -> None:
+        """Kills the process."""
         before = life.member.start_count
         life.kill()
         await life.until_ready(before)
 
-    async def kill_in_drain(self, life: Life, trouble: ScheduledFault) -> None:
-        """The process is told to end, and ends before it has."""
+    async def kill_in_drain(self, life: Life, fault: ScheduledFault) -> None:
+        """Kills the process while it shuts down."""
         before = life.member.start_count
         life.signal(signal.SIGTERM)
-        await asyncio.sleep(KILLED_AFTER)
+        await asyncio.sleep(KILL_DELAY_S)
         life.kill()
         await life.until_ready(before)
 
-    async def stop(self, life: Life, trouble: ScheduledFault) -> None:
-        """The process stands still for some seconds."""
-        await life.member.pause(trouble.seconds)
+    async def stop(self, life: Life, fault: ScheduledFault) -> None:
+        """Suspends the process for some seconds."""
+        await life.member.pause(fault.seconds)
 
-    async def starve(self, life: Life, trouble: ScheduledFault) -> None:
-        """The process has a quota of the processor: full speed, then nothing for the rest of a tenth."""
-        await life.member.starve(trouble.seconds, STARVED_SHARE)
+    async def starve(self, life: Life, fault: ScheduledFault) -> None:
+        """Limits the CPU time of the process: it runs for a share of each 0.1 s at full speed."""
+        await life.member.starve(fault.seconds, STARVED_SHARE)
 
-    async def zone(self, life: Life, trouble: ScheduledFault) -> None:
-        """All processes of a zone end at once."""
-        there = [n for n in range(self.cluster.size) if n % len(ZONES) == trouble.gateway % len(ZONES)]
-        killed = (self.noted(FaultKind.KILL, n, self.kill(self.lives[n], trouble)) for n in there)
-        await asyncio.gather(*killed)
+    async def zone(self, life: Life, fault: ScheduledFault) -> None:
+        """Kills all processes of a zone at once."""
+        zone_gateways = [n for n in range(self.cluster.size) if n % len(ZONES) == fault.gateway % len(ZONES)]
+        kills = (self.record_fault(FaultKind.KILL, n, self.kill(self.lives[n], fault)) for n in zone_gateways)
+        await asyncio.gather(*kills)
 
-    async def core_roll(self, life: Life, trouble: ScheduledFault) -> None:
-        """The core ends one by one, with a change between."""
+    async def core_roll(self, life: Life, fault: ScheduledFault) -> None:
+        """Restarts the core gateways one by one, with a change after each."""
         for number in range(min(CORE_GATEWAYS, self.cluster.size)):
-            await self.noted(FaultKind.TERM, number, self.term(self.lives[number], trouble))
+            await self.record_fault(FaultKind.TERM, number, self.term(self.lives[number], fault))
             await self.operator.change(number)
 
-    async def wipe(self, life: Life, trouble: ScheduledFault) -> None:
-        """The process ends, and its disk is lost."""
+    async def wipe(self, life: Life, fault: ScheduledFault) -> None:
+        """Kills the process; a core gateway loses its disk."""
         before = life.member.start_count
-        life.kill(wipes=trouble.gateway < CORE_GATEWAYS)
+        life.kill(wipes=fault.gateway < CORE_GATEWAYS)
         await life.until_ready(before)
 
-    async def port_held(self, life: Life, trouble: ScheduledFault) -> None:
-        """The process ends, and somebody else listens at its port for a while."""
+    async def port_held(self, life: Life, fault: ScheduledFault) -> None:
+        """Kills the process, and another socket listens at its port for a while."""
         before = life.member.start_count
-        await life.hold_port(trouble.seconds)
+        await life.hold_port(fault.seconds)
         await life.until_ready(before)
 
-    async def disk_full(self, life: Life, trouble: ScheduledFault) -> None:
-        """The disk of a gateway takes no more bytes."""
-        await life.fill_disk(trouble.seconds)
+    async def disk_full(self, life: Life, fault: ScheduledFault) -> None:
+        """Makes writes to the gateway's disk fail."""
+        await life.fill_disk(fault.seconds)
 
-    async def release(self, life: Life, trouble: ScheduledFault) -> None:
-        """A backend drains and ends, and another one comes in its place."""
-        async with self.releasing:
+    async def release(self, life: Life, fault: ScheduledFault) -> None:
+        """Drains and stops a backend, and starts another in its place."""
+        async with self.drain_lock:
             chosen = self.backends[len(self.record.drains) % len(self.backends)]
             await chosen.drain(self.record.drains)
 
-    async def change(self, life: Life, trouble: ScheduledFault) -> None:
-        """The operator changes the configuration."""
-        await self.operator.change(trouble.gateway)
+    async def change(self, life: Life, fault: ScheduledFault) -> None:
+        """Sends a configuration change."""
+        await self.operator.change(fault.gateway)
 
-    async def race(self, life: Life, trouble: ScheduledFault) -> None:
-        """Two operators change the configuration at once."""
-        await self.operator.race(trouble.gateway)
+    async def race(self, life: Life, fault: ScheduledFault) -> None:
+        """Sends two configuration changes at once."""
+        await self.operator.race(fault.gateway)
 
-    async def invalid(self, life: Life, trouble: ScheduledFault) -> None:
-        """The operator sends what can't be taken."""
-        await self.operator.invalid(trouble.gateway)
+    async def invalid(self, life: Life, fault: ScheduledFault) -> None:
+        """Sends an invalid configuration change."""
+        await self.operator.invalid(fault.gateway)
 
-    async def until_calm(self) -> None:
-        """Waits until nothing is under way at any gateway, and notes how each stands then."""
-        end = self.clock() + CALM_WITHIN
+    async def wait_quiet(self) -> None:
+        """Waits until nothing is in flight at any gateway, and records the state of each."""
+        end = self.clock() + QUIET_TIMEOUT_S
         while True:
-            self.record.calm = [await self.look(number) for number in range(self.cluster.size)]
-            settled = all(self.is_calm(calm) for calm in self.record.calm)
-            if settled or self.clock() > end:
+            self.record.calm = [await self.read_state(number) for number in range(self.cluster.size)]
+            quiet = all(self.is_quiet(state) for state in self.record.calm)
+            if quiet or self.clock() > end:
                 return
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def is_calm(self, calm: IdleState) -> bool:
-        """True if nothing is under way at a gateway, and it has the newest configuration."""
-        counts = [calm.figures.get(f"embersill_{name}", 1.0) for name in GAUGES]
-        return not any(counts) and calm.version >= self.operator.version
+    def is_quiet(self, state: IdleState) -> bool:
+        """True if nothing is in flight at a gateway and it has the newest configuration."""
+        counts = [state.figures.get(f"embersill_{name}", 1.0) for name in GAUGES]
+        return not any(counts) and state.version >= self.operator.version
 
-    async def look(self, number: int) -> IdleState:
-        """What one gateway tells of itself now."""
+    async def read_state(self, number: int) -> IdleState:
+        """Current state of one gateway."""
         process = self.lives[number].member.process
         assert process is not None
         try:
@@ -279,5 +279,5 @@
         return {name: float(value) for name, _, value in (line.rpartition(" ") for line in lines)}
 
     def logs(self) -> list[str]:
-        """What all processes wrote."""
+        """Log lines of all processes."""
         return [line for gateway in self.cluster.gateways for line in gateway.log]
--- a/embersill/rig/soak/shrink.py
+++ b/embersill/rig/soak/shrink.py
@@ -1,4 +1,4 @@
-"""Cuts a schedule down that breaks a rule, as long as what is left breaks it too. No I/O of its own."""
+"""Shrinks a schedule that breaks a rule to a smaller one that still breaks it. No I/O of its own."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 from embersill.rig.soak.schedule import Schedule
 from embersill.world.shrink import leave_out
 
-MOST_PLAYS = 16
+MAX_RUNS = 16
 
 
 def shrink(
-    schedule: Schedule, still_breaks: Callable[[Schedule], bool], most_plays: int = MOST_PLAYS
+    schedule: Schedule, still_breaks: Callable[[Schedule], bool], max_runs: int = MAX_RUNS
 ) -> Schedule:
-    """The smallest schedule found with so many plays: first troubles are left out, then clients."""
-    plays = 0
+    """The smallest schedule found with at most `max_runs` runs: faults are removed first, then clients."""
+    runs = 0
 
-    def goes_on() -> bool:
-        return plays < most_plays
+    def may_continue() -> bool:
+        return runs < max_runs
 
     def breaks(smaller: Schedule) -> bool:
-        nonlocal plays
-        if not goes_on():
+        nonlocal runs
+        if not may_continue():
             return False
-        plays += 1
+        runs += 1
         return still_breaks(smaller)
 
     troubles = leave_out(
         list(schedule.troubles),
-        lambda some: breaks(msgspec.structs.replace(schedule, troubles=tuple(some))),
-        goes_on,
+        lambda subset: breaks(msgspec.structs.replace(schedule, troubles=tuple(subset))),
+        may_continue,
     )
-    kept = msgspec.structs.replace(schedule, troubles=tuple(troubles))
+    reduced = msgspec.structs.replace(schedule, troubles=tuple(troubles))
     clients = leave_out(
-        sorted({action.client for action in kept.actions}),
-        lambda some: breaks(kept.with_clients(some)),
-        goes_on,
+        sorted({action.client for action in reduced.actions}),
+        lambda subset: breaks(reduced.with_clients(subset)),
+        may_continue,
     )
-    return kept.with_clients(clients)
+    return reduced.with_clients(clients)
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -169,7 +169,7 @@
         clients = {action.client for action in smaller.actions}
         return culprit in smaller.troubles and client in clients
 
-    found = shrink(schedule, still_breaks, most_plays=40)
+    found = shrink(schedule, still_breaks, max_runs=40)
     assert culprit in found.troubles and len(found.troubles) <= len(schedule.troubles) / 4
     assert len(found.actions) <= len(schedule.actions) / 4
 
