--- a/embersill/rig/billing.py
+++ b/embersill/rig/billing.py
@@ -111,9 +111,8 @@
             self.counts["far_refused"] += 1
             return 422, {**position_info, "reason": "an office's number from nowhere"}
         if self.owners.setdefault(number, owner) != owner:
-            self.counts["two_owners"] += (
-                1  # two processes with one number: the council's agreement has failed
-            )
+            # two processes with one number: the council's agreement has failed
+            self.counts["two_owners"] += 1
             return 412, {**position_info, "reason": "that number is somebody else's"}
         self.highest_number = number
         if method == "PUT" and path == "/usage/owner":
--- a/embersill/rig/ownership.py
+++ b/embersill/rig/ownership.py
@@ -33,17 +33,17 @@
 
         A lease counts to its end, unless its holder was killed before.
         """
-        found: list[float] = []
+        gaps: list[float] = []
         covered = begin
         for start, until, name in sorted(self.leases.get(office, ())):
             deaths = [at for at, killed in self.kills if killed == name and start <= at < until]
             until = min([until, *deaths])
             if start > covered and start <= end:
-                found.append(start - covered)
+                gaps.append(start - covered)
             covered = max(covered, until)
         if end > covered:
-            found.append(end - covered)
-        return found
+            gaps.append(end - covered)
+        return gaps
 
     def changes(self, office: str) -> int:
         """How often a reported holder differs from the one before."""
@@ -74,9 +74,9 @@
 ) -> str:
     """Waits for a holder of an office other than `other_than`; raises TimeoutError."""
     async with asyncio.timeout(timeout_s):
-        while (found := owner_of(deployment, office)) in ("", other_than):
+        while (holder := owner_of(deployment, office)) in ("", other_than):
             await asyncio.sleep(POLL_INTERVAL_S)
-    return found
+    return holder
 
 
 async def wait_writer(deployment: Deployment, timeout_s: float = 30.0) -> str:
--- a/embersill/rig/playing.py
+++ b/embersill/rig/playing.py
@@ -196,9 +196,9 @@
 
 def office_holders(deployment: Deployment) -> dict[str, str]:
     """Which process holds which office, by the processes' latest status reports."""
-    found: dict[str, str] = {}
+    holders: dict[str, str] = {}
     for member in deployment.members.values():
         for office in member.status.get("offices", []):
             if office["held"] and member.running:
-                found[office["name"]] = f"{member.name} (no. {office['number']}, {office['left']:.1f} s)"
-    return found
+                holders[office["name"]] = f"{member.name} (no. {office['number']}, {office['left']:.1f} s)"
+    return holders
--- a/embersill/rig/soak/clients.py
+++ b/embersill/rig/soak/clients.py
@@ -73,22 +73,22 @@
                 )
         except (OSError, TimeoutError):
             return None
-        made = Connection(reader, writer)
+        created = Connection(reader, writer)
         if not fresh:
-            self.kept[key] = made
-        return made
+            self.kept[key] = created
+        return created
 
     def new_requests(self, action: Action, gateway: int, count: int) -> list[ClientRequest]:
         """Records requests that are about to be sent."""
-        made = []
+        created = []
         for _ in range(count):
             name = f"a{len(self.requests)}"
             request = ClientRequest(
                 name, action.client, gateway, action.tenant, action.route, action.work, self.clock()
             )
             self.requests.append(request)
-            made.append(request)
-        return made
+            created.append(request)
+        return created
 
     async def run_action(self, action: Action) -> None:
         """Sends the requests of an action and waits for the answers, disconnects, or retries a refusal."""
--- a/tests/rig/test_playing.py
+++ b/tests/rig/test_playing.py
@@ -1,4 +1,4 @@
-"""Whole deployments of processes with relays between them: the faults happen, and no rule breaks."""
+"""Deployments of processes with relays between them: faults are injected, and no rule breaks."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from embersill.world.records import Fault
 
 
-def played(scenario: Scenario) -> tuple[ScenarioRun, dict[str, object]]:
-    async def test() -> tuple[ScenarioRun, dict[str, object]]:
-        play = ScenarioRun(scenario, Deployment(shape_of(scenario)))
+def run_scenario(scenario: Scenario) -> tuple[ScenarioRun, dict[str, object]]:
+    async def run_all() -> tuple[ScenarioRun, dict[str, object]]:
+        scenario_run = ScenarioRun(scenario, Deployment(shape_of(scenario)))
         async with asyncio.timeout(60.0):
-            return play, await play.run()
+            return scenario_run, await scenario_run.run()
 
-    return uvloop.run(test())
+    return uvloop.run(run_all())
 
 
-def test_ways_and_processes_in_trouble_break_no_rule() -> None:
-    play, told = played(
+def test_no_rule_breaks_under_link_and_process_faults() -> None:
+    scenario_run, figures = run_scenario(
         read_scenario("""
         seconds = 6.0
         rate = 80.0
@@ -50,17 +50,17 @@
         late = 0.05
         """)
     )
-    assert not told["breaches"] and not told["bad_ends"], told
-    assert play.counts["kill"] == play.counts["stop"] == 1 and play.counts.total() > 9
-    ways = play.deployment.relays.values()
-    assert len(ways) == 3 * (2 + 4) and all(way.counts["connections"] for way in ways)
-    assert sum(way.counts["reset"] for way in ways) or not play.counts["cut"]
-    records = [record for record in play.deployment.audit.records if isinstance(record, Fault)]
-    assert len(records) == sum(len(fault.ways) + len(fault.who) for fault in play.faults)
+    assert not figures["breaches"] and not figures["bad_ends"], figures
+    assert scenario_run.counts["kill"] == scenario_run.counts["stop"] == 1 and scenario_run.counts.total() > 9
+    relays = scenario_run.deployment.relays.values()
+    assert len(relays) == 3 * (2 + 4) and all(relay.counts["connections"] for relay in relays)
+    assert sum(relay.counts["reset"] for relay in relays) or not scenario_run.counts["cut"]
+    records = [record for record in scenario_run.deployment.audit.records if isinstance(record, Fault)]
+    assert len(records) == sum(len(fault.ways) + len(fault.who) for fault in scenario_run.faults)
 
 
-def test_gateways_of_one_level_go_over_relays_to_their_counter() -> None:
-    play, told = played(
+def test_gateways_of_one_level_reach_their_counter_over_relays() -> None:
+    scenario_run, figures = run_scenario(
         read_scenario("""
         seconds = 3.0
         [shape]
@@ -73,5 +73,5 @@
         seconds = 1.5
         """)
     )
-    assert not told["breaches"] and told["served"], told
-    assert play.deployment.relays["g0>counter"].counts["connections"]
+    assert not figures["breaches"] and figures["served"], figures
+    assert scenario_run.deployment.relays["g0>counter"].counts["connections"]
