--- a/embersill/lab/edge/soak_command.py
+++ b/embersill/lab/edge/soak_command.py
@@ -15,7 +15,7 @@
 
 from embersill.rig.soak.fences import FENCES, cut_copy
 from embersill.rig.soak.judge import Finding, Rule, judge
-from embersill.rig.soak.play import Play
+from embersill.rig.soak.play import SoakRun
 from embersill.rig.soak.record import Record
 from embersill.rig.soak.schedule import Schedule, generate
 from embersill.rig.soak.shrink import shrink
@@ -35,9 +35,9 @@
 async def run(schedule: Schedule, environ: dict[str, str]) -> Result:
     """Plays a schedule in a folder that is gone afterwards."""
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
-        play = Play(schedule, Path(folder), environ)
-        record = await play.play()
-        return Result(schedule, record, judge(record), play.logs())
+        soak_run = SoakRun(schedule, Path(folder), environ)
+        record = await soak_run.run()
+        return Result(schedule, record, judge(record), soak_run.logs())
 
 
 async def run_all(schedules: list[Schedule], jobs: int, environ: dict[str, str], keep: Path) -> list[Result]:
@@ -59,7 +59,7 @@
 def tell(result: Result) -> None:
     """One line for a run, and some for what it broke."""
     record = result.record
-    left = sum(one.gone for one in record.tries)
+    left = sum(one.disconnected for one in record.tries)
     print(
         f"seed {result.schedule.seed}: {len(record.tries)} requests, {left} whose clients left, "
         f"{len(record.struck)} troubles, {len(record.exits)} exits: {len(result.findings)} findings",
@@ -117,7 +117,7 @@
         "bad": sum(bool(result.findings) for result in results),
         **{rule.value: counts[rule] for rule in Rule},
         "requests": sum(len(result.record.tries) for result in results),
-        "left": sum(one.gone for result in results for one in result.record.tries),
+        "left": sum(one.disconnected for result in results for one in result.record.tries),
         "processes_most": max((result.record.processes_most for result in results), default=0),
     }
 
--- a/embersill/rig/playing.py
+++ b/embersill/rig/playing.py
@@ -86,7 +86,7 @@
             if self.scenario.drain_every > 0:
                 tasks.append(
                     asyncio.ensure_future(
-                        deployment.drain_by_turns(self.scenario.drain_every, began + self.scenario.seconds)
+                        deployment.drain_in_rotation(self.scenario.drain_every, began + self.scenario.seconds)
                     )
                 )
             if meanwhile is not None:
@@ -171,7 +171,7 @@
 
     def disk(self, fault: FaultTable, name: str) -> None:
         """Changes the state directory of a stopped process as the fault asks, before it starts again."""
-        state = self.deployment.state_of(name)
+        state = self.deployment.state_dir(name)
         if fault.disk == "keep" or not state.exists():
             return
         if fault.disk == "old":
@@ -196,9 +196,9 @@
 
 def office_holders(deployment: Deployment) -> dict[str, str]:
     """Which process holds which office, by the processes' latest status reports."""
-    found: dict[str, str] = {}
+    holders: dict[str, str] = {}
     for member in deployment.members.values():
         for office in member.status.get("offices", []):
             if office["held"] and member.running:
-                found[office["name"]] = f"{member.name} (no. {office['number']}, {office['left']:.1f} s)"
-    return found
+                holders[office["name"]] = f"{member.name} (no. {office['number']}, {office['left']:.1f} s)"
+    return holders
