--- a/tests/edge/test_lapses.py
+++ b/tests/edge/test_lapses.py
@@ -29,7 +29,7 @@
 from embersill.lab.edge.control import founded_fleet
 from embersill.lab.edge import plots
 from embersill.lab.edge.fleet import Fleet, change, document
-from embersill.lab.edge.town import Gateway, Town, with_tenants
+from embersill.lab.edge.town import Gateway, SystemSimulation, system_with_tenants
 from tests.edge.test_parts import FakeExchange, RecordingDriver
 from tests.edge.test_system import put_until_answered
 
@@ -121,7 +121,7 @@
 
 def steps_taken(fleet: Fleet) -> list[int]:
     """The order's step at each number of the record that any gateway has seen."""
-    return [orders["t"]["step"] for _, orders in sorted(fleet.orders.items()) if "t" in orders]
+    return [orders["t"]["step"] for _, orders in sorted(fleet.lapse_orders.items()) if "t" in orders]
 
 
 def test_every_gateway_applies_a_step_before_the_next_one_begins() -> None:
@@ -169,7 +169,7 @@
             victim.node.lapse_runner.duty.hand_over()
             victim.carry_out()
         elif trouble == "slow":
-            fleet.slowed[victim.name] = 0.3
+            fleet.added_delay_s[victim.name] = 0.3
         elif trouble == "race":
             for action, machine in zip(("pause", "resume"), chance.sample(fleet.machines, 2), strict=True):
                 machine.call("lapse", {"id": "t", **order_body(action)})
@@ -178,7 +178,7 @@
             if machine.node is None:
                 machine.start()
         fleet.heal()
-        fleet.slowed.clear()
+        fleet.added_delay_s.clear()
         if round_number == 4:
             base = max(m.node.state["version"] for m in fleet.machines if m.node is not None)
             fleet.machines[0].call("PUT", change(base + 1, base))
@@ -189,9 +189,9 @@
     assert all(after - before in (0, 1) for before, after in zip(taken, taken[1:], strict=False)), taken
     assert taken[-1] == 2
     began_at = {
-        fleet.orders[n]["t"]["step"]: at
-        for n, at in sorted(fleet.ordered_at.items(), reverse=True)
-        if "t" in fleet.orders.get(n, {})
+        fleet.lapse_orders[n]["t"]["step"]: at
+        for n, at in sorted(fleet.lapse_orders_seen_at.items(), reverse=True)
+        if "t" in fleet.lapse_orders.get(n, {})
     }
     assert began_at[1] - began_at[0] > 1.9 and began_at[2] - began_at[1] > 1.9, "a step was cut short"
     for machine in fleet.machines:
@@ -228,10 +228,12 @@
     assert sorted(verdicts[0].status for verdicts in replies) == [200, 412]
 
 
-def served_share(fleet: Town, tenant: str, since: float, until: float, gateway: str = "") -> float:
+def served_share(
+    fleet: SystemSimulation, tenant: str, since: float, until: float, gateway: str = ""
+) -> float:
     requests = [
         request
-        for request in fleet.book
+        for request in fleet.requests
         if request.tenant == tenant
         and since <= request.asked_at < until
         and (not gateway or request.gateway == gateway)
@@ -239,19 +241,21 @@
     return sum(request.end == "served" for request in requests) / max(len(requests), 1)
 
 
-def fleet_with_slowed_tenant(seed: int, gateways: int = 6, share: float = 0.2) -> tuple[Town, float]:
+def fleet_with_slowed_tenant(
+    seed: int, gateways: int = 6, share: float = 0.2
+) -> tuple[SystemSimulation, float]:
     """A fleet with two tenants of the same quota, one of which is slowed down to a share of it."""
-    fleet = with_tenants(seed, gateways, {"t": (60.0, 60.0), "u": (60.0, 60.0)})
+    fleet = system_with_tenants(seed, gateways, {"t": (60.0, 60.0), "u": (60.0, 60.0)})
     chance = fleet.kernel.stream("uneven")
     weighted_machines = [machine for n, machine in enumerate(fleet.machines) for _ in range(n + 1)]
     for tenant, rate_per_s in (("t", 45.0), ("u", 40.0)):
-        fleet.call(
-            tenant, rate_per_s, lambda: chance.choice(weighted_machines), fleet.kernel.now + 40.0, repeats=2
+        fleet.generate_traffic(
+            tenant, rate_per_s, lambda: chance.choice(weighted_machines), fleet.kernel.now + 40.0, retries=2
         )
     fleet.run(8.0)
     assert submit_order(fleet, order_body(ladder=[{"share": share}])) == 200
     fleet.run(6.0)  # by then the burst of the old rate is used up
-    fleet.hold("t", 60.0 * share, 60.0 * share)
+    fleet.enforce_quota("t", 60.0 * share, 60.0 * share)
     return fleet, fleet.kernel.now
 
 
@@ -268,29 +272,29 @@
         assert abs(served_share(fleet, "t", since, until, machine.name) - total) < 0.12, machine.name
     passed = [
         request
-        for request in fleet.book
+        for request in fleet.requests
         if request.tenant == "t" and request.sends and since <= request.asked_at < until
     ]
     assert 0.75 * 12.0 < len(passed) / (until - since) < 1.15 * 12.0
-    late = [request for request in fleet.book if request.tenant == "t" and request.asked_at >= since]
+    late = [request for request in fleet.requests if request.tenant == "t" and request.asked_at >= since]
     refused = [request for request in late if request.end == "refused"]
     assert all(request.over_quota and request.retry_after > 0.2 for request in refused)
     assert len({round(request.retry_after, 2) for request in refused}) > 10  # spread, not all at once
-    assert all(request.sends <= 1 for request in fleet.book) and not any(
-        request.end == "failed" for request in fleet.book
+    assert all(request.sends <= 1 for request in fleet.requests) and not any(
+        request.end == "failed" for request in fleet.requests
     )
 
 
 def test_a_slowed_tenant_does_not_affect_others_while_a_third_of_the_backends_is_lost() -> None:
     fleet, since = fleet_with_slowed_tenant(11)
-    fleet.dead = {f"b{n}" for n in range(0, 30, 3)}
+    fleet.backends_down = {f"b{n}" for n in range(0, 30, 3)}
     fleet.run(12.0)
     until = fleet.kernel.now - 3.0
     assert served_share(fleet, "u", since, until) > 0.97
     assert 0.05 < served_share(fleet, "t", since, until) < 0.35
     sent = [
         request
-        for request in fleet.book
+        for request in fleet.requests
         if request.tenant == "t" and request.end == "served" and request.asked_at >= since
     ]
     assert len(sent) < 1.15 * 12.0 * 12.0  # requests that a lost backend did not run are charged once
@@ -298,10 +302,10 @@
 
 def test_ten_tenants_slowed_at_once_are_each_held_to_their_own_step() -> None:
     names = [f"x{n}" for n in range(10)]
-    fleet = with_tenants(4, 6, dict.fromkeys([*names, "u"], (20.0, 20.0)))
+    fleet = system_with_tenants(4, 6, dict.fromkeys([*names, "u"], (20.0, 20.0)))
     chance = fleet.kernel.stream("where")
     for name in (*names, "u"):
-        fleet.call(name, 15.0, lambda: chance.choice(fleet.machines), fleet.kernel.now + 22.0)
+        fleet.generate_traffic(name, 15.0, lambda: chance.choice(fleet.machines), fleet.kernel.now + 22.0)
     for number, name in enumerate(names):
         fleet.machines[number % 6].call(
             "lapse", {"id": name, **order_body(ladder=[{"share": 0.1 + 0.05 * number}])}
@@ -315,7 +319,7 @@
         rate = 20.0 * (0.1 + 0.05 * number)
         passed = sum(
             request.tenant == name and request.sends > 0 and since <= request.asked_at
-            for request in fleet.book
+            for request in fleet.requests
         )
         assert 0.6 * rate < passed / 9.0 < 1.2 * rate, name
     assert served_share(fleet, "u", since, fleet.kernel.now - 1.0) > 0.97
@@ -334,7 +338,7 @@
     for party in ("tenant", "others"):
         for figure in ("asked", "served", "refused", "held"):
             assert total[party][figure] == sum(row[party][figure] for row in rows)
-    requests = [request for request in fleet.book if request.tenant == "t" and request.asked_at >= since]
+    requests = [request for request in fleet.requests if request.tenant == "t" and request.asked_at >= since]
     assert total["tenant"]["asked"] >= len(requests) * 0.9
     assert total["tenant"]["refused"] > total["tenant"]["served"]
     shares = [row["tenant"]["served"] / row["tenant"]["asked"] for row in rows if row["tenant"]["asked"] > 30]
@@ -406,7 +410,7 @@
     fleet.run(12.0)
     passed = [
         request
-        for request in fleet.book
+        for request in fleet.requests
         if request.tenant == "t" and request.sends and request.asked_at >= since
     ]
     assert 5 <= len(passed) <= 1.2 * 12.0 * 1.15 + 1
@@ -419,11 +423,11 @@
         fleet.run(0.3)
         machine.start()
         fleet.run(1.0)
-    fleet.run(6.0)  # `Town.ran` checks the step's rate and burst after each send
-    assert fleet.most["t"] <= 1.0
+    fleet.run(6.0)  # `SystemSimulation.ran` checks the step's rate and burst after each send
+    assert fleet.peak_quota_usage["t"] <= 1.0
     fleet.run(40.0)
-    assert not [request for request in fleet.book if not request.end], "a request has not ended"
-    lost = [request for request in fleet.book if request.end == "failed"]
+    assert not [request for request in fleet.requests if not request.end], "a request has not ended"
+    lost = [request for request in fleet.requests if request.end == "failed"]
     assert len(lost) <= 20 and all(
         request.gateway in {m.name for m in fleet.machines[3:]} for request in lost
     )
@@ -442,14 +446,14 @@
 
 
 def test_at_a_share_of_zero_nothing_is_sent_and_held_requests_end() -> None:
-    fleet = with_tenants(2, 4, {"t": (4.0, 4.0)})
+    fleet = system_with_tenants(2, 4, {"t": (4.0, 4.0)})
     gateway = fleet.machines[3]
     assert isinstance(gateway, Gateway)
-    held_requests = [gateway.ask("t", 8.0) for _ in range(6)]
+    held_requests = [gateway.request("t", 8.0) for _ in range(6)]
     assert submit_order(fleet, order_body(ladder=[{"share": 0.0}])) == 200
     fleet.run(3.0)
     assert all(held is not None and held.end in ("served", "refused") for held in held_requests)
-    later_requests = [gateway.ask("t", 2.0) for _ in range(6)]
+    later_requests = [gateway.request("t", 2.0) for _ in range(6)]
     fleet.run(2.0)
     assert [request.end for request in later_requests if request is not None] == ["refused"] * 6
 
--- a/tests/edge/test_places.py
+++ b/tests/edge/test_places.py
@@ -165,7 +165,7 @@
 def test_a_shortfall_in_fault_tolerance_and_its_end_are_logged() -> None:
     fleet = Fleet(1, 3, 1)
     lines: list[str] = []
-    fleet.require(2)
+    fleet.tolerate_losses(2)
     for machine in fleet.machines[:3]:
         assert machine.node is not None
         machine.node.on_view = lines.append
--- a/tests/edge/test_rollout.py
+++ b/tests/edge/test_rollout.py
@@ -28,7 +28,15 @@
 from embersill.edge.configuration.stages import Site, steps_of
 from embersill.edge.rollout.watch import BOUNDS_S, MAX_STAGES, Seen, Watch, total_by_kind
 from embersill.lab.edge.fleet import change, document
-from embersill.lab.edge.rolling import HARMS, SITES, Harmful, RollTown, roll_town, run_of, wish
+from embersill.lab.edge.rolling import (
+    HARMS,
+    SITES,
+    FaultyGateway,
+    RolloutSimulation,
+    current_run,
+    rollout_request,
+    rollout_simulation,
+)
 from embersill.lab.edge.town import Gateway
 
 HARMLESS_POLICY: Policy = {"name": "sooner far away", "far_share": 0.2}
@@ -122,14 +130,14 @@
 
 
 def test_a_run_proceeds_step_by_step_and_its_policy_holds_where_it_was_activated() -> None:
-    state = apply_request(state_of(), wish(HARMLESS_POLICY)).ok
-    assert apply_request(state, wish(HARMLESS_POLICY)).ok is state
-    assert apply_request(state, wish({"name": "other", "far_share": 1.0})).error.status == 412
-    assert apply_request(state_of(), wish("pause")).error.status == 404
+    state = apply_request(state_of(), rollout_request(HARMLESS_POLICY)).ok
+    assert apply_request(state, rollout_request(HARMLESS_POLICY)).ok is state
+    assert apply_request(state, rollout_request({"name": "other", "far_share": 1.0})).error.status == 412
+    assert apply_request(state_of(), rollout_request("pause")).error.status == 404
     assert in_force(state, "a", "g") == BUILT_IN_POLICY and label(state)
     assert activate_step(state, 1, 0) is None  # a step must be announced before it is activated
     labels = [label(state)]
-    order = run_of(state)["steps"]
+    order = current_run(state)["steps"]
     for step, (zone,) in enumerate(order):
         state = announce_step(state, 1, step) or state
         assert announce_step(state, 1, step) is None and announce_step(state, 1, step + 1) is None
@@ -142,33 +150,35 @@
     state = complete_run(state, 1) or state
     assert rollouts_of(state)["run"] is None and not label(state)
     assert in_force(state, "elsewhere", "g") == HARMLESS_POLICY
-    assert apply_request(state, wish(HARMLESS_POLICY)).error.status == 412  # it is in force already
+    assert (
+        apply_request(state, rollout_request(HARMLESS_POLICY)).error.status == 412
+    )  # it is in force already
     after_change = apply_change(state, "PUT", {**document(2), "based_on_version": "00000001"}).ok
     assert in_force(after_change, "a", "g") == HARMLESS_POLICY and revision(after_change) > revision(state)
 
 
 def test_a_harmful_step_is_rolled_back_everywhere_and_retried_once_if_transient() -> None:
-    state = apply_request(state_of(), wish(HARMLESS_POLICY)).ok
-    first = run_of(state)["steps"][0][0]
+    state = apply_request(state_of(), rollout_request(HARMLESS_POLICY)).ok
+    first = current_run(state)["steps"][0][0]
     state = activate_step(announce_step(state, 1, 0) or state, 1, 0) or state
-    paused = apply_request(state, wish("pause")).ok
+    paused = apply_request(state, rollout_request("pause")).ok
     assert in_force(paused, first, "g") == HARMLESS_POLICY and roll_back(paused, 1, 0, "slow", True) is None
     resting = roll_back(state, 1, 0, "slow", True) or state
     assert in_force(resting, first, "g") == BUILT_IN_POLICY and announce_step(resting, 1, 0) is None
     resumed = resume_after_rest(resting, 1, -1) or resting
-    assert run_of(resumed)["tries"] == 1 and label(resumed) != label(
-        apply_request(state_of(), wish(HARMLESS_POLICY)).ok
+    assert current_run(resumed)["tries"] == 1 and label(resumed) != label(
+        apply_request(state_of(), rollout_request(HARMLESS_POLICY)).ok
     )
     halted = roll_back(state, 1, 0, "order: missing: 7", False) or state
     past = rollouts_of(halted)["past"][-1]
     assert in_force(halted, first, "g") == BUILT_IN_POLICY and past["how"] == "halted" and "7" in past["why"]
-    aborted = apply_request(state, wish("abort")).ok
+    aborted = apply_request(state, rollout_request("abort")).ok
     assert (
         rollouts_of(aborted)["past"][-1]["how"] == "aborted"
         and in_force(aborted, first, "g") == BUILT_IN_POLICY
     )
     for _ in range(40):
-        run = run_of(apply_request(aborted, wish(HARMLESS_POLICY)).ok)
+        run = current_run(apply_request(aborted, rollout_request(HARMLESS_POLICY)).ok)
         aborted = end_run(aborted, run, "aborted", "")
     assert len(rollouts_of(aborted)["past"]) == 16
 
@@ -238,19 +248,19 @@
     assert refused.how == "harm" and "refused" in refused.why
 
 
-def run_until_ended(fleet: RollTown, seconds: float = 150.0) -> dict[str, Any]:
+def run_until_ended(fleet: RolloutSimulation, seconds: float = 150.0) -> dict[str, Any]:
     end = fleet.kernel.now + seconds
-    while fleet.kernel.now < end and not fleet.past():
+    while fleet.kernel.now < end and not fleet.last_finished_run():
         fleet.run(0.5)
     fleet.run(1.0)
-    return fleet.past()
+    return fleet.last_finished_run()
 
 
 def test_a_harmless_policy_reaches_all_sites_marked_ones_last_and_stays() -> None:
-    fleet = roll_town(1)
-    fleet.start(HARMLESS_POLICY)
+    fleet = rollout_simulation(1)
+    fleet.start_rollout(HARMLESS_POLICY)
     order: list[str] = []
-    while not fleet.past() and fleet.kernel.now < 200.0:
+    while not fleet.last_finished_run() and fleet.kernel.now < 200.0:
         fleet.run(0.2)
         for machine in fleet.machines:
             if (
@@ -269,10 +279,10 @@
 
 @pytest.mark.parametrize("harm", HARMS)
 def test_a_harmful_policy_is_halted_at_its_first_site_and_removed(harm: str) -> None:
-    fleet = roll_town(2)
-    fleet.start({"name": harm, "far_share": 0.15})
+    fleet = rollout_simulation(2)
+    fleet.start_rollout({"name": harm, "far_share": 0.15})
     reached: set[str] = set()
-    while not fleet.past() and fleet.kernel.now < 250.0:
+    while not fleet.last_finished_run() and fleet.kernel.now < 250.0:
         fleet.run(0.2)
         reached |= {m.zone for m in fleet.machines if m.node is not None and m.node.policy[0]["name"] == harm}
     past = run_until_ended(fleet)
@@ -283,7 +293,7 @@
     fleet.run(4.0)
     after = [
         request
-        for request in fleet.book
+        for request in fleet.requests
         if request.asked_at >= since and request.asked_at < fleet.kernel.now - 2.5
     ]
     assert after and all(request.end for request in after) and all(request.runs <= 1 for request in after)
@@ -291,26 +301,26 @@
 
 
 def test_a_backend_crash_during_the_watch_does_not_halt_the_rollout_for_good() -> None:
-    fleet = roll_town(3)
-    fleet.start(HARMLESS_POLICY)
+    fleet = rollout_simulation(3)
+    fleet.start_rollout(HARMLESS_POLICY)
     while not any(m.node is not None and m.node.policy[0] == HARMLESS_POLICY for m in fleet.machines):
         fleet.run(0.2)
     lost_backends = [name for n, name in enumerate(fleet.backends) if n % 3 == 0]
-    fleet.dead.update(lost_backends)
+    fleet.backends_down.update(lost_backends)
     fleet.run(3.0)
-    fleet.dead.clear()
+    fleet.backends_down.clear()
     assert run_until_ended(fleet)["how"] == "done"
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_whatever_fails_a_run_ends_once_and_every_gateway_has_the_same_policy(seed: int) -> None:
     """Holders killed, all killed, the core or a site partitioned, hand-over, a configuration change."""
-    fleet = roll_town(seed + 10)
+    fleet = rollout_simulation(seed + 10)
     chance = fleet.kernel.stream("troubles of a rollout")
     policy: Policy = (
         {"name": chance.choice(["slows", "doubles"]), "far_share": 0.15} if seed % 2 else HARMLESS_POLICY
     )
-    fleet.start(policy)
+    fleet.start_rollout(policy)
     for _ in range(4):
         fleet.run(chance.uniform(1.0, 6.0))
         holders = [rollouts_of(m.node.state)["holder"] for m in fleet.machines if m.node is not None]
@@ -347,7 +357,7 @@
     assert len(states) == 1
     expected = policy if past["how"] == "done" else BUILT_IN_POLICY
     assert all(m.node is not None and m.node.policy == (expected, "") for m in fleet.machines)
-    assert isinstance(fleet.machines[0], Harmful)
+    assert isinstance(fleet.machines[0], FaultyGateway)
 
 
 def test_commands_check_a_policy_and_plan_its_rollout(
