--- a/embersill/council/export.py
+++ b/embersill/council/export.py
@@ -27,7 +27,7 @@
 
 from embersill.council.member import How, Member, Result
 from embersill.council.messages import Entry
-from embersill.council.offices import Permit, Post
+from embersill.council.offices import Permit, OfficeLease
 from embersill.council.usage import Use
 
 KEY = "export"
@@ -84,7 +84,7 @@
 class Exporter:
     """One member's part in the export: all it does, it does while its post is held."""
 
-    def __init__(self, post: Post, member: Member) -> None:
+    def __init__(self, post: OfficeLease, member: Member) -> None:
         self.post, self.member = post, member
         self.step = Step.IDLE
         self.number = 0
@@ -125,11 +125,11 @@
 
     def tick(self, now: float) -> None:
         held = self.post.held(now)
-        mine = self.post.mine
-        if not held or mine is None or mine.number != self.number:
+        lease = self.post.lease
+        if not held or lease is None or lease.number != self.number:
             self.reset()
-            if held and mine is not None:
-                self.number, self.step = mine.number, Step.CLAIM
+            if held and lease is not None:
+                self.number, self.step = lease.number, Step.CLAIM
         if self.step in (Step.IDLE, Step.INTEND, Step.CONFIRM) or self.busy or now < self.due:
             return
         if self.call is not None or self.out:
--- a/embersill/council/messages.py
+++ b/embersill/council/messages.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from embersill.council.terms import MOST_KEY, MOST_KEYS, MOST_MEMBERS, MOST_VALUE
+from embersill.council.terms import MAX_KEY_CHARS, MAX_KEYS, MAX_MEMBERS, MAX_VALUE_BYTES
 from embersill.tiers.messages import MAX_TEXT_CHARS, BadFrame
 
 VERSION = 1
@@ -22,8 +22,8 @@
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
 Text = Annotated[str, msgspec.Meta(max_length=MAX_TEXT_CHARS)]
-Key = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_KEY)]
-Data = Annotated[bytes, msgspec.Meta(max_length=MOST_VALUE)]
+Key = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_KEY_CHARS)]
+Data = Annotated[bytes, msgspec.Meta(max_length=MAX_VALUE_BYTES)]
 Span = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 Units = Annotated[float, msgspec.Meta(ge=-1e9, le=1e9)]
 
@@ -143,7 +143,7 @@
 
     origin: Origin
     lives: Annotated[
-        dict[Text, Number], msgspec.Meta(max_length=MOST_MEMBERS)
+        dict[Text, Number], msgspec.Meta(max_length=MAX_MEMBERS)
     ]  # numbers of known lives, by name
 
 
@@ -195,9 +195,9 @@
 class JoinReply(Answer, frozen=True, tag=7):
     """To a Join: the state of all keys."""
 
-    keys: Annotated[list[KeyState], msgspec.Meta(max_length=MOST_KEYS)]
+    keys: Annotated[list[KeyState], msgspec.Meta(max_length=MAX_KEYS)]
     mark: Number
-    known: Annotated[dict[Text, Life], msgspec.Meta(max_length=MOST_MEMBERS)]
+    known: Annotated[dict[Text, Life], msgspec.Meta(max_length=MAX_MEMBERS)]
 
 
 class Confirmed(Answer, frozen=True, tag=8):
--- a/embersill/council/offices.py
+++ b/embersill/council/offices.py
@@ -1,12 +1,13 @@
-"""Offices: work on behalf of the fleet that one process does at a time, held by lease. No I/O.
+"""Offices: singleton jobs of the fleet, each held by one process at a time under a lease. No I/O.
 
-An office is a key of the register: who holds it, in which life, under which number, and how often it was
-renewed. The number grows by one each time the office is taken, and never else. `council/terms.py` says why
-two can't hold it at once; that an old owner's last act arrives late no lease can prevent, so every act
-carries the number, and whoever it acts upon refuses a lower one (`fences.py`).
+An office is a key of the register: its holder, the holder's life, its number (a fencing token), and how often
+it was renewed. The number grows by one each time the office changes hands, and at no other time.
+`council/terms.py` shows why two members cannot hold it at once. No lease can prevent an old owner's last
+action from arriving late, so every action carries the number, and its receiver refuses a lower one
+(`fences.py`).
 
-An act is made by `Post.act` alone, which refuses once the lease is over, and must be written before
-`write_by`: a process that stands still between the two is caught by the fence.
+Only `OfficeLease.act` permits an action. It refuses once the lease is over, and the action must be written
+before `write_by`; if the process stalls between the two, the fence catches the late action.
 """
 
 from __future__ import annotations
@@ -21,251 +22,284 @@
 from embersill.council.messages import Act, Entry, Key, Number, Text
 from embersill.council.terms import CouncilTerms
 
-PREFIX = "office/"
-TURN = 3.0  # times what a read or write takes that the next in the order waits
-LOOK_AGAIN = 1.0  # seconds after which one who has seen nothing of an office reads it
+KEY_PREFIX = "office/"
+TURN_LATENCIES = 3.0  # least wait of each candidate after the one before it, in latencies of an operation
+WATCH_INTERVAL_S = 1.0  # between reads of an office by a member that is not a candidate for it
 
 
 class NotHeld(Exception):
-    """The office is not, or no longer, this process's."""
+    """This process does not hold the office, or no longer does."""
 
 
-class Held(msgspec.Struct, array_like=True, frozen=True):
+class OfficeRecord(msgspec.Struct, array_like=True, frozen=True):
     """An office's value in the register."""
 
-    holder: Text  # empty: nobody
+    holder: Text  # empty if nobody holds it
     boot: Number  # the holder's life
     number: Number
-    beat: Number
-    for_whom: Text = ""  # who is to have it next, where it was given up for somebody
+    renewals: Number = msgspec.field(name="beat")
+    successor: Text = msgspec.field(default="", name="for_whom")  # the member it was released for, if any
 
 
-_decoder: msgspec.msgpack.Decoder[Held] = msgspec.msgpack.Decoder(Held)
+_decoder: msgspec.msgpack.Decoder[OfficeRecord] = msgspec.msgpack.Decoder(OfficeRecord)
 
 
-def read_held(entry: Entry | None) -> Held:
-    """What stands in the register; nobody under number nought for nothing, or for what can't be read."""
+def read_office(entry: Entry | None) -> OfficeRecord:
+    """Decodes an office's value; without a value, or with an undecodable one, nobody holds it and its number
+    is 0."""
     if entry is None:
-        return Held("", 0, 0, 0)
+        return OfficeRecord("", 0, 0, 0)
     try:
         return _decoder.decode(entry.data)
     except (msgspec.DecodeError, msgspec.ValidationError):
-        return Held("", 0, 0, 0)
+        return OfficeRecord("", 0, 0, 0)
 
 
-def written(held: Held) -> bytes:
-    return msgspec.msgpack.encode(held)
+def encode_office(record: OfficeRecord) -> bytes:
+    """Encodes an office's value."""
+    return msgspec.msgpack.encode(record)
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """What an act needs: what it carries, and until when it may be written, by this process's clock."""
+    """Permission for one action: the token it carries, and the time by which it must be written, on this
+    process's clock."""
 
     act: Act
     write_by: float
 
 
 @dataclass(slots=True)
-class Mine:
-    """An office that is held here."""
+class HeldLease:
+    """A lease that this member holds."""
 
     number: int
     since: float
-    until: float
+    expires_at: float
     sequence: int = 0
 
 
-def order_of(office: str, members: Iterable[str], prefer: Iterable[str] = ()) -> list[str]:
-    """Who is to have an office before whom: those named first, the others by rendezvous hashing."""
+def candidate_order(office: str, members: Iterable[str], prefer: Iterable[str] = ()) -> list[str]:
+    """The order in which members take an office: `prefer` first, the others by rendezvous hashing."""
     first = [name for name in prefer]
-    rest = sorted((name for name in members if name not in first),
-                  key=lambda name: hashlib.blake2b(f"{office}/{name}".encode(), digest_size=8).digest())
+    rest = sorted(
+        (name for name in members if name not in first),
+        key=lambda name: hashlib.blake2b(f"{office}/{name}".encode(), digest_size=8).digest(),
+    )
     return first + rest
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What the register held when it was looked at last, or what some member has accepted since."""
+class Observation:
+    """An office's value as last read from the register, or as some member has accepted it since."""
 
     version: int
     writer: str
-    held: Held
+    record: OfficeRecord
 
     @classmethod
-    def of(cls, entry: Entry | None) -> Seen:
-        return cls(0, "", read_held(None)) if entry is None else cls(
-            entry.version, entry.writer, read_held(entry))
-
-
-class Post:
-    """One office, as one member sees it."""
-
-    def __init__(self, office: Key, member: Member, terms: CouncilTerms, now: float, *,
-                 prefer: Iterable[str] = (), stands: bool = True) -> None:
-        """`stands`: this member takes the office if it can; others only watch."""
+    def of(cls, entry: Entry | None) -> Observation:
+        """The observation of a register entry."""
+        return (
+            cls(0, "", read_office(None))
+            if entry is None
+            else cls(entry.version, entry.writer, read_office(entry))
+        )
+
+
+class OfficeLease:
+    """One office as one member sees it, and this member's lease on it."""
+
+    def __init__(
+        self,
+        office: Key,
+        member: Member,
+        terms: CouncilTerms,
+        now: float,
+        *,
+        prefer: Iterable[str] = (),
+        candidate: bool = True,
+    ) -> None:
+        """`candidate`: this member takes the office when it can; otherwise it only watches it."""
         self.office, self.member, self.terms = office, member, terms
-        self.key = PREFIX + office
+        self.key = KEY_PREFIX + office
         members = member.register.members
-        self.order = [name for name in order_of(office, members, prefer) if name in members]
-        self.stands = stands
-        self.mine: Mine | None = None
-        self.seen: Seen | None = None
-        self.seen_at = now
-        self.looked_at = now
-        self.gave_at = float("-inf")
-        self.lapsed: dict[str, float] = {}  # owners whose leases ran out, and when that was seen here
+        self.order = [name for name in candidate_order(office, members, prefer) if name in members]
+        self.candidate = candidate
+        self.lease: HeldLease | None = None
+        self.observed: Observation | None = None
+        self.observed_at = now
+        self.read_at = now
+        self.released_at = float("-inf")
+        self.expired_at: dict[str, float] = {}  # when the leases of earlier owners were seen to expire
         self.busy = False
         self.renew_at = now
-        self.misses = 0
+        self.failed_attempts = 0
         self.resigned_until = float("-inf")
-        self.again_at = now  # before which nothing is tried
+        self.next_attempt_at = now  # no read or write before then
         self.leaving = False
-        self.on_change: Callable[[Post], None] = lambda post: None  # it was taken, or lost
+        self.on_change: Callable[[OfficeLease], None] = lambda post: None  # after it was taken or lost
         self.counts = {"taken": 0, "lost": 0, "given": 0, "renewals": 0}
 
-    # what everyone sees
+    # seen by every member
 
-    def observe(self, entry: Entry | None, now: float, read: bool = True) -> None:
-        """The register's value, as a majority told it (`read`), or one that a single member has accepted.
+    def observe(self, entry: Entry | None, now: float, confirmed: bool = True) -> None:
+        """Notes the office's value: `confirmed` by a majority, or accepted by a single member.
 
-        The latter may never come to be, and another with the same version in its place: each that differs
-        begins the lease anew.
+        The latter may never be decided, and another entry with the same version may be decided instead, so
+        every entry that differs restarts the wait for the lease.
         """
-        found = Seen.of(entry)
-        if found == self.seen or not read and self.seen is not None and found.version < self.seen.version:
+        found = Observation.of(entry)
+        if (
+            found == self.observed
+            or not confirmed
+            and self.observed is not None
+            and found.version < self.observed.version
+        ):
             return
-        self.seen, self.seen_at = found, now
-        if self.mine is not None and not self.is_mine(found.held):
+        self.observed, self.observed_at = found, now
+        if self.lease is not None and not self.is_own(found.record):
             self.lose(now)
 
-    def is_mine(self, held: Held) -> bool:
-        return held.holder == self.member.me and held.boot == self.member.register.life.boot \
-            and self.mine is not None and held.number == self.mine.number
+    def is_own(self, record: OfficeRecord) -> bool:
+        """Whether a value is that of the lease held here."""
+        return (
+            record.holder == self.member.me
+            and record.boot == self.member.register.life.boot
+            and self.lease is not None
+            and record.number == self.lease.number
+        )
 
     def holder(self, now: float) -> str:
-        """Who holds it as far as is known here; empty if nobody surely does."""
-        if self.mine is not None:
-            return self.member.me if now < self.mine.until else ""
-        if self.seen is None or now >= self.seen_at + self.terms.lease:
+        """The holder as far as is known here; empty if no holder is certain."""
+        if self.lease is not None:
+            return self.member.me if now < self.lease.expires_at else ""
+        if self.observed is None or now >= self.observed_at + self.terms.lease:
             return ""
-        return self.seen.held.holder
+        return self.observed.record.holder
 
     def known_number(self) -> int:
-        return 0 if self.seen is None else self.seen.held.number
+        """The office's number as last observed."""
+        return 0 if self.observed is None else self.observed.record.number
 
-    # what its owner does
+    # the holder
 
     def held(self, now: float) -> bool:
-        return self.mine is not None and now < self.mine.until and not self.leaving
+        """Whether this member holds the office and may act under it."""
+        return self.lease is not None and now < self.lease.expires_at and not self.leaving
 
     def act(self, now: float) -> Permit:
-        """What one act on behalf of the fleet needs; NotHeld if it must not be done."""
-        if self.mine is None or not self.held(now):
+        """Permits one action under the lease; NotHeld if it must not be performed."""
+        if self.lease is None or not self.held(now):
             raise NotHeld(self.office)
-        self.mine.sequence += 1
-        return Permit(Act(self.office, self.mine.number, self.mine.sequence), self.mine.until)
+        self.lease.sequence += 1
+        return Permit(Act(self.office, self.lease.number, self.lease.sequence), self.lease.expires_at)
 
     def lose(self, now: float) -> None:
-        if self.mine is not None:
-            self.mine = None
+        """Drops the lease held here, if any."""
+        if self.lease is not None:
+            self.lease = None
             self.counts["lost"] += 1
             self.on_change(self)
 
     # time
 
     def tick(self, now: float) -> None:
-        if self.mine is not None and now >= self.mine.until:
+        """Advances time: expires, renews, releases, takes or refreshes the office."""
+        if self.lease is not None and now >= self.lease.expires_at:
             self.lose(now)
-        if self.busy or now < self.again_at or not self.member.register.votes:
+        if self.busy or now < self.next_attempt_at or not self.member.register.votes:
             return
-        if self.mine is not None:
-            if self.leaving or now < self.resigned_until or self.gives_way(now):
-                self.give_up(now)
+        if self.lease is not None:
+            if self.leaving or now < self.resigned_until or self.should_yield(now):
+                self.release(now)
             elif now >= self.renew_at:
                 self.renew(now)
-        elif self.seen is None or (not self.stands and now >= self.looked_at + LOOK_AGAIN):
-            self.look(now)
-        elif self.stands and not self.leaving and now >= max(self.free_from(), self.resigned_until):
+        elif self.observed is None or (not self.candidate and now >= self.read_at + WATCH_INTERVAL_S):
+            self.refresh(now)
+        elif self.candidate and not self.leaving and now >= max(self.may_take_at(), self.resigned_until):
             self.confirm(now)
 
     def rank(self) -> int:
-        assert self.seen is not None
+        """This member's place in the order of candidates, with a named successor first."""
+        assert self.observed is not None
         order = self.order
-        for_whom = self.seen.held.for_whom
-        if for_whom in order:
-            order = [for_whom, *(name for name in order if name != for_whom)]
+        successor = self.observed.record.successor
+        if successor in order:
+            order = [successor, *(name for name in order if name != successor)]
         return order.index(self.member.me)
 
-    def free_from(self) -> float:
-        """From when on this member may try to take it: who stands before it in the order goes first."""
-        assert self.seen is not None
-        wait = self.terms.lease if self.seen.held.holder else 0.0
-        # a turn is as long as a read and a write take here, or those in the order get into each other's way
-        turn = max(self.terms.stagger, TURN * self.member.latency)
-        return self.seen_at + wait + self.rank() * turn
-
-    def missed(self, now: float) -> None:
-        """Somebody or something was in the way of taking it: tried again after a while that grows."""
-        self.misses = min(self.misses + 1, 5)
-        longest = max(self.terms.stagger, self.terms.attempt) * 2.0 ** self.misses
-        self.again_at = now + min(longest, self.terms.lease) * self.member.chance.random()
-
-    def look(self, now: float) -> None:
-        """Reads what the register has."""
+    def may_take_at(self) -> float:
+        """The time from which this member may try to take the office: candidates before it have a turn."""
+        assert self.observed is not None
+        wait = self.terms.lease if self.observed.record.holder else 0.0
+        # a turn lasts as long as a read and a write take here, or candidates would interfere with each other
+        turn = max(self.terms.stagger, TURN_LATENCIES * self.member.latency)
+        return self.observed_at + wait + self.rank() * turn
+
+    def back_off(self, now: float) -> None:
+        """An attempt to take the office failed: the next one waits longer, with jitter."""
+        self.failed_attempts = min(self.failed_attempts + 1, 5)
+        longest = max(self.terms.stagger, self.terms.attempt) * 2.0**self.failed_attempts
+        self.next_attempt_at = now + min(longest, self.terms.lease) * self.member.chance.random()
+
+    def refresh(self, now: float) -> None:
+        """Reads the office from the register."""
         if self.busy:
             return
         self.busy = True
 
         def done(result: Result, now: float) -> None:
             self.busy = False
-            self.again_at = now + self.terms.stagger
+            self.next_attempt_at = now + self.terms.stagger
             if result.how is How.DONE:
                 self.observe(result.entry, now)
-                if not self.stands:
-                    self.looked_at = now
+                if not self.candidate:
+                    self.read_at = now
 
         self.member.read(self.key, done, now)
 
     def confirm(self, now: float) -> None:
-        """Whether others have seen a renewal that was not seen here: read, before anything is written.
+        """Reads the office before trying to take it, in case others have seen a renewal that was missed here.
 
-        Who hears nobody gets no majority for a read, and never disturbs those who hear each other.
+        A member that receives no answers gets no majority for the read, and so never disturbs the others.
         """
         self.busy = True
-        assert self.seen is not None
-        before = self.seen
+        assert self.observed is not None
+        before = self.observed
 
         def done(result: Result, now: float) -> None:
             self.busy = False
-            self.again_at = now + self.terms.stagger
+            self.next_attempt_at = now + self.terms.stagger
             if result.how is not How.DONE:
-                return self.missed(now)
+                return self.back_off(now)
             self.observe(result.entry, now)
-            if self.seen == before and now >= self.free_from():
+            if self.observed == before and now >= self.may_take_at():
                 self.take(now)
 
         self.member.read(self.key, done, now)
 
     def take(self, now: float) -> None:
+        """Writes this member in as the holder, unless the office has changed since it was read."""
         self.busy = True
-        assert self.seen is not None
-        before, number = self.seen, self.seen.held.number + 1
-        mine = Held(self.member.me, self.member.register.life.boot, number, 0)
+        assert self.observed is not None
+        before, number = self.observed, self.observed.record.number + 1
+        record = OfficeRecord(self.member.me, self.member.register.life.boot, number, 0)
 
         def change(entry: Entry | None) -> bytes | None:
-            return written(mine) if Seen.of(entry) == before else None
+            return encode_office(record) if Observation.of(entry) == before else None
 
         def done(result: Result, now: float) -> None:
             self.busy = False
-            self.missed(now)
+            self.back_off(now)
             if result.how is How.DONE:
-                self.misses, self.again_at = 0, now
-                if before.held.holder:
-                    self.lapsed[before.held.holder] = now
+                self.failed_attempts, self.next_attempt_at = 0, now
+                if before.record.holder:
+                    self.expired_at[before.record.holder] = now
                 self.observe(result.entry, now)
-                until = result.began + self.terms.usable
-                if now < until and not self.leaving:
-                    self.mine = Mine(number, now, until)
+                expires_at = result.began + self.terms.usable
+                if now < expires_at and not self.leaving:
+                    self.lease = HeldLease(number, now, expires_at)
                     self.renew_at = result.began + self.terms.renew_every
                     self.counts["taken"] += 1
                     self.on_change(self)
@@ -275,63 +309,68 @@
         self.member.write(self.key, change, done, now, self.terms.usable)
 
     def renew(self, now: float) -> None:
+        """Renews the lease; it counts from the moment at which the write began."""
         self.busy = True
-        assert self.mine is not None
-        number = self.mine.number
+        assert self.lease is not None
+        number = self.lease.number
 
         def change(entry: Entry | None) -> bytes | None:
-            held = read_held(entry)
-            if not self.is_mine(held) or held.number != number:
+            record = read_office(entry)
+            if not self.is_own(record) or record.number != number:
                 return None
-            return written(Held(held.holder, held.boot, held.number, held.beat + 1))
+            return encode_office(OfficeRecord(record.holder, record.boot, record.number, record.renewals + 1))
 
         def done(result: Result, now: float) -> None:
             self.busy = False
             self.renew_at = result.began + self.terms.renew_every
             if result.entry is not None:
                 self.observe(result.entry, now)
-            if self.mine is None or self.mine.number != number:
+            if self.lease is None or self.lease.number != number:
                 return
             if result.how is How.DONE:
-                self.mine.until = max(self.mine.until, result.began + self.terms.usable)
+                self.lease.expires_at = max(self.lease.expires_at, result.began + self.terms.usable)
                 self.counts["renewals"] += 1
             elif result.how is How.REFUSED:
                 self.lose(now)
 
-        self.member.write(self.key, change, done, now, max(self.mine.until - now, 0.0))
+        self.member.write(self.key, change, done, now, max(self.lease.expires_at - now, 0.0))
 
-    def gives_way(self, now: float) -> bool:
-        """Somebody who goes before this member in the order has been well for long.
+    def should_yield(self, now: float) -> bool:
+        """Whether a candidate before this member in the order has been healthy for `settle_back`.
 
-        Once in that time only: if whoever it was given up for does not take it, it is not given up again.
+        At most once in that time: if that candidate does not take the office, it is not released again at
+        once.
         """
-        return now >= self.gave_at + self.terms.settle_back and self.better(now) != ""
+        return now >= self.released_at + self.terms.settle_back and self.preferred_member(now) != ""
 
-    def better(self, now: float) -> str:
+    def preferred_member(self, now: float) -> str:
+        """The first healthy candidate before this member in the order; empty if there is none."""
         for name in self.order:
             if name == self.member.me:
                 return ""
-            if now - max(
-                    self.member.answering_since(name), self.lapsed.get(name, 0.0)) >= self.terms.settle_back:
+            if (
+                now - max(self.member.answering_since(name), self.expired_at.get(name, 0.0))
+                >= self.terms.settle_back
+            ):
                 return name
         return ""
 
-    def give_up(self, now: float) -> None:
-        """In order: from now on it is nobody's here, and nobody waits out the lease."""
-        assert self.mine is not None
-        number = self.mine.number
-        heir = "" if self.leaving or now < self.resigned_until else self.better(now)
+    def release(self, now: float) -> None:
+        """Releases the office, so that other members need not wait for the lease to expire."""
+        assert self.lease is not None
+        number = self.lease.number
+        successor = "" if self.leaving or now < self.resigned_until else self.preferred_member(now)
         boot = self.member.register.life.boot
         self.counts["given"] += 1
-        self.gave_at = now
+        self.released_at = now
         self.lose(now)
         self.busy = True
 
         def change(entry: Entry | None) -> bytes | None:
-            held = read_held(entry)
-            if (held.holder, held.boot, held.number) != (self.member.me, boot, number):
+            record = read_office(entry)
+            if (record.holder, record.boot, record.number) != (self.member.me, boot, number):
                 return None
-            return written(Held("", 0, number, 0, heir))
+            return encode_office(OfficeRecord("", 0, number, 0, successor))
 
         def done(result: Result, now: float) -> None:
             self.busy = False
@@ -341,18 +380,23 @@
         self.member.write(self.key, change, done, now)
 
     def resign(self, now: float, seconds: float) -> None:
-        """This process can't do the work: others are to have it, and it does not stand for a while."""
+        """This process cannot do the work: releases the office, and is no candidate for `seconds`."""
         self.resigned_until = now + seconds
 
     def leave(self, now: float) -> None:
-        """The process is to stop: what it holds is given up, and it takes nothing more."""
+        """The process is stopping: releases the office and takes it no more."""
         self.leaving = True
-        self.again_at = now
+        self.next_attempt_at = now
         self.tick(now)
 
     def status(self, now: float) -> dict[str, object]:
-        """What an operator watches; docs/operate/offices.md explains each figure."""
-        mine = self.mine
-        return {"name": self.office, "holder": self.holder(now), "held": self.held(now),
-                "number": mine.number if mine is not None else self.known_number(),
-                "left": round(mine.until - now, 3) if mine is not None else 0.0, **self.counts}
+        """Figures for operators; docs/operate/offices.md explains each of them."""
+        lease = self.lease
+        return {
+            "name": self.office,
+            "holder": self.holder(now),
+            "held": self.held(now),
+            "number": lease.number if lease is not None else self.known_number(),
+            "left": round(lease.expires_at - now, 3) if lease is not None else 0.0,
+            **self.counts,
+        }
--- a/embersill/council/register.py
+++ b/embersill/council/register.py
@@ -42,7 +42,7 @@
     Superseded,
     CellReply,
 )
-from embersill.council.terms import MOST_KEYS
+from embersill.council.terms import MAX_KEYS
 
 
 class LifeRecord(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -288,7 +288,7 @@
         """The key's cell, created if there is room; None if not, or if the ballot is implausibly high."""
         cell = self.cells.get(key)
         if cell is None:
-            if len(self.cells) >= MOST_KEYS:
+            if len(self.cells) >= MAX_KEYS:
                 return None
             cell = Cell()
         if ballot.round > cell.promised.round + MAX_AHEAD:
--- a/embersill/council/seat.py
+++ b/embersill/council/seat.py
@@ -23,7 +23,7 @@
     OfficeReply,
     Verdicts,
 )
-from embersill.council.offices import PREFIX, NotHeld, Post
+from embersill.council.offices import KEY_PREFIX, NotHeld, OfficeLease
 from embersill.council.probes import OFFICE as PROBES
 from embersill.council.probes import Advice, Prober, ProbeSettings, Suspicions
 from embersill.council.register import Register
@@ -59,7 +59,8 @@
         self.member = Member(register, terms, chance, now)
         names = [*([EXPORT] if tally is not None else []), *([PROBES] if probes is not None else []), *others]
         self.offices = {
-            name: Post(name, self.member, terms, now, prefer=(prefer or {}).get(name, ())) for name in names
+            name: OfficeLease(name, self.member, terms, now, prefer=(prefer or {}).get(name, ()))
+            for name in names
         }
         self.fence = Fence(frozenset(names))
         self.tally = tally
@@ -79,8 +80,8 @@
 
     def entry_accepted(self, key: str, entry: Entry) -> None:
         """Passes an entry that this member's register has accepted to the lease that it belongs to."""
-        if key.startswith(PREFIX) and key[len(PREFIX) :] in self.offices:
-            self.offices[key[len(PREFIX) :]].observe(entry, self.now, read=False)
+        if key.startswith(KEY_PREFIX) and key[len(KEY_PREFIX) :] in self.offices:
+            self.offices[key[len(KEY_PREFIX) :]].observe(entry, self.now, confirmed=False)
 
     # requests of members
 
@@ -111,13 +112,13 @@
         if why is Why.TAKEN:
             self.advice.take(request.verdicts, self.now)
         elif why is Why.UNKNOWN:
-            self.offices[request.act.office].look(self.now)  # its owner changed, and this member missed it
+            self.offices[request.act.office].refresh(self.now)  # its owner changed, and this member missed it
         return OfficeReply(origin, boots, why.value)
 
     def known_owner(self, office: str) -> tuple[int, str]:
         """The number and holder of an office as last seen in the register."""
         post = self.offices[office]
-        return post.known_number(), post.seen.held.holder if post.seen is not None else ""
+        return post.known_number(), post.observed.record.holder if post.observed is not None else ""
 
     def on_answer(self, number: int, answer: Answer, now: float) -> None:
         """Processes a member's answer to request `number`."""
@@ -174,10 +175,10 @@
             suspected = self.suspicions.suspected(now)
             if suspected:
                 self.enqueue(owner, Suspect(self.register.origin, suspected))
-        if not post.held(now) or post.mine is None:
+        if not post.held(now) or post.lease is None:
             return
-        if post.mine.number != self.probe_number:
-            self.probe_number = post.mine.number
+        if post.lease.number != self.probe_number:
+            self.probe_number = post.lease.number
             self.prober.reset()
         verdicts = self.prober.verdicts(now)
         if verdicts:
@@ -204,7 +205,7 @@
 
     def has_left(self) -> bool:
         """Whether all leases are released and no write of them is under way."""
-        return not any(post.mine is not None or post.busy for post in self.offices.values())
+        return not any(post.lease is not None or post.busy for post in self.offices.values())
 
     def status(self) -> dict[str, object]:
         """Figures for operators; docs/operate/offices.md explains each of them."""
--- a/embersill/council/settings.py
+++ b/embersill/council/settings.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from embersill.council.probes import ProbeSettings
-from embersill.council.terms import MOST_MEMBERS, CouncilTerms, check_council_terms
+from embersill.council.terms import MAX_MEMBERS, CouncilTerms, check_council_terms
 from embersill.net.discovery import read_address
 
 OFFICES = ("export", "probes")
@@ -48,8 +48,8 @@
     """ValueError names the key and the reason."""
     if role != "planner":
         raise ValueError(f"council: a {role} has no seat in it; it belongs to planners")
-    if not 0 < len(table.members) <= MOST_MEMBERS:
-        raise ValueError(f"council.members: from 1 to {MOST_MEMBERS}")
+    if not 0 < len(table.members) <= MAX_MEMBERS:
+        raise ValueError(f"council.members: from 1 to {MAX_MEMBERS}")
     if set(table.members) != set(planners):
         raise ValueError("council.members: they must be the planners of tiers.planners, all of them")
     members: dict[str, tuple[str, int]] = {}
--- a/embersill/lab/council/fences.py
+++ b/embersill/lab/council/fences.py
@@ -184,15 +184,15 @@
         "lease-began",
         OFFICES,
         "a lease is counted from when its write ended",
-        "self.mine.until = max(self.mine.until, result.began + self.terms.usable)",
-        "self.mine.until = max(self.mine.until, now + self.terms.usable)",
+        "self.lease.expires_at = max(self.lease.expires_at, result.began + self.terms.usable)",
+        "self.lease.expires_at = max(self.lease.expires_at, now + self.terms.usable)",
     ),
     Fence(
         "take-began",
         OFFICES,
         "a lease is counted from when its first write ended",
-        "until = result.began + self.terms.usable",
-        "until = now + self.terms.usable",
+        "expires_at = result.began + self.terms.usable",
+        "expires_at = now + self.terms.usable",
     ),
     Fence(
         "drift",
@@ -205,39 +205,40 @@
         "wait-lease",
         OFFICES,
         "an office is taken over while its owner may still act",
-        "wait = self.terms.lease if self.seen.held.holder else 0.0",
+        "wait = self.terms.lease if self.observed.record.holder else 0.0",
         "wait = 0.0",
     ),
     Fence(
         "unchanged",
         OFFICES,
         "an office is taken though its owner has renewed it meanwhile",
-        "return written(mine) if Seen.of(entry) == before else None",
-        "return written(mine)",
+        "return encode_office(record) if Observation.of(entry) == before else None",
+        "return encode_office(record)",
     ),
     Fence(
         "same-writer",
         OFFICES,
         "an entry that came in another's place, with its version, passes for it",
-        "            entry.version, entry.writer, read_held(entry))",
-        '            entry.version, "", read_held(None) if False else read_held(entry))',
+        "cls(entry.version, entry.writer, read_office(entry))",
+        'cls(entry.version, "", read_office(None) if False else read_office(entry))',
         (
             (
                 OFFICES,
-                "return written(mine) if Seen.of(entry) == before else None",
-                "return written(mine) if Seen.of(entry).version == before.version else None",
+                "return encode_office(record) if Observation.of(entry) == before else None",
+                "return encode_office(record) if Observation.of(entry).version == before.version else None",
             ),
             (
                 OFFICES,
-                "if found == self.seen or not read and self.seen is not None and "
-                "found.version < self.seen.version:",
-                "if self.seen is not None and found.version <= self.seen.version:",
+                "        if (\n            found == self.observed\n            or not confirmed\n"
+                "            and self.observed is not None\n"
+                "            and found.version < self.observed.version\n        ):",
+                "        if self.observed is not None and found.version <= self.observed.version:",
             ),
             (
                 OFFICES,
-                "if self.seen == before and now >= self.free_from():",
-                "if self.seen is not None and self.seen.version == before.version "
-                "and now >= self.free_from():",
+                "if self.observed == before and now >= self.may_take_at():",
+                "if self.observed is not None and self.observed.version == before.version "
+                "and now >= self.may_take_at():",
             ),
         ),
     ),
@@ -245,16 +246,16 @@
         "lapses",
         OFFICES,
         "an owner acts on after its lease",
-        "return self.mine is not None and now < self.mine.until and not self.leaving",
-        "return self.mine is not None",
-        ((OFFICES, "if self.mine is not None and now >= self.mine.until:", "if False:"),),
+        "return self.lease is not None and now < self.lease.expires_at and not self.leaving",
+        "return self.lease is not None",
+        ((OFFICES, "if self.lease is not None and now >= self.lease.expires_at:", "if False:"),),
     ),
     Fence(
         "number",
         OFFICES,
         "an office keeps its number when it changes hands",
-        "before, number = self.seen, self.seen.held.number + 1",
-        "before, number = self.seen, max(self.seen.held.number, 1)",
+        "before, number = self.observed, self.observed.record.number + 1",
+        "before, number = self.observed, max(self.observed.record.number, 1)",
     ),
     # whoever is acted upon
     Fence(
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -26,7 +26,7 @@
 from embersill.council.journal import Damaged, Journal
 from embersill.council.member import How, Result
 from embersill.council.messages import Act, Answer, Request, Entry, OfficeReply, Verdicts
-from embersill.council.offices import PREFIX, NotHeld, Post, read_held
+from embersill.council.offices import KEY_PREFIX, NotHeld, OfficeLease, read_office
 from embersill.council.probes import ProbeSettings
 from embersill.council.register import Register
 from embersill.council.seat import CouncilCore
@@ -100,7 +100,7 @@
         self.after(USE_EVERY, self.use)
         self.after(CLIENT_EVERY * self.chance.random(), self.client)
 
-    def changed(self, post: Post) -> None:
+    def changed(self, post: OfficeLease) -> None:
         self.world.changed(self, post)
 
     def entry_seen(self, key: str, entry: Entry) -> None:
@@ -299,35 +299,39 @@
 
     # what is judged
 
-    def changed(self, node: MemberNode, post: Post) -> None:
-        if post.mine is None:
+    def changed(self, node: MemberNode, post: OfficeLease) -> None:
+        if post.lease is None:
             return
         self.counts["takes"] += 1
-        key = post.office, post.mine.number
+        key = post.office, post.lease.number
         mine = f"{node.name}/{node.life}"
         if self.takes.setdefault(key, mine) != mine:
             raise Broken(
                 "number grows",
                 self.kernel.now,
-                f"{post.office} no. {post.mine.number} is taken by " f"{mine} and was by {self.takes[key]}",
+                f"{post.office} no. {post.lease.number} is taken by " f"{mine} and was by {self.takes[key]}",
             )
         before = max(
-            (number for office, number in self.takes if office == post.office and number != post.mine.number),
+            (
+                number
+                for office, number in self.takes
+                if office == post.office and number != post.lease.number
+            ),
             default=0,
         )
-        if post.mine.number < before:
-            text = f"{post.office} no. {post.mine.number} after {before}"
+        if post.lease.number < before:
+            text = f"{post.office} no. {post.lease.number} after {before}"
             raise Broken("number grows", self.kernel.now, text)
         self.look()
 
     def entry_seen(self, node: MemberNode, key: str, entry: Entry) -> None:
         """A member has accepted an entry: whoever is watched for as it takes the work hears of it late."""
-        held = read_held(entry)
+        held = read_office(entry)
         if (
             self.kernel.now < self.watching
-            and key == PREFIX + WORK
+            and key == KEY_PREFIX + WORK
             and held.holder not in ("", node.member_name)
-            and not held.beat
+            and not held.renewals
         ):
             self.watching = -1.0
             for name in self.names:
@@ -357,8 +361,8 @@
         self.counts["acts"] += 1
         owner = self.takes.get((act.office, act.number), "")
         if not owner:  # it may have written itself in, and not have heard that it did: the register says so
-            seen = node.core.offices[act.office].seen
-            owner = seen.held.holder if seen is not None and seen.held.number == act.number else ""
+            seen = node.core.offices[act.office].observed
+            owner = seen.record.holder if seen is not None and seen.record.number == act.number else ""
         if owner.partition("/")[0].partition("+")[0] != request.origin.name:
             raise Broken(
                 "fence",
@@ -592,7 +596,7 @@
             return
         post = node.core.offices["probes"]
         number = step.args["number"] or post.known_number()  # nought: the one that goes
-        if post.busy or post.mine is not None and number == post.mine.number:
+        if post.busy or post.lease is not None and number == post.lease.number:
             return  # it may be about to hold that office, or does
         act = Act("probes", number, 1 << 30)
         for to in self.names:
--- a/tests/council/test_export.py
+++ b/tests/council/test_export.py
@@ -20,7 +20,7 @@
 )
 from embersill.council.journal import Journal
 from embersill.council.messages import MAX_ENTRIES
-from embersill.council.offices import Mine, Post
+from embersill.council.offices import HeldLease, OfficeLease
 from embersill.council.usage import BATCH_EVERY, MOST_BATCHES, Tally, UseBook
 from embersill.rig.billing import MOST_STEP, StandInBilling
 from tests.council.helpers import TERMS, Bench
@@ -173,8 +173,8 @@
         member = self.bench.members["m0"]
         for operation in list(member.operations.values()):
             operation.on_result = lambda result, now: None
-        post = Post("export", member, TERMS, self.bench.now)
-        post.mine = Mine(self.number, self.bench.now, self.bench.now + 1e6)
+        post = OfficeLease("export", member, TERMS, self.bench.now)
+        post.lease = HeldLease(self.number, self.bench.now, self.bench.now + 1e6)
         self.exporter = Exporter(post, member)
         return self.exporter
 
--- a/tests/council/test_member.py
+++ b/tests/council/test_member.py
@@ -30,7 +30,7 @@
 )
 from embersill.council.messages import Question as Asked
 from embersill.council.register import Register
-from embersill.council.terms import MOST_VALUE, MOST_KEYS
+from embersill.council.terms import MAX_VALUE_BYTES, MAX_KEYS
 from embersill.tiers.messages import BadFrame
 from tests.council.helpers import Bench, value
 
@@ -172,7 +172,7 @@
     origin = Origin("m0", register.life, 0)
     far = Prepare(origin, "k", Ballot(MAX_AHEAD + 1, "m0", 1))
     assert isinstance(register.handle(far), NotReady) and not register.cells
-    for n in range(MOST_KEYS):
+    for n in range(MAX_KEYS):
         assert isinstance(register.handle(Prepare(origin, f"k{n}", Ballot(1, "m0", 1))), CellReply)
     assert isinstance(register.handle(Prepare(origin, "more", Ballot(1, "m0", 1))), NotReady)
 
@@ -306,7 +306,7 @@
 
 def test_a_value_over_the_bound_is_refused_by_whoever_reads_it() -> None:
     origin = Origin("m0", Life(1, "n"), 0)
-    entry = Entry(1, "w", b"x" * (MOST_VALUE + 1))
+    entry = Entry(1, "w", b"x" * (MAX_VALUE_BYTES + 1))
     frame = encode_frame(Asked(1, Accept(origin, "k", Ballot(1, "m0", 1), entry, Ballot(2, "m0", 1))))
     with pytest.raises(BadFrame):
         decode_question(frame)
--- a/tests/council/test_offices.py
+++ b/tests/council/test_offices.py
@@ -8,7 +8,14 @@
 
 from embersill.council.fences import Fence, Why
 from embersill.council.messages import Act, Entry
-from embersill.council.offices import Held, NotHeld, Post, order_of, read_held, written
+from embersill.council.offices import (
+    OfficeRecord,
+    NotHeld,
+    OfficeLease,
+    candidate_order,
+    read_office,
+    encode_office,
+)
 from embersill.council.terms import CouncilTerms, check_council_terms
 from tests.council.helpers import TERMS, Bench
 
@@ -21,7 +28,7 @@
     ) -> None:
         super().__init__(n, terms)
         self.posts = {
-            name: Post("work", member, terms, self.now, prefer=prefer)
+            name: OfficeLease("work", member, terms, self.now, prefer=prefer)
             for name, member in self.members.items()
         }
         for name, member in self.members.items():
@@ -34,7 +41,7 @@
     def seen(self, name: str) -> Callable[[str, Entry], None]:
         def observe(key: str, entry: Entry) -> None:
             if key == "office/work":
-                self.posts[name].observe(entry, self.now, read=False)
+                self.posts[name].observe(entry, self.now, confirmed=False)
 
         return observe
 
@@ -68,7 +75,7 @@
     bench.go(1.0)
     post = bench.posts["m0"]
     bench.stopped.add("m0")
-    began, until = bench.now, post.mine.until if post.mine is not None else 0.0
+    began, until = bench.now, post.lease.expires_at if post.lease is not None else 0.0
     while not bench.posts["m1"].held(bench.now):
         bench.go(0.01)
     assert until <= bench.now <= began + TERMS.lease + 0.2
@@ -165,26 +172,30 @@
     bench = Posts()
     bench.go(1.0)
     post = bench.posts["m1"]
-    assert post.seen is not None
-    before, free = post.seen, post.free_from()
+    assert post.observed is not None
+    before, free = post.observed, post.may_take_at()
     bench.now += 0.3
-    other = Entry(before.version, "another write", written(Held("m2", 1, before.held.number, 0)))
-    post.observe(other, bench.now, read=False)
-    assert post.free_from() >= free + 0.25 and post.seen.writer == "another write"
-    older = Entry(before.version - 1, "late", written(Held("", 0, 1, 0)))
-    post.observe(older, bench.now + 0.1, read=False)
-    assert post.seen.writer == "another write"
+    other = Entry(
+        before.version, "another write", encode_office(OfficeRecord("m2", 1, before.record.number, 0))
+    )
+    post.observe(other, bench.now, confirmed=False)
+    assert post.may_take_at() >= free + 0.25 and post.observed.writer == "another write"
+    older = Entry(before.version - 1, "late", encode_office(OfficeRecord("", 0, 1, 0)))
+    post.observe(older, bench.now + 0.1, confirmed=False)
+    assert post.observed.writer == "another write"
 
 
 def test_what_can_t_be_read_is_nobody_s() -> None:
-    assert read_held(Entry(3, "w", b"\xc1")).holder == "" and read_held(None).number == 0
+    assert read_office(Entry(3, "w", b"\xc1")).holder == "" and read_office(None).number == 0
 
 
 def test_the_order_is_the_same_for_all_and_spreads_offices() -> None:
     names = [f"m{n}" for n in range(5)]
-    assert order_of("a", names) == order_of("a", reversed(names))
-    assert order_of("a", names, ["m3"])[0] == "m3" and len(set(order_of("a", names, ["m3"]))) == 5
-    firsts = {order_of(f"office {n}", names)[0] for n in range(40)}
+    assert candidate_order("a", names) == candidate_order("a", reversed(names))
+    assert (
+        candidate_order("a", names, ["m3"])[0] == "m3" and len(set(candidate_order("a", names, ["m3"]))) == 5
+    )
+    firsts = {candidate_order(f"office {n}", names)[0] for n in range(40)}
     assert firsts == set(names)
 
 
--- a/tests/council/test_settings.py
+++ b/tests/council/test_settings.py
@@ -39,7 +39,7 @@
         ("back_off = 0.02", "back_off = 0.5", "at most most_back_off"),
         ("settle_back = 30.0", "settle_back = 0.1", "settle_back at least"),
         ("within = 2.0", "within = 0.1", "within must be at least attempt"),
-        ("stagger = 0.03", "stagger = -1.0", "stagger must not"),
+        ("stagger = 0.03", "stagger = -1.0", "stagger must be at least 0"),
         ("http://127.0.0.1:9100", "127.0.0.1:9100", "council.export.billing"),
         ("http://127.0.0.1:9100", "http://127.0.0.1:x", "council.export.billing"),
         ("period = 3600.0", "period = 0.5", "council.export.period"),
