--- a/embersill/council/chair.py
+++ b/embersill/council/chair.py
@@ -1,7 +1,7 @@
-"""A planner's seat on real sockets and a real disk: links, journals, billing, probes.
+"""A planner's part in the council with its I/O: links, journals, calls to billing, probes.
 
-The disk is written by a thread of its own, one batch at a time; the loop goes on meanwhile. What was used is
-written in the loop, without a sync, before the grants go out that it counts (`note`).
+A thread of its own writes the disk, one batch at a time, while the loop goes on. Usage is written in the
+loop, without a sync, before the grants that it counts are sent (`note_usage`).
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from embersill.council.desk import Batch, GroupCommit
 from embersill.council.export import Answered, Call, meta_of
 from embersill.council.journal import Damaged, Folder, Journal
-from embersill.council.links import MemberLine, MemberServer, council_digest
+from embersill.council.links import MemberConnection, MemberServer, council_digest
 from embersill.council.messages import Answer, Question, Reply
 from embersill.council.probes import PROBE_WITHIN
 from embersill.council.register import Register
@@ -29,256 +29,282 @@
 from embersill.interface import Outcome
 from embersill.tiers.wire import Secret
 
-TICK_EVERY = 0.02  # seconds
-BILLING_WITHIN = 1.0  # seconds for an answer of billing
-LEFT_WITHIN = 1.0  # seconds at a stop for offices to be given up
-ILL = (Outcome.NO_CONNECTION, Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.ERROR)
+TICK_INTERVAL_S = 0.02
+BILLING_TIMEOUT_S = 1.0
+RELEASE_TIMEOUT_S = 1.0  # for the release of offices when the planner stops
+FAILURES = (Outcome.NO_CONNECTION, Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.ERROR)
 
 log = logging.getLogger("embersill")
 
 
-class Chair:
-    """What `name` has of the council that `told` describes. `key`: the deployment's secret."""
+class CouncilService:
+    """The member `name` of the council that `settings` describes, with its sockets and files."""
 
-    def __init__(self, told: Council, name: str, key: bytes, clock: Callable[[], float]) -> None:
-        self.told, self.name, self.clock = told, name, clock
+    def __init__(self, settings: Council, name: str, key: bytes, clock: Callable[[], float]) -> None:
+        """`key`: the deployment's secret."""
+        self.settings, self.name, self.clock = settings, name, clock
         self.loop = asyncio.get_running_loop()
-        self.folder = Folder(told.state)
+        self.folder = Folder(settings.state)
         self.journal = Journal(self.folder, "council", "council", name)
-        self.uses: UseBook | None = None
-        if told.export is not None:
-            self.uses = UseBook(Journal(self.folder, "use", "use", name), Tally(told.export.period))
-            self.uses.open(f"{name}.{os.urandom(4).hex()}")
-            if self.uses.why:
-                log.warning("the use that was noted before can't be read, and a new stream begins: %s",
-                            self.uses.why)
-        register = Register(name, told.members)
+        self.usage: UseBook | None = None
+        if settings.export is not None:
+            self.usage = UseBook(Journal(self.folder, "use", "use", name), Tally(settings.export.period))
+            self.usage.open(f"{name}.{os.urandom(4).hex()}")
+            if self.usage.why:
+                log.warning("the usage journal cannot be read; starting a new stream: %s", self.usage.why)
+        register = Register(name, settings.members)
         self.load(register)
         register.begin_life(os.urandom(8).hex())
         self.core = CouncilCore(
-            register, told.terms, random.Random(os.urandom(16)), clock(), prefer=told.prefer,
-            tally=self.uses.tally if self.uses is not None else None, probes=told.probes)
+            register,
+            settings.terms,
+            random.Random(os.urandom(16)),
+            clock(),
+            prefer=settings.prefer,
+            tally=self.usage.tally if self.usage is not None else None,
+            probes=settings.probes,
+        )
         self.group_commit = GroupCommit(self.core)
-        secret = Secret(key, council_digest(told.members, told.terms))
-        self.server = MemberServer(secret, name, frozenset(told.members), self.asked)
+        secret = Secret(key, council_digest(settings.members, settings.terms))
+        self.server = MemberServer(secret, name, frozenset(settings.members), self.on_request)
         self.secret = secret
-        self.lines: dict[str, MemberLine] = {}
+        self.connections: dict[str, MemberConnection] = {}
         self.writer = ThreadPoolExecutor(1, "embersill-journal")
         self.ticker: asyncio.TimerHandle | None = None
         self.session: aiohttp.ClientSession | None = None
         self.tasks: set[asyncio.Task[None]] = set()
-        self.places: Callable[[], dict[str, tuple[str, int]]] = lambda: {}  # of backends that could serve
+        # the addresses of backends that are available
+        self.backend_addresses: Callable[[], dict[str, tuple[str, int]]] = lambda: {}
         self.leave_out: Callable[[str, bool], None] = lambda backend, out: None
-        self.was = ""
-        self.syncing = False  # the thread syncs the journal of use
+        self.logged_reason = ""
+        self.syncing_usage = False  # the thread is syncing the usage journal
 
     def load(self, register: Register) -> None:
+        """Loads the register's journal; if it is unusable, the state is recovered from other members."""
         try:
             register.load(self.journal.open())
         except (Damaged, ValueError) as error:
-            log.warning("the memory of the council is lost, and is learned from the others: %s", error)
+            log.warning("the council journal is unusable; recovering its state from other members: %s", error)
             register.load(None)
 
     async def start(self) -> None:
-        await self.server.start(self.told.members[self.name])
+        """Listens, writes the new life to disk, and begins to dial the other members."""
+        await self.server.start(self.settings.members[self.name])
         batch = self.group_commit.next_batch()
         if batch is not None:
             batch.save(self.journal)
             self.group_commit.batch_written(batch)
-        for name, address in self.told.members.items():
+        for name, address in self.settings.members.items():
             if name != self.name:
-                self.lines[name] = MemberLine(
-                    self.secret, self.name, name, address, lambda reply: self.answered(reply))
-        self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=BILLING_WITHIN))
+                self.connections[name] = MemberConnection(
+                    self.secret, self.name, name, address, lambda reply: self.on_reply(reply)
+                )
+        self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=BILLING_TIMEOUT_S))
         self.tick()
 
-    # questions and answers
+    # requests and answers
 
-    def asked(self, name: str, question: Question, say: Callable[[Answer], None]) -> None:
-        self.group_commit.handle(question.ask, say, self.clock())
-        self.write()
+    def on_request(self, name: str, question: Question, deliver: Callable[[Answer], None]) -> None:
+        """Handles another member's request."""
+        self.group_commit.handle(question.ask, deliver, self.clock())
+        self.start_write()
 
-    def answered(self, reply: Reply) -> None:
+    def on_reply(self, reply: Reply) -> None:
+        """Handles another member's answer."""
         self.core.on_answer(reply.number, reply.answer, self.clock())
         self.send()
 
-    def own(self, number: int) -> Callable[[Answer], None]:
-        def say(answer: Answer) -> None:
+    def answer_to_self(self, number: int) -> Callable[[Answer], None]:
+        """The callback for an answer to this member's own request `number`."""
+
+        def deliver(answer: Answer) -> None:
             self.core.on_answer(number, answer, self.clock())
             self.loop.call_soon(self.send)
 
-        return say
+        return deliver
 
     def send(self) -> None:
+        """Sends the requests in the outbox once this life is on disk."""
         if not self.group_commit.may_send():
-            return self.write()
+            return self.start_write()
         for to, number, request in self.core.outbox:
             if to == self.name:
-                self.group_commit.handle(request, self.own(number), self.clock())
+                self.group_commit.handle(request, self.answer_to_self(number), self.clock())
             else:
-                self.lines[to].ask(Question(number, request))  # type: ignore[arg-type]
-        return self.write()
+                self.connections[to].ask(Question(number, request))  # type: ignore[arg-type]
+        return self.start_write()
 
     # the disk
 
-    def write(self) -> None:
-        """Begins to write what waits, unless that is under way."""
+    def start_write(self) -> None:
+        """Begins to write the next batch, unless one is being written."""
         batch = self.group_commit.next_batch(self.journal.grown)
         if batch is None:
             return
         if not batch.compact and not batch.records:
             self.group_commit.batch_written(batch)
-            self.loop.call_soon(self.write)
+            self.loop.call_soon(self.start_write)
             return
         future = self.loop.run_in_executor(self.writer, batch.save, self.journal)
-        future.add_done_callback(lambda done: self.wrote(batch, done))
+        future.add_done_callback(lambda done: self.on_written(batch, done))
 
-    def wrote(self, batch: Batch, done: asyncio.Future[None]) -> None:
+    def on_written(self, batch: Batch, done: asyncio.Future[None]) -> None:
+        """A batch is on disk, or could not be written."""
         if done.cancelled():
             return
         error = done.exception()
         if error is not None:
-            why = error.strerror if isinstance(error, OSError) and error.strerror else str(error)
-            log.error("this planner has no vote in the council any more: its disk: %s", why)
-            return self.group_commit.disk_failed(why)
+            reason = error.strerror if isinstance(error, OSError) and error.strerror else str(error)
+            log.error("this planner has lost its vote in the council: disk error: %s", reason)
+            return self.group_commit.disk_failed(reason)
         self.group_commit.batch_written(batch)
         return self.send()
 
-    def note(self) -> None:
-        """What was used is on its way to the disk before what it counts is sent on."""
-        if self.uses is not None and self.uses.tally.notes:
-            self.uses.note()
+    def note_usage(self) -> None:
+        """Writes new usage to the journal, without a sync, before the grants that it counts are sent."""
+        if self.usage is not None and self.usage.tally.notes:
+            self.usage.note()
 
-    def settle(self) -> None:
-        """Batches that were closed or confirmed are synced by the thread, twice a second or so."""
-        uses = self.uses
-        if uses is None or self.syncing or not (uses.tally.records or uses.why):
+    def sync_usage(self) -> None:
+        """Has the thread sync closed and confirmed batches, about twice a second."""
+        usage = self.usage
+        if usage is None or self.syncing_usage or not (usage.tally.records or usage.why):
             return
-        uses.note()
-        if uses.why or uses.journal.grown:  # seldom: all that matters is written anew
-            uses.settle()
+        usage.note()
+        if usage.why or usage.journal.grown:  # rare: rewrites the whole journal
+            usage.settle()
             return
-        closed = uses.write_closed()
+        closed = usage.write_closed()
         if closed is not None:
-            self.syncing = True
-            future = self.loop.run_in_executor(self.writer, uses.journal.sync)
-            future.add_done_callback(lambda done: self.synced(*closed, done))
-
-    def synced(self, stream: str, closed: int, done: asyncio.Future[None]) -> None:
-        assert self.uses is not None
-        self.syncing = False
+            self.syncing_usage = True
+            future = self.loop.run_in_executor(self.writer, usage.journal.sync)
+            future.add_done_callback(lambda done: self.on_usage_synced(*closed, done))
+
+    def on_usage_synced(self, stream: str, closed: int, done: asyncio.Future[None]) -> None:
+        """The usage journal is synced, or could not be."""
+        assert self.usage is not None
+        self.syncing_usage = False
         error = None if done.cancelled() else done.exception()
         if error is not None:
-            self.uses.why = str(error)
+            self.usage.why = str(error)
         elif not done.cancelled():
-            self.uses.synced(stream, closed)
+            self.usage.synced(stream, closed)
 
     # time
 
     def tick(self) -> None:
-        self.ticker = self.loop.call_later(TICK_EVERY, self.tick)
+        """Advances the core by one tick and performs what it asks for."""
+        self.ticker = self.loop.call_later(TICK_INTERVAL_S, self.tick)
         core, now = self.core, self.clock()
-        self.note()
+        self.note_usage()
         core.tick(now)
-        self.settle()
-        self.tell_changes()
+        self.sync_usage()
+        self.log_vote_changes()
         for backend in core.probes_due(now):
-            self.begin(self.probe(backend))
+            self.start_task(self.probe(backend))
         if core.advice.out_until or core.advice.out:  # otherwise nothing can change
-            for backend, out in core.advice.changes({name: True for name in self.places()}, now):
+            for backend, out in core.advice.changes({name: True for name in self.backend_addresses()}, now):
                 self.leave_out(backend, out)
         exporter = core.exporter
         if exporter is not None and exporter.call is not None:
             call, exporter.call, exporter.out = exporter.call, None, True
-            self.begin(self.bill(call))
+            self.start_task(self.call_billing(call))
         self.send()
 
-    def tell_changes(self) -> None:
-        """In the log, once: that this member has no vote, and why."""
-        why = self.core.member.reason if not self.core.register.votes else ""
-        if why != self.was and why not in ("starting", "founded"):
-            log.warning("council: %s", f"no vote: {why}" if why else "this member votes again")
-        self.was = why if why not in ("starting", "founded") else self.was
+    def log_vote_changes(self) -> None:
+        """Logs once that this member has no vote, with the reason, and once that it has regained it."""
+        reason = self.core.member.reason if not self.core.register.votes else ""
+        if reason != self.logged_reason and reason not in ("starting", "founded"):
+            log.warning("council: %s", f"no vote: {reason}" if reason else "this member has its vote again")
+        self.logged_reason = reason if reason not in ("starting", "founded") else self.logged_reason
 
-    def begin(self, work: Coroutine[Any, Any, None]) -> None:
+    def start_task(self, work: Coroutine[Any, Any, None]) -> None:
+        """Runs a coroutine as a task that `stop` cancels."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    # others
+    # billing and backends
 
-    async def bill(self, call: Call) -> None:
-        """One call, written before the office's lease is over or not at all."""
-        assert self.session is not None and self.told.export is not None
-        headers = {"Office-Number": str(call.permit.act.number), "If-Position": str(call.position),
-                   "Office-Holder": f"{self.name}/{self.core.register.life.boot}"}
+    async def call_billing(self, call: Call) -> None:
+        """Makes one call to billing; it is sent before the office's lease ends or not at all."""
+        assert self.session is not None and self.settings.export is not None
+        headers = {
+            "Office-Number": str(call.permit.act.number),
+            "If-Position": str(call.position),
+            "Office-Holder": f"{self.name}/{self.core.register.life.boot}",
+        }
         answer = Answered(0)
         if self.clock() < call.permit.write_by:
             path, method = ("/usage/owner", "PUT") if call.body is None else ("/usage", "POST")
             try:
                 async with self.session.request(
-                        method, self.told.export.billing + path, json=call.body, headers=headers) as response:
-                    told = await response.json(content_type=None)
-                    answer = Answered(response.status, int(told.get("position", -1)), meta_of(told))
+                    method, self.settings.export.billing + path, json=call.body, headers=headers
+                ) as response:
+                    content = await response.json(content_type=None)
+                    answer = Answered(response.status, int(content.get("position", -1)), meta_of(content))
             except (aiohttp.ClientError, TimeoutError, OSError, ValueError, AttributeError, TypeError):
-                pass  # whether it is booked is not known: it is asked again
+                pass  # unknown whether it was booked: the exporter retries
         exporter = self.core.exporter
         assert exporter is not None
         exporter.answered(call, answer, self.clock())
         self.send()
 
     async def probe(self, backend: str) -> None:
-        """A connection, or an answer below 500 on the path that is named."""
-        place, prober = self.places().get(backend), self.core.prober
+        """Probes a backend: a connection, or a status below 500 if a path is configured."""
+        address, prober = self.backend_addresses().get(backend), self.core.prober
         assert prober is not None
-        if place is None:
+        if address is None:
             return prober.gone(backend)
-        well = False
+        healthy = False
         try:
             async with asyncio.timeout(PROBE_WITHIN):
-                reader, writer = await asyncio.open_connection(*place)
+                reader, writer = await asyncio.open_connection(*address)
                 path = prober.settings.path
                 if path:
                     writer.write(f"GET {path} HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n".encode())
                     status = (await reader.readline()).split(b" ", 2)
-                    well = len(status) > 1 and status[1].isdigit() and int(status[1]) < 500
+                    healthy = len(status) > 1 and status[1].isdigit() and int(status[1]) < 500
                 else:
-                    well = True
+                    healthy = True
                 writer.close()
         except (OSError, TimeoutError, ValueError):
             pass
-        return prober.probed(backend, well)
+        return prober.probed(backend, healthy)
 
-    # the planner's own
+    # called by the planner
 
-    def used(self, customer: str, units: float) -> None:
-        if self.uses is not None:
-            self.uses.tally.used(customer, units, self.clock())
+    def on_use(self, customer: str, units: float) -> None:
+        """Counts units that the planner granted."""
+        if self.usage is not None:
+            self.usage.tally.used(customer, units, self.clock())
 
-    def outcome(self, backend: str, outcome: Outcome) -> None:
-        if outcome is Outcome.SERVED or outcome in ILL:
-            gone = outcome is Outcome.NO_CONNECTION
-            self.core.suspicions.ended(backend, outcome is Outcome.SERVED, self.clock(), gone)
+    def on_outcome(self, backend: str, outcome: Outcome) -> None:
+        """Notes how an attempt at a backend ended."""
+        if outcome is Outcome.SERVED or outcome in FAILURES:
+            unreachable = outcome is Outcome.NO_CONNECTION
+            self.core.suspicions.ended(backend, outcome is Outcome.SERVED, self.clock(), unreachable)
 
     def status(self) -> dict[str, object]:
+        """Figures for operators; docs/operate/offices.md explains each of them."""
         return self.core.status()
 
-    # the end
+    # shutdown
 
     async def stop(self) -> None:
-        """Gives up in order what it holds, and leaves all use on disk."""
+        """Releases its leases, writes all usage to disk, and closes everything."""
         self.core.leave(self.clock())
         self.send()
-        end = self.loop.time() + LEFT_WITHIN
+        end = self.loop.time() + RELEASE_TIMEOUT_S
         while not self.core.has_left() and self.loop.time() < end:
-            await asyncio.sleep(TICK_EVERY)
+            await asyncio.sleep(TICK_INTERVAL_S)
         if self.ticker is not None:
             self.ticker.cancel()
-        self.note()
-        self.settle()
+        self.note_usage()
+        self.sync_usage()
         self.server.close()
-        for line in self.lines.values():
-            line.close()
+        for connection in self.connections.values():
+            connection.close()
         for task in self.tasks:
             task.cancel()
         if self.session is not None:
--- a/embersill/operated.py
+++ b/embersill/operated.py
@@ -152,12 +152,15 @@
         self.limits = RateLimits(operator.ratelimit)
         self.core.gateway = self.limits.decider_for(self.core.gateway, self.clock)
         if operator.council is not None:
-            from embersill.council.chair import Chair  # imports libraries that other planners don't need
+            # imports libraries that other planners don't need
+            from embersill.council.chair import CouncilService
 
-            self.chair = chair = Chair(operator.council, config.name, operator.tiers.secret, self.clock)
-            chair.places, chair.leave_out = lambda: self.places, self.leave_out
-            self.core.on_use, self.core.on_outcome = chair.used, chair.outcome
-            self.server.before_said = chair.note
+            self.chair = chair = CouncilService(
+                operator.council, config.name, operator.tiers.secret, self.clock
+            )
+            chair.backend_addresses, chair.leave_out = lambda: self.places, self.leave_out
+            self.core.on_use, self.core.on_outcome = chair.on_use, chair.on_outcome
+            self.server.before_said = chair.note_usage
 
     def leave_out(self, backend: str, out: bool) -> None:
         """Takes a backend out of use, or puts it back."""
--- a/embersill/rig/clerks.py
+++ b/embersill/rig/clerks.py
@@ -19,7 +19,7 @@
 import msgspec
 import uvloop
 
-from embersill.council.chair import Chair
+from embersill.council.chair import CouncilService
 from embersill.council.member import How, Result
 from embersill.council.messages import Entry
 from embersill.council.settings import Council
@@ -48,7 +48,7 @@
     def __init__(self, told: Told) -> None:
         self.told = told
         council = Council(Path(told.state), told.members, CouncilTerms(), None, None, {})
-        self.chair = Chair(council, told.name, b"k" * 32, start_clock())
+        self.chair = CouncilService(council, told.name, b"k" * 32, start_clock())
         self.chance = random.Random(f"{told.seed} {told.name} {time.monotonic()}")
         self.numbers = 0
         self.cache: dict[str, str | None] = {}
