--- a/embersill/council/chair.py
+++ b/embersill/council/chair.py
@@ -138,7 +138,7 @@
 
     def start_write(self) -> None:
         """Begins to write the next batch, unless one is being written."""
-        batch = self.group_commit.next_batch(self.journal.grown)
+        batch = self.group_commit.next_batch(self.journal.needs_compaction)
         if batch is None:
             return
         if not batch.compact and not batch.records:
@@ -171,7 +171,7 @@
         if usage is None or self.syncing_usage or not (usage.tally.records or usage.why):
             return
         usage.note()
-        if usage.why or usage.journal.grown:  # rare: rewrites the whole journal
+        if usage.why or usage.journal.needs_compaction:  # rare: rewrites the whole journal
             usage.settle()
             return
         closed = usage.write_closed()
--- a/embersill/council/usage.py
+++ b/embersill/council/usage.py
@@ -208,7 +208,7 @@
 
     def settle(self) -> bool:
         """Writes what was closed and confirmed, and syncs it and all before it."""
-        if self.why or self.journal.grown:
+        if self.why or self.journal.needs_compaction:
             return self.mend()
         closed = self.write_closed()
         if closed is None:
--- a/embersill/lab/council/fences.py
+++ b/embersill/lab/council/fences.py
@@ -133,7 +133,7 @@
         "if register.memory_complete and not register.votes and self.is_behind(hello.life, hello.mark):",
         "if False:",
         (
-            (JOURNAL, "if place.file != self.files.identity(self.name):", "if False:"),
+            (JOURNAL, "if header.file != self.files.identity(self.name):", "if False:"),
             (
                 MEMBER,
                 "            if register.memory_complete:\n"
@@ -153,7 +153,7 @@
         "copy",
         JOURNAL,
         "a copy of a journal is taken for the journal",
-        "if place.file != self.files.identity(self.name):",
+        "if header.file != self.files.identity(self.name):",
         "if False:",
     ),
     Fence(
--- a/embersill/lab/council/model.py
+++ b/embersill/lab/council/model.py
@@ -37,7 +37,7 @@
             raise OSError(errno.EIO, "the file can't be written", name)
         self.disk.append(name, data)
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         self.disk.truncate(name, size)
 
     def sync(self, name: str) -> None:
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -110,7 +110,9 @@
     # the disk
 
     def flush(self, at_once: bool = False) -> None:
-        grown = self.journal.size > 4 * max(self.journal.kept, 1 << 13)  # sooner than a real one, to be met
+        grown = self.journal.size > 4 * max(
+            self.journal.compacted_size, 1 << 13
+        )  # sooner than a real one, to be met
         batch = self.group_commit.next_batch(grown)
         if batch is None:
             return
--- a/tests/council/test_journal.py
+++ b/tests/council/test_journal.py
@@ -165,6 +165,6 @@
     files = world_files()
     kept = journal(files)
     kept.rewrite([])
-    while not kept.grown:
+    while not kept.needs_compaction:
         kept.write([b"r" * 100_000])
     assert 1 << 20 < kept.size < (1 << 20) + 200_000
--- a/tests/council/test_settings.py
+++ b/tests/council/test_settings.py
@@ -32,7 +32,7 @@
         ('state = "council"', 'stat = "council"', "unknown field `stat`"),
         ('state = "council"', 'state = ""', "council.state"),
         ('p2 = "127.0.0.1:7202"\n', "", "must be the planners"),
-        ("127.0.0.1:7202", "127.0.0.1:7201", "an address stands twice"),
+        ("127.0.0.1:7202", "127.0.0.1:7201", "council.members: duplicate address"),
         ("127.0.0.1:7202", "nowhere", "council.members.p2"),
         ("renew_every = 0.1", "renew_every = 0.2", "a third of the lease"),
         ("attempt = 0.15", "attempt = 0.5", "at most the lease"),
@@ -58,5 +58,5 @@
 
 
 def test_it_is_for_planners(tmp_path: pathlib.Path) -> None:
-    with pytest.raises(BadConfiguration, match="a forwarder has no seat"):
+    with pytest.raises(BadConfiguration, match="a forwarder cannot be a member"):
         read_operator(write_operator_file(tmp_path, EXAMPLE + COUNCIL))
