--- a/embersill/council/chair.py
+++ b/embersill/council/chair.py
@@ -17,7 +17,7 @@
 import aiohttp
 
 from embersill.council.desk import Batch, GroupCommit
-from embersill.council.export import Answered, Call, meta_of
+from embersill.council.export import BillingAnswer, BillingCall, meta_from
 from embersill.council.journal import Damaged, Folder, Journal
 from embersill.council.links import MemberConnection, MemberServer, council_digest
 from embersill.council.messages import Answer, Question, Reply
@@ -25,7 +25,7 @@
 from embersill.council.register import Register
 from embersill.council.seat import CouncilCore
 from embersill.council.settings import Council
-from embersill.council.usage import Tally, UseBook
+from embersill.council.usage import Tally, UsageJournal
 from embersill.interface import Outcome
 from embersill.tiers.wire import Secret
 
@@ -46,12 +46,14 @@
         self.loop = asyncio.get_running_loop()
         self.folder = Folder(settings.state)
         self.journal = Journal(self.folder, "council", "council", name)
-        self.usage: UseBook | None = None
+        self.usage: UsageJournal | None = None
         if settings.export is not None:
-            self.usage = UseBook(Journal(self.folder, "use", "use", name), Tally(settings.export.period))
+            self.usage = UsageJournal(Journal(self.folder, "use", "use", name), Tally(settings.export.period))
             self.usage.open(f"{name}.{os.urandom(4).hex()}")
-            if self.usage.why:
-                log.warning("the usage journal cannot be read; starting a new stream: %s", self.usage.why)
+            if self.usage.disk_error:
+                log.warning(
+                    "the usage journal cannot be read; starting a new stream: %s", self.usage.disk_error
+                )
         register = Register(name, settings.members)
         self.load(register)
         register.begin_life(os.urandom(8).hex())
@@ -163,18 +165,18 @@
     def note_usage(self) -> None:
         """Writes new usage to the journal, without a sync, before the grants that it counts are sent."""
         if self.usage is not None and self.usage.tally.notes:
-            self.usage.note()
+            self.usage.write_notes()
 
     def sync_usage(self) -> None:
         """Has the thread sync closed and confirmed batches, about twice a second."""
         usage = self.usage
-        if usage is None or self.syncing_usage or not (usage.tally.records or usage.why):
+        if usage is None or self.syncing_usage or not (usage.tally.records or usage.disk_error):
             return
-        usage.note()
-        if usage.why or usage.journal.needs_compaction:  # rare: rewrites the whole journal
-            usage.settle()
+        usage.write_notes()
+        if usage.disk_error or usage.journal.needs_compaction:  # rare: rewrites the whole journal
+            usage.sync_batches()
             return
-        closed = usage.write_closed()
+        closed = usage.write_batches()
         if closed is not None:
             self.syncing_usage = True
             future = self.loop.run_in_executor(self.writer, usage.journal.sync)
@@ -186,9 +188,9 @@
         self.syncing_usage = False
         error = None if done.cancelled() else done.exception()
         if error is not None:
-            self.usage.why = str(error)
+            self.usage.disk_error = str(error)
         elif not done.cancelled():
-            self.usage.synced(stream, closed)
+            self.usage.on_synced(stream, closed)
 
     # time
 
@@ -207,7 +209,7 @@
                 self.leave_out(backend, out)
         exporter = core.exporter
         if exporter is not None and exporter.call is not None:
-            call, exporter.call, exporter.out = exporter.call, None, True
+            call, exporter.call, exporter.in_flight = exporter.call, None, True
             self.start_task(self.call_billing(call))
         self.send()
 
@@ -226,7 +228,7 @@
 
     # billing and backends
 
-    async def call_billing(self, call: Call) -> None:
+    async def call_billing(self, call: BillingCall) -> None:
         """Makes one call to billing; it is sent before the office's lease ends or not at all."""
         assert self.session is not None and self.settings.export is not None
         headers = {
@@ -234,7 +236,7 @@
             "If-Position": str(call.position),
             "Office-Holder": f"{self.name}/{self.core.register.life.boot}",
         }
-        answer = Answered(0)
+        answer = BillingAnswer(0)
         if self.clock() < call.permit.write_by:
             path, method = ("/usage/owner", "PUT") if call.body is None else ("/usage", "POST")
             try:
@@ -242,12 +244,14 @@
                     method, self.settings.export.billing + path, json=call.body, headers=headers
                 ) as response:
                     content = await response.json(content_type=None)
-                    answer = Answered(response.status, int(content.get("position", -1)), meta_of(content))
+                    answer = BillingAnswer(
+                        response.status, int(content.get("position", -1)), meta_from(content)
+                    )
             except (aiohttp.ClientError, TimeoutError, OSError, ValueError, AttributeError, TypeError):
                 pass  # unknown whether it was booked: the exporter retries
         exporter = self.core.exporter
         assert exporter is not None
-        exporter.answered(call, answer, self.clock())
+        exporter.on_answer(call, answer, self.clock())
         self.send()
 
     async def probe(self, backend: str) -> None:
@@ -277,7 +281,7 @@
     def on_use(self, customer: str, units: float) -> None:
         """Counts units that the planner granted."""
         if self.usage is not None:
-            self.usage.tally.used(customer, units, self.clock())
+            self.usage.tally.add(customer, units, self.clock())
 
     def on_outcome(self, backend: str, outcome: Outcome) -> None:
         """Notes how an attempt at a backend ended."""
--- a/embersill/lab/council/fences.py
+++ b/embersill/lab/council/fences.py
@@ -307,15 +307,15 @@
         EXPORT,
         "a new owner does not ask whether the last append of the old one was booked",
         "if found.position + 1 == position and found.intent is not None:\n"
-        "                return written(Booking(number, position, found.intent))",
+        "                return encode_state(ExportState(number, position, found.intent))",
         "if found.position + 1 == position and found.intent is not None:\n"
-        "                return written(Booking(number, position, found.confirmed))",
+        "                return encode_state(ExportState(number, position, found.confirmed))",
     ),
     Fence(
         "until-certain",
         EXPORT,
         "an append without an answer is given up, and another is made of what waits",
-        "        else:\n            self.later(now)\n        return None",
+        "        else:\n            self.retry_later(now)\n        return None",
         "        else:\n            self.confirm(now)\n        return None",
     ),
     Fence(
@@ -337,7 +337,7 @@
         "offered-first",
         USAGE,
         "a batch is offered before it is on disk, and its number comes again",
-        "numbers = sorted(number for number in self.batches if number <= self.safe)",
+        "numbers = sorted(number for number in self.batches if number <= self.durable_batch)",
         "numbers = sorted(self.batches)",
     ),
     Fence(
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from embersill.council.desk import Batch, GroupCommit
-from embersill.council.export import Answered, Call, meta_of
+from embersill.council.export import BillingAnswer, BillingCall, meta_from
 from embersill.council.journal import Damaged, Journal
 from embersill.council.member import How, Result
 from embersill.council.messages import Act, Answer, Request, Entry, OfficeReply, Verdicts
@@ -31,7 +31,7 @@
 from embersill.council.register import Register
 from embersill.council.seat import CouncilCore
 from embersill.council.terms import CouncilTerms, majority
-from embersill.council.usage import Tally, UseBook
+from embersill.council.usage import Tally, UsageJournal
 from embersill.lab.council.model import Books, Effect, Receiver, WorldFiles
 from embersill.rig.billing import StandInBilling
 from embersill.world.disk import Disk
@@ -68,10 +68,10 @@
         self.core: CouncilCore
         self.group_commit: GroupCommit
         self.journal: Journal
-        self.uses: UseBook
+        self.uses: UsageJournal
         self.tally: Tally
         self.chance = world.kernel.stream(f"node {name}")
-        self.calls: dict[int, tuple[int, Call]] = {}
+        self.calls: dict[int, tuple[int, BillingCall]] = {}
 
     def start(self) -> None:
         world = self.world
@@ -83,7 +83,7 @@
             register.load(self.journal.open())
         except Damaged:
             register.load(None)
-        self.uses = UseBook(Journal(self.files, "use", "use", me), Tally(10.0))
+        self.uses = UsageJournal(Journal(self.files, "use", "use", me), Tally(10.0))
         self.uses.open(f"{me}.{self.chance.getrandbits(32):08x}")
         self.tally = self.uses.tally
         register.begin_life(f"{self.chance.getrandbits(64):016x}")
@@ -132,10 +132,10 @@
 
     def save_use(self) -> None:
         stream, books = self.tally.name, self.world.books
-        if self.uses.note():
+        if self.uses.write_notes():
             books.written(stream)
             closes = bool(self.tally.records)
-            if self.uses.settle() and closes:
+            if self.uses.sync_batches() and closes:
                 books.synced(stream)
 
     # what it does
@@ -207,7 +207,7 @@
             return
         customer = f"c{self.chance.randrange(4)}"
         units = float(self.chance.randint(1, 5))
-        self.tally.used(customer, units, self.clock())
+        self.tally.add(customer, units, self.clock())
         self.world.books.used(self.tally.name, units)
         backend = f"b{self.chance.randrange(12)}"
         self.core.suspicions.ended(backend, backend not in self.world.bad, self.clock())
@@ -223,17 +223,17 @@
         call, exporter.call = exporter.call, None
         if call is None:
             return
-        exporter.out = True
+        exporter.in_flight = True
         life = self.life
         ended = [False]
 
-        def come(answer: Answered) -> None:
+        def come(answer: BillingAnswer) -> None:
             if not ended[0] and self.alive and self.life == life:
                 ended[0] = True
-                exporter.answered(call, answer, self.clock())
+                exporter.on_answer(call, answer, self.clock())
                 self.send()
 
-        self.after(BILLING_WITHIN, come, Answered(0))
+        self.after(BILLING_WITHIN, come, BillingAnswer(0))
         self.world.call_billing(self, call, come)
 
     def leave(self) -> None:
@@ -435,7 +435,9 @@
 
     # billing
 
-    def call_billing(self, node: MemberNode, call: Call, come: Callable[[Answered], None]) -> None:
+    def call_billing(
+        self, node: MemberNode, call: BillingCall, come: Callable[[BillingAnswer], None]
+    ) -> None:
         headers = {
             "office-number": str(call.permit.act.number),
             "office-holder": f"{node.name}/{node.life}",
@@ -454,7 +456,7 @@
         method: str,
         headers: dict[str, str],
         body: bytes,
-        come: Callable[[Answered], None],
+        come: Callable[[BillingAnswer], None],
     ) -> None:
         now = self.kernel.now
         if now < self.billing_until.get("busy", 0.0):
@@ -468,7 +470,7 @@
         delay = node.chance.uniform(0.001, 0.01)
         if now < self.billing_until.get("late", 0.0):
             delay += node.chance.uniform(0.0, 2.0)
-        answer = Answered(status, told.get("position", -1), meta_of(told))
+        answer = BillingAnswer(status, told.get("position", -1), meta_from(told))
         copies = 2 if node.chance.random() < 0.1 else 1
         for _ in range(copies):
             self.kernel.at(now + delay, come, answer)
--- a/tests/council/test_cost.py
+++ b/tests/council/test_cost.py
@@ -18,7 +18,7 @@
     bench.link_all()
     for planner in bench.planners.values():
         if council:
-            planner.on_use = lambda customer, units: tally.used(customer, units, bench.now)
+            planner.on_use = lambda customer, units: tally.add(customer, units, bench.now)
             planner.on_outcome = lambda backend, outcome: seen.ended(backend, True, bench.now)
     count = [0]
 
--- a/tests/council/test_export.py
+++ b/tests/council/test_export.py
@@ -9,19 +9,19 @@
 
 from embersill.council.export import (
     KEY,
-    MOST_STREAMS,
-    RESIGN_AFTER,
-    Answered,
-    Call,
+    MAX_STREAMS,
+    RESIGN_AFTER_S,
+    BillingAnswer,
+    BillingCall,
     Exporter,
     Step,
-    meta_of,
-    read_booking,
+    meta_from,
+    decode_state,
 )
 from embersill.council.journal import Journal
 from embersill.council.messages import MAX_ENTRIES
 from embersill.council.offices import HeldLease, OfficeLease
-from embersill.council.usage import BATCH_EVERY, MOST_BATCHES, Tally, UseBook
+from embersill.council.usage import BATCH_INTERVAL_S, MAX_BATCHES, Tally, UsageJournal
 from embersill.rig.billing import MOST_STEP, StandInBilling
 from tests.council.helpers import TERMS, Bench
 from tests.council.test_journal import world_files
@@ -29,7 +29,7 @@
 
 def tally(name: str = "s") -> Tally:
     made = Tally(10.0)
-    made.begin(name)
+    made.begin_stream(name)
     made.records.clear()
     return made
 
@@ -37,7 +37,7 @@
 def closed(made: Tally, now: float = 100.0) -> None:
     made.take_notes()  # as if it was written
     made.tick(now)
-    made.safe = made.closed
+    made.durable_batch = made.closed
 
 
 # planners
@@ -46,9 +46,9 @@
 def test_use_is_gathered_by_customer_and_period_and_taken_back() -> None:
     made = tally()
     for units, wall in ((2.0, 1.0), (3.0, 9.0), (1.0, 11.0), (-3.0, 9.5)):
-        made.used("c", units, wall)
-    made.used("d", 5.0, 1.0)
-    made.used("d", -5.0, 1.0)
+        made.add("c", units, wall)
+    made.add("d", 5.0, 1.0)
+    made.add("d", -5.0, 1.0)
     assert made.take_notes() is not None
     made.tick(100.0)
     assert made.batches[1] == [("c", 0, 2.0), ("c", 1, 1.0)] and not made.sums
@@ -56,11 +56,11 @@
 
 def test_a_batch_is_offered_once_it_is_on_disk_and_until_it_is_confirmed() -> None:
     made = tally()
-    made.used("c", 2.0, 1.0)
+    made.add("c", 2.0, 1.0)
     made.take_notes()
     made.tick(100.0)
     assert not made.offers(8)
-    made.safe = made.closed
+    made.durable_batch = made.closed
     assert made.offers(8) == made.offers(8) == [(1, [("c", 0, 2.0)])]
     made.confirm(1)
     assert not made.offers(8) and made.status()["unreported"] == 0.0
@@ -70,28 +70,28 @@
 
 def test_batches_are_bounded_and_use_is_gathered_on_meanwhile() -> None:
     made = tally()
-    for n in range(MOST_BATCHES + 20):
-        made.used("c", 1.0, 1.0)
-        closed(made, n * BATCH_EVERY)
-    assert len(made.batches) == MOST_BATCHES and made.sums == {("c", 0): 20.0}
+    for n in range(MAX_BATCHES + 20):
+        made.add("c", 1.0, 1.0)
+        closed(made, n * BATCH_INTERVAL_S)
+    assert len(made.batches) == MAX_BATCHES and made.sums == {("c", 0): 20.0}
     for n in range(MAX_ENTRIES + 10):
-        made.used(f"c{n}", 1.0, 1.0)
-    made.confirm(MOST_BATCHES)
+        made.add(f"c{n}", 1.0, 1.0)
+    made.confirm(MAX_BATCHES)
     closed(made, 1e6)
     assert [len(entries) for entries in made.batches.values()] == [MAX_ENTRIES, 11]
 
 
 def test_a_book_holds_all_of_it_over_a_kill() -> None:
     files = world_files()
-    book = UseBook(Journal(files, "use", "use", "m0"), Tally(10.0))
+    book = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
     book.open("s")
-    book.tally.used("c", 2.0, 1.0)
-    assert book.note()
+    book.tally.add("c", 2.0, 1.0)
+    assert book.write_notes()
     book.tally.tick(100.0)
-    assert book.settle() and book.tally.offers(8)
-    book.tally.used("c", 3.0, 1.0)
-    assert book.note()
-    again = UseBook(Journal(files, "use", "use", "m0"), Tally(10.0))
+    assert book.sync_batches() and book.tally.offers(8)
+    book.tally.add("c", 3.0, 1.0)
+    assert book.write_notes()
+    again = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
     again.open("another")
     assert again.tally.name == "s" and again.tally.offers(8) == [(1, [("c", 0, 2.0)])]
     assert again.tally.sums == {("c", 0): 3.0}
@@ -100,57 +100,57 @@
 def test_a_power_failure_loses_what_was_not_synced_and_no_more() -> None:
     for seed in range(120):
         files = world_files(seed)
-        book = UseBook(Journal(files, "use", "use", "m0"), Tally(10.0))
+        book = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
         book.open("s")
         chance, synced, noted = random.Random(seed), 0.0, 0.0
         for n in range(chance.randint(2, 20)):
-            book.tally.used(f"c{n % 3}", 1.0, 1.0)
+            book.tally.add(f"c{n % 3}", 1.0, 1.0)
             noted += 1.0
-            assert book.note()
+            assert book.write_notes()
             if chance.random() < 0.3:
-                book.tally.tick(n * BATCH_EVERY)
-                if book.tally.records and book.settle():
+                book.tally.tick(n * BATCH_INTERVAL_S)
+                if book.tally.records and book.sync_batches():
                     synced = noted
         files.disk.crash()
-        again = UseBook(Journal(files, "use", "use", "m0"), Tally(10.0))
+        again = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
         again.open("another")
         left = sum(again.tally.sums.values()) + sum(
             u for entries in again.tally.batches.values() for _, _, u in entries
         )
-        assert synced <= left <= noted and again.tally.safe >= book.tally.safe
+        assert synced <= left <= noted and again.tally.durable_batch >= book.tally.durable_batch
 
 
 def test_a_full_disk_keeps_the_use_in_memory_and_writes_it_once_there_is_room() -> None:
     files = world_files()
-    book = UseBook(Journal(files, "use", "use", "m0"), Tally(10.0))
+    book = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
     book.open("s")
     files.disk.fails = OSError(28, "no space left on the disk")
-    book.tally.used("c", 2.0, 1.0)
-    assert not book.note() and "space" in book.why
+    book.tally.add("c", 2.0, 1.0)
+    assert not book.write_notes() and "space" in book.disk_error
     files.disk.fails = None
-    assert book.note() and not book.why
-    again = UseBook(Journal(files, "use", "use", "m0"), Tally(10.0))
+    assert book.write_notes() and not book.disk_error
+    again = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
     again.open("another")
     assert again.tally.sums == {("c", 0): 2.0}
 
 
 def test_a_copied_book_begins_a_stream_of_its_own() -> None:
     files = world_files()
-    book = UseBook(Journal(files, "use", "use", "m0"), Tally(10.0))
+    book = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
     book.open("s")
     files.put_back(files.copied())
-    again = UseBook(Journal(files, "use", "use", "m0"), Tally(10.0))
+    again = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
     again.open("another")
-    assert again.tally.name == "another" and "copy" in again.why
+    assert again.tally.name == "another" and "copy" in again.disk_error
 
 
 def test_a_book_that_was_put_back_in_place_gives_up_its_numbers() -> None:
     made = tally()
-    made.used("c", 2.0, 1.0)
+    made.add("c", 2.0, 1.0)
     closed(made)
     made.confirm(7)  # the owner has booked more of this stream than there is here
     assert made.name == "s'" and made.closed == 0 and not made.batches
-    made.used("c", 1.0, 1.0)
+    made.add("c", 1.0, 1.0)
     closed(made, 200.0)
     assert made.offers(8)[0][0] == 1
 
@@ -178,13 +178,13 @@
         self.exporter = Exporter(post, member)
         return self.exporter
 
-    def call(self) -> Call | None:
+    def call(self) -> BillingCall | None:
         call, self.exporter.call = self.exporter.call, None
         if call is not None:
-            self.exporter.out = True
+            self.exporter.in_flight = True
         return call
 
-    def booked(self, call: Call) -> Answered:
+    def booked(self, call: BillingCall) -> BillingAnswer:
         headers = {
             "office-number": str(call.permit.act.number),
             "if-position": str(call.position),
@@ -193,7 +193,7 @@
         method, path = ("PUT", "/usage/owner") if call.body is None else ("POST", "/usage")
         body = b"" if call.body is None else json.dumps(call.body).encode()
         status, told = self.billing.handle(method, path, headers, body, self.bench.now)
-        return Answered(status, told.get("position", -1), meta_of(told))
+        return BillingAnswer(status, told.get("position", -1), meta_from(told))
 
     def go(self, seconds: float = 1.0) -> None:
         end = self.bench.now + seconds
@@ -201,7 +201,7 @@
             self.exporter.tick(self.bench.now)
             call = self.call()
             if call is not None:
-                self.exporter.answered(call, self.booked(call), self.bench.now)
+                self.exporter.on_answer(call, self.booked(call), self.bench.now)
             self.bench.settle(0.02)
 
     def batches(self) -> list[tuple[str, int]]:
@@ -230,7 +230,7 @@
 def test_the_owner_dies_at_every_point_of_an_append(point: int, booked: bool) -> None:
     """`point`: after so many steps of the machine; `booked`: its last call still comes to billing, late."""
     owner = Owner()
-    late: list[Call] = []
+    late: list[BillingCall] = []
     for step in range(point):
         owner.exporter.tick(owner.bench.now)
         owner.exporter.offer("s", 1, [("c", 0, 1.0)])
@@ -239,7 +239,7 @@
         if call is not None and step == point - 1:
             late.append(call)
         elif call is not None:
-            owner.exporter.answered(call, owner.booked(call), owner.bench.now)
+            owner.exporter.on_answer(call, owner.booked(call), owner.bench.now)
         owner.bench.pass_on()
         owner.bench.now += 0.02
     if booked:
@@ -254,21 +254,21 @@
             owner.exporter.offer("s", number, [("c", 0, float(number))])
         owner.go(0.5)
     assert owner.batches() == [("s", 1), ("s", 2)]
-    assert owner.exporter.booking.confirmed == {"s": 2} and owner.exporter.step is Step.READY
+    assert owner.exporter.state.confirmed == {"s": 2} and owner.exporter.step is Step.READY
 
 
 def test_an_append_without_an_answer_is_sent_again_the_same_and_booked_once() -> None:
     owner = Owner()
     owner.go(0.5)
     owner.exporter.offer("s", 1, [("c", 0, 1.0)])
-    calls: list[Call] = []
+    calls: list[BillingCall] = []
     for _ in range(80):
         owner.exporter.tick(owner.bench.now)
         call = owner.call()
         if call is not None:
             calls.append(call)
             answer = owner.booked(call)
-            owner.exporter.answered(call, answer if len(calls) > 3 else Answered(0), owner.bench.now)
+            owner.exporter.on_answer(call, answer if len(calls) > 3 else BillingAnswer(0), owner.bench.now)
         owner.exporter.offer("s", 2, [("c", 0, 1.0)])
         owner.bench.settle(0.02)
     assert owner.batches() == [("s", 1), ("s", 2)] and calls[0].body == calls[3].body
@@ -281,11 +281,11 @@
         owner.exporter.tick(owner.bench.now)
         call = owner.call()
         if call is not None:
-            owner.exporter.answered(call, Answered(0), owner.bench.now)
+            owner.exporter.on_answer(call, BillingAnswer(0), owner.bench.now)
         owner.bench.settle(0.02)
     assert owner.exporter.counts["resigned"] == 1
-    assert owner.exporter.post.resigned_until > owner.bench.now
-    assert owner.bench.now >= 102.0 + RESIGN_AFTER
+    assert owner.exporter.office.resigned_until > owner.bench.now
+    assert owner.bench.now >= 102.0 + RESIGN_AFTER_S
 
 
 def test_a_billing_that_lost_its_log_halts_the_export_and_says_so() -> None:
@@ -297,7 +297,7 @@
     owner.billing.log.clear()
     owner.next()
     owner.go()
-    assert owner.exporter.step is Step.HALTED and "billing is at 0" in owner.exporter.why
+    assert owner.exporter.step is Step.HALTED and "billing is at 0" in owner.exporter.reason
 
 
 def test_a_council_that_lost_everything_takes_billing_s_own_word() -> None:
@@ -316,16 +316,16 @@
 def test_streams_are_bounded() -> None:
     owner = Owner()
     owner.go(0.5)
-    for n in range(MOST_STREAMS + 5):
+    for n in range(MAX_STREAMS + 5):
         owner.exporter.offer(f"s{n}", 1, [("c", 0, 1.0)])
         if n % 16 == 0:
             owner.go(0.5)
     owner.go()
-    assert owner.exporter.offer("one more", 1, []) is None and "streams" in owner.exporter.why
+    assert owner.exporter.offer("one more", 1, []) is None and "streams" in owner.exporter.reason
     read = owner.bench.read("m1", KEY)
     owner.bench.settle(0.5)
     assert read[0].entry is not None
-    assert len(read_booking(read[0].entry).confirmed) >= MOST_STREAMS
+    assert len(decode_state(read[0].entry).confirmed) >= MAX_STREAMS
 
 
 def test_billing_refuses_old_numbers_far_ones_and_two_with_one() -> None:
@@ -347,5 +347,7 @@
 
 
 def test_what_billing_tells_beside_is_checked() -> None:
-    assert meta_of({"meta": {"s": 1}}) == {"s": 1}
-    assert meta_of({}) is None and meta_of({"meta": {"s": "x"}}) is None and meta_of({"meta": 3}) is None
+    assert meta_from({"meta": {"s": 1}}) == {"s": 1}
+    assert (
+        meta_from({}) is None and meta_from({"meta": {"s": "x"}}) is None and meta_from({"meta": 3}) is None
+    )
