--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -22,16 +22,16 @@
 import msgspec
 
 from embersill.council.desk import Batch, GroupCommit
-from embersill.council.export import Answered, Call, meta_of
+from embersill.council.export import BillingAnswer, BillingCall, meta_from
 from embersill.council.journal import Damaged, Journal
 from embersill.council.member import How, Result
 from embersill.council.messages import Act, Answer, Request, Entry, OfficeReply, Verdicts
-from embersill.council.offices import PREFIX, NotHeld, Post, read_held
+from embersill.council.offices import KEY_PREFIX, NotHeld, OfficeLease, read_office
 from embersill.council.probes import ProbeSettings
 from embersill.council.register import Register
 from embersill.council.seat import CouncilCore
 from embersill.council.terms import CouncilTerms, majority
-from embersill.council.usage import Tally, UseBook
+from embersill.council.usage import Tally, UsageJournal
 from embersill.lab.council.model import Books, Effect, Receiver, WorldFiles
 from embersill.rig.billing import StandInBilling
 from embersill.world.disk import Disk
@@ -68,10 +68,10 @@
         self.core: CouncilCore
         self.group_commit: GroupCommit
         self.journal: Journal
-        self.uses: UseBook
+        self.uses: UsageJournal
         self.tally: Tally
         self.chance = world.kernel.stream(f"node {name}")
-        self.calls: dict[int, tuple[int, Call]] = {}
+        self.calls: dict[int, tuple[int, BillingCall]] = {}
 
     def start(self) -> None:
         world = self.world
@@ -83,7 +83,7 @@
             register.load(self.journal.open())
         except Damaged:
             register.load(None)
-        self.uses = UseBook(Journal(self.files, "use", "use", me), Tally(10.0))
+        self.uses = UsageJournal(Journal(self.files, "use", "use", me), Tally(10.0))
         self.uses.open(f"{me}.{self.chance.getrandbits(32):08x}")
         self.tally = self.uses.tally
         register.begin_life(f"{self.chance.getrandbits(64):016x}")
@@ -100,7 +100,7 @@
         self.after(USE_EVERY, self.use)
         self.after(CLIENT_EVERY * self.chance.random(), self.client)
 
-    def changed(self, post: Post) -> None:
+    def changed(self, post: OfficeLease) -> None:
         self.world.changed(self, post)
 
     def entry_seen(self, key: str, entry: Entry) -> None:
@@ -110,7 +110,9 @@
     # the disk
 
     def flush(self, at_once: bool = False) -> None:
-        grown = self.journal.size > 4 * max(self.journal.kept, 1 << 13)  # sooner than a real one, to be met
+        grown = self.journal.size > 4 * max(
+            self.journal.compacted_size, 1 << 13
+        )  # sooner than a real one, to be met
         batch = self.group_commit.next_batch(grown)
         if batch is None:
             return
@@ -130,10 +132,10 @@
 
     def save_use(self) -> None:
         stream, books = self.tally.name, self.world.books
-        if self.uses.note():
+        if self.uses.write_notes():
             books.written(stream)
             closes = bool(self.tally.records)
-            if self.uses.settle() and closes:
+            if self.uses.sync_batches() and closes:
                 books.synced(stream)
 
     # what it does
@@ -205,7 +207,7 @@
             return
         customer = f"c{self.chance.randrange(4)}"
         units = float(self.chance.randint(1, 5))
-        self.tally.used(customer, units, self.clock())
+        self.tally.add(customer, units, self.clock())
         self.world.books.used(self.tally.name, units)
         backend = f"b{self.chance.randrange(12)}"
         self.core.suspicions.ended(backend, backend not in self.world.bad, self.clock())
@@ -221,17 +223,17 @@
         call, exporter.call = exporter.call, None
         if call is None:
             return
-        exporter.out = True
+        exporter.in_flight = True
         life = self.life
         ended = [False]
 
-        def come(answer: Answered) -> None:
+        def come(answer: BillingAnswer) -> None:
             if not ended[0] and self.alive and self.life == life:
                 ended[0] = True
-                exporter.answered(call, answer, self.clock())
+                exporter.on_answer(call, answer, self.clock())
                 self.send()
 
-        self.after(BILLING_WITHIN, come, Answered(0))
+        self.after(BILLING_WITHIN, come, BillingAnswer(0))
         self.world.call_billing(self, call, come)
 
     def leave(self) -> None:
@@ -299,35 +301,39 @@
 
     # what is judged
 
-    def changed(self, node: MemberNode, post: Post) -> None:
-        if post.mine is None:
+    def changed(self, node: MemberNode, post: OfficeLease) -> None:
+        if post.lease is None:
             return
         self.counts["takes"] += 1
-        key = post.office, post.mine.number
+        key = post.office, post.lease.number
         mine = f"{node.name}/{node.life}"
         if self.takes.setdefault(key, mine) != mine:
             raise Broken(
                 "number grows",
                 self.kernel.now,
-                f"{post.office} no. {post.mine.number} is taken by " f"{mine} and was by {self.takes[key]}",
+                f"{post.office} no. {post.lease.number} is taken by " f"{mine} and was by {self.takes[key]}",
             )
         before = max(
-            (number for office, number in self.takes if office == post.office and number != post.mine.number),
+            (
+                number
+                for office, number in self.takes
+                if office == post.office and number != post.lease.number
+            ),
             default=0,
         )
-        if post.mine.number < before:
-            text = f"{post.office} no. {post.mine.number} after {before}"
+        if post.lease.number < before:
+            text = f"{post.office} no. {post.lease.number} after {before}"
             raise Broken("number grows", self.kernel.now, text)
         self.look()
 
     def entry_seen(self, node: MemberNode, key: str, entry: Entry) -> None:
         """A member has accepted an entry: whoever is watched for as it takes the work hears of it late."""
-        held = read_held(entry)
+        held = read_office(entry)
         if (
             self.kernel.now < self.watching
-            and key == PREFIX + WORK
+            and key == KEY_PREFIX + WORK
             and held.holder not in ("", node.member_name)
-            and not held.beat
+            and not held.renewals
         ):
             self.watching = -1.0
             for name in self.names:
@@ -357,8 +363,8 @@
         self.counts["acts"] += 1
         owner = self.takes.get((act.office, act.number), "")
         if not owner:  # it may have written itself in, and not have heard that it did: the register says so
-            seen = node.core.offices[act.office].seen
-            owner = seen.held.holder if seen is not None and seen.held.number == act.number else ""
+            seen = node.core.offices[act.office].observed
+            owner = seen.record.holder if seen is not None and seen.record.number == act.number else ""
         if owner.partition("/")[0].partition("+")[0] != request.origin.name:
             raise Broken(
                 "fence",
@@ -429,7 +435,9 @@
 
     # billing
 
-    def call_billing(self, node: MemberNode, call: Call, come: Callable[[Answered], None]) -> None:
+    def call_billing(
+        self, node: MemberNode, call: BillingCall, come: Callable[[BillingAnswer], None]
+    ) -> None:
         headers = {
             "office-number": str(call.permit.act.number),
             "office-holder": f"{node.name}/{node.life}",
@@ -448,7 +456,7 @@
         method: str,
         headers: dict[str, str],
         body: bytes,
-        come: Callable[[Answered], None],
+        come: Callable[[BillingAnswer], None],
     ) -> None:
         now = self.kernel.now
         if now < self.billing_until.get("busy", 0.0):
@@ -462,7 +470,7 @@
         delay = node.chance.uniform(0.001, 0.01)
         if now < self.billing_until.get("late", 0.0):
             delay += node.chance.uniform(0.0, 2.0)
-        answer = Answered(status, told.get("position", -1), meta_of(told))
+        answer = BillingAnswer(status, told.get("position", -1), meta_from(told))
         copies = 2 if node.chance.random() < 0.1 else 1
         for _ in range(copies):
             self.kernel.at(now + delay, come, answer)
@@ -592,7 +600,7 @@
             return
         post = node.core.offices["probes"]
         number = step.args["number"] or post.known_number()  # nought: the one that goes
-        if post.busy or post.mine is not None and number == post.mine.number:
+        if post.busy or post.lease is not None and number == post.lease.number:
             return  # it may be about to hold that office, or does
         act = Act("probes", number, 1 << 30)
         for to in self.names:
--- a/embersill/rig/clerks.py
+++ b/embersill/rig/clerks.py
@@ -19,7 +19,7 @@
 import msgspec
 import uvloop
 
-from embersill.council.chair import Chair
+from embersill.council.chair import CouncilService
 from embersill.council.member import How, Result
 from embersill.council.messages import Entry
 from embersill.council.settings import Council
@@ -50,7 +50,7 @@
     def __init__(self, config: WorkerConfig) -> None:
         self.config = config
         council = Council(Path(config.state), config.members, CouncilTerms(), None, None, {})
-        self.chair = Chair(council, config.name, b"k" * 32, start_clock())
+        self.chair = CouncilService(council, config.name, b"k" * 32, start_clock())
         self.rng = random.Random(f"{config.seed} {config.name} {time.monotonic()}")
         self.operation_count = 0
         self.cache: dict[str, str | None] = {}
--- a/tests/council/test_settings.py
+++ b/tests/council/test_settings.py
@@ -32,14 +32,14 @@
         ('state = "council"', 'stat = "council"', "unknown field `stat`"),
         ('state = "council"', 'state = ""', "council.state"),
         ('p2 = "127.0.0.1:7202"\n', "", "must be the planners"),
-        ("127.0.0.1:7202", "127.0.0.1:7201", "an address stands twice"),
+        ("127.0.0.1:7202", "127.0.0.1:7201", "council.members: duplicate address"),
         ("127.0.0.1:7202", "nowhere", "council.members.p2"),
         ("renew_every = 0.1", "renew_every = 0.2", "a third of the lease"),
         ("attempt = 0.15", "attempt = 0.5", "at most the lease"),
         ("back_off = 0.02", "back_off = 0.5", "at most most_back_off"),
         ("settle_back = 30.0", "settle_back = 0.1", "settle_back at least"),
         ("within = 2.0", "within = 0.1", "within must be at least attempt"),
-        ("stagger = 0.03", "stagger = -1.0", "stagger must not"),
+        ("stagger = 0.03", "stagger = -1.0", "stagger must be at least 0"),
         ("http://127.0.0.1:9100", "127.0.0.1:9100", "council.export.billing"),
         ("http://127.0.0.1:9100", "http://127.0.0.1:x", "council.export.billing"),
         ("period = 3600.0", "period = 0.5", "council.export.period"),
@@ -58,5 +58,5 @@
 
 
 def test_it_is_for_planners(tmp_path: pathlib.Path) -> None:
-    with pytest.raises(BadConfiguration, match="a forwarder has no seat"):
+    with pytest.raises(BadConfiguration, match="a forwarder cannot be a member"):
         read_operator(write_operator_file(tmp_path, EXAMPLE + COUNCIL))
