--- a/embersill/lab/edge/control_command.py
+++ b/embersill/lab/edge/control_command.py
@@ -13,16 +13,16 @@
     Report,
     caught_up,
     cut_member,
-    earlier_life,
-    earlier_news,
+    previous_process_answer,
+    previous_process_update,
     last_copy,
-    raced_orders,
+    racing_changes,
     refused_epoch,
     restarted_alone,
     second_loss,
     second_loss_of_five,
-    sent_again_late,
-    stood_still,
+    late_resend,
+    paused_member,
     wiped_caught_up,
 )
 from embersill.lab.edge.first_start import (
@@ -36,11 +36,11 @@
 
 Scenario = Callable[[int], Report]
 POINTS: dict[str, tuple[Scenario, ...]] = {
-    "cut_off": (cut_member, restarted_alone, stood_still),
-    "orders": (raced_orders, sent_again_late),
+    "cut_off": (cut_member, restarted_alone, paused_member),
+    "orders": (racing_changes, late_resend),
     "membership": (second_loss, second_loss_of_five, last_copy, refused_epoch),
     "catching_up": (caught_up, wiped_caught_up),
-    "answers": (earlier_life, earlier_news),
+    "answers": (previous_process_answer, previous_process_update),
     "first_start": (
         first_losses,
         all_killed,
@@ -50,7 +50,7 @@
     ),
     "drawn_days": (worst_day, worst_day_of_five, worst_day_of_six),
 }
-SLOW = {sent_again_late, caught_up, wiped_caught_up}  # hundreds of changes each: a tenth of the runs
+SLOW = {late_resend, caught_up, wiped_caught_up}  # hundreds of changes each: a tenth of the runs
 SLOW_PART = 10
 MOST_TOLD = 20  # runs that went wrong, told of each point
 CHUNK = 4  # runs that a process is given at a time
@@ -78,20 +78,22 @@
 def told(scenarios: tuple[Scenario, ...], reports: Mapping[tuple[Scenario, int], Report]) -> dict[str, Any]:
     """What the runs of one point have shown."""
     mine = {run: report for run, report in reports.items() if run[0] in scenarios}
-    wrong = [
+    failures = [
         f"{scenario.__name__} seed {seed}: {why}"
         for (scenario, seed), report in mine.items()
-        for why in report.wrong
+        for why in report.failures
     ]
     counts: dict[str, Any] = {
         "runs": len(mine),
-        "bad": sum(bool(report.wrong) for report in mine.values()),
-        "wrong": wrong[:MOST_TOLD],
+        "bad": sum(bool(report.failures) for report in mine.values()),
+        "wrong": failures[:MOST_TOLD],
     }
     for scenario in scenarios:
-        seconds = [took for run, report in mine.items() if run[0] is scenario for took in report.seconds]
-        if seconds:
-            figures = {"p50": part(seconds, 0.5), "p99": part(seconds, 0.99)}
+        durations_s = [
+            took for run, report in mine.items() if run[0] is scenario for took in report.durations_s
+        ]
+        if durations_s:
+            figures = {"p50": part(durations_s, 0.5), "p99": part(durations_s, 0.99)}
             counts[f"{scenario.__name__}_seconds"] = figures
     return counts
 
--- a/embersill/lab/edge/control_fences.py
+++ b/embersill/lab/edge/control_fences.py
@@ -63,7 +63,7 @@
         ),
     ),
     Guarded(
-        "stood_still",
+        "paused_member",
         Fence(
             "lease-ends",
             LEASE,
@@ -93,7 +93,7 @@
         ),
     ),
     Guarded(
-        "sent_again_late",
+        "late_resend",
         Fence(
             "known-again",
             DOCUMENT,
@@ -104,7 +104,7 @@
         ),
     ),
     Guarded(
-        "raced_orders",
+        "racing_changes",
         Fence(
             "taken-known",
             DOCUMENT,
@@ -114,7 +114,7 @@
         ),
     ),
     Guarded(
-        "raced_orders",
+        "racing_changes",
         Fence(
             "one-base",
             DOCUMENT,
@@ -164,7 +164,7 @@
         ),
     ),
     Guarded(
-        "earlier_life",
+        "previous_process_answer",
         Fence(
             "own-life",
             NODE,
@@ -241,11 +241,11 @@
     scenario: Any = getattr(importlib.import_module(guarded.module), guarded.scenario)
     for seed in range(SEEDS):
         try:
-            wrong = scenario(seed).wrong
+            failures = scenario(seed).failures
         except AssertionError as error:  # what is checked at every step
-            wrong = [str(error)]
-        if wrong:
-            sys.stdout.write(f"seed {seed}: {wrong[0]}\n")
+            failures = [str(error)]
+        if failures:
+            sys.stdout.write(f"seed {seed}: {failures[0]}\n")
             return FOUND
     return 0
 
--- a/embersill/lab/edge/first_start.py
+++ b/embersill/lab/edge/first_start.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from embersill.edge.records import EpochStart, Roster
-from embersill.lab.edge.control import ACKNOWLEDGED_WITHIN, Report, ordered
+from embersill.lab.edge.control import ACKNOWLEDGE_TIMEOUT_S, Report, submit_change
 from embersill.lab.edge.fleet import Fleet, Machine
 
 STEP = 0.02  # seconds between looks at the rosters
@@ -94,7 +94,7 @@
     rosters.run(ALL_BACK_AFTER)
     fleet.heal()
     rosters.run(FOUNDED_WITHIN)
-    taken = ordered(fleet, 1, 0, fleet.machines, ACKNOWLEDGED_WITHIN)
+    taken = submit_change(fleet, 1, 0, fleet.machines, ACKNOWLEDGE_TIMEOUT_S)
     report.expect(taken is not None, "no order is taken once all are back")
     rosters.run(1.0)
     rosters.judge(report)
@@ -110,7 +110,7 @@
         kill_for(fleet, machine, at, chance.uniform(0.5, 1.0))
     rosters = FirstRosters(fleet)
     rosters.run(ALL_BACK_AFTER)
-    report.expect(ordered(fleet, 1, 0, fleet.machines) is not None, "nobody founds any more")
+    report.expect(submit_change(fleet, 1, 0, fleet.machines) is not None, "nobody founds any more")
     rosters.judge(report)
     return report
 
@@ -126,7 +126,7 @@
         kill_for(fleet, machine, BEFORE_FIRST_SAVE, chance.uniform(0.3, 3.0), wiped=True)
     rosters = FirstRosters(fleet)
     rosters.run(ALL_BACK_AFTER + FOUNDED_WITHIN)
-    report.expect(ordered(fleet, 1, 0, fleet.machines) is not None, "nobody founds any more")
+    report.expect(submit_change(fleet, 1, 0, fleet.machines) is not None, "nobody founds any more")
     rosters.run(1.0)
     rosters.judge(report)
     return report
@@ -142,7 +142,7 @@
     fleet.kernel.at(at, fleet.cut, {founder.name}) if cut_off else fleet.kernel.at(at, founder.kill)
     rosters.run(at + FOUNDED_WITHIN)
     others = fleet.machines[1:]
-    report.expect(ordered(fleet, 1, 0, others) is not None, "nobody founds in the place of the founder")
+    report.expect(submit_change(fleet, 1, 0, others) is not None, "nobody founds in the place of the founder")
     fleet.heal()
     rosters.run(2.0)
     rosters.judge(report)
@@ -168,6 +168,8 @@
         kill_for(fleet, other_seeds[0], now, 0.2, wiped=lost == "wiped")
         kill_for(fleet, other_seeds[1], now, 0.2)
     rosters.run(AWAY_FOR + FOUNDED_WITHIN)
-    report.expect(ordered(fleet, 1, 0, fleet.machines) is not None, "no order is taken once all are back")
+    report.expect(
+        submit_change(fleet, 1, 0, fleet.machines) is not None, "no order is taken once all are back"
+    )
     rosters.judge(report)
     return report
--- a/embersill/lab/edge/worst_days.py
+++ b/embersill/lab/edge/worst_days.py
@@ -17,12 +17,20 @@
 from typing import Any
 
 from embersill.edge.verdict import Verdict
-from embersill.lab.edge.control import CATCH_UP, Report, founded, node_of, order_of, read_of, remove
+from embersill.lab.edge.control import (
+    CATCH_UP_S,
+    Report,
+    founded_fleet,
+    node_of,
+    order_from_call,
+    read_from_call,
+    remove_machine,
+)
 from embersill.lab.edge.fleet import Fleet, Machine, change
 from embersill.world.version_history import Outcome, Read, violations
 
 CONTACT_WINDOW = 3.0  # seconds without a change of the core after which it is settled
-ACKNOWLEDGED_WITHIN = 5.0  # seconds for an order in a settled time
+ACKNOWLEDGE_TIMEOUT_S = 5.0  # seconds for an order in a settled time
 APPLIED_WITHIN = 2.5  # seconds from an acknowledgement until gateways in touch have the version
 ANSWERED_WITHIN = 1.0  # seconds that a caller waits before it asks another gateway
 GRACE = 5.3  # seconds that a member which is told to stop may take
@@ -59,7 +67,7 @@
     def __init__(self, fleet: Fleet, chance: random.Random) -> None:
         self.fleet, self.chance = fleet, chance
         self.sent = [change(1, 0)]
-        self.orders, self.reads = [order_of(self.sent[0], 0.0, fleet.kernel.now, 200)], list[Read]()
+        self.orders, self.reads = [order_from_call(self.sent[0], 0.0, fleet.kernel.now, 200)], list[Read]()
         self.calls: list[Call] = []
         self.wanted: Wanted | None = None
         self.newest = 1
@@ -98,7 +106,7 @@
         """Notes how a call ended; some answers are lost on their way."""
         heard = bool(call.heard) and self.chance.random() >= LOST_ANSWERS
         status = call.heard[0].status if heard else 0
-        order = order_of(call.body, call.began, self.fleet.kernel.now, status)
+        order = order_from_call(call.body, call.began, self.fleet.kernel.now, status)
         self.orders.append(order)
         if order.outcome is Outcome.TAKEN:
             self.newest = max(self.newest, order.version)
@@ -118,7 +126,7 @@
     def go_on(self, wanted: Wanted) -> None:
         """Sends the order again where it had no clear answer."""
         now = self.fleet.kernel.now
-        if now - wanted.began > ACKNOWLEDGED_WITHIN:
+        if now - wanted.began > ACKNOWLEDGE_TIMEOUT_S:
             self.on_late(wanted)
             self.wanted = None
         elif wanted.call not in self.calls and now - wanted.call.began > 0.1:
@@ -145,7 +153,7 @@
 
     def was_read(self, call: Call) -> None:
         """Notes what a read was told."""
-        read = read_of(call.heard, call.began, self.fleet.kernel.now)
+        read = read_from_call(call.heard, call.began, self.fleet.kernel.now)
         if read is not None:
             self.reads.append(read)
 
@@ -214,7 +222,7 @@
         def back() -> None:
             come_back()
             self.disturb(machine)
-            self.lost[machine.name] = self.now + CATCH_UP
+            self.lost[machine.name] = self.now + CATCH_UP_S
 
         self.fleet.kernel.at(self.now + seconds, back)
 
@@ -304,7 +312,7 @@
         new = self.fleet.add(core=True, zone=machine.zone)
         self.successors -= 1
         self.lost.pop(machine.name, None)
-        self.lost[new.name] = self.now + CATCH_UP
+        self.lost[new.name] = self.now + CATCH_UP_S
         self.disturb(new)
 
     def replace(self, machine: Machine) -> None:
@@ -312,7 +320,7 @@
         self.successors += 1
         if self.chance.random() < 0.5:
             machine.wipe()
-        remove(self.fleet, machine)
+        remove_machine(self.fleet, machine)
         self.disturb(machine)
         self.fleet.kernel.at(self.now + self.chance.choice((0.3, 1.0, 4.0)), self.succeed, machine)
 
@@ -337,7 +345,7 @@
         if node is not None and not node.agreement.handover.complete and self.now < until:
             self.fleet.kernel.at(self.now + STEP, self.go, machine, until)
             return
-        remove(self.fleet, machine)
+        remove_machine(self.fleet, machine)
         self.disturb(machine)
         self.lost.pop(machine.name, None)
 
@@ -387,7 +395,7 @@
                 machine.start()
             for machine in members:
                 self.disturb(machine)
-                self.lost[machine.name] = self.now + CATCH_UP
+                self.lost[machine.name] = self.now + CATCH_UP_S
 
         self.fleet.kernel.at(self.now + self.chance.choice((2.0, 6.0)), wipe)
 
@@ -409,7 +417,7 @@
     """One day: its cluster, its troubles, its operators, and what was wrong."""
 
     def __init__(self, seed: int, cores: int, borne: int) -> None:
-        super().__init__(founded(seed, cores, 2), borne)
+        super().__init__(founded_fleet(seed, cores, 2), borne)
         self.fleet.require(borne)
         self.report = Report()
         self.operators = Operators(self.fleet, self.fleet.kernel.stream("operators"))
@@ -447,7 +455,7 @@
             self.renew_seeds()
             self.operators.step()
             self.advance()
-        self.settle(end + max(LASTS) + GRACE + CATCH_UP)
+        self.settle(end + max(LASTS) + GRACE + CATCH_UP_S)
         return self.report
 
     def advance(self) -> None:
@@ -469,7 +477,7 @@
         for machine in self.fleet.machines:
             there = node_of(machine).state["version"]
             self.report.expect(there >= newest, f"{machine.name} has {there} at the end, not {newest}")
-        self.report.wrong += violations(self.operators.orders, self.operators.reads)
+        self.report.failures += violations(self.operators.orders, self.operators.reads)
         self.report.expect(len(self.operators.orders) > 10, "hardly any orders were sent")
 
 
--- a/tests/edge/test_control.py
+++ b/tests/edge/test_control.py
@@ -21,26 +21,26 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_member_that_is_cut_off_confirms_and_hands_out_nothing(seed: int) -> None:
-    assert not control.cut_member(seed).wrong
+    assert not control.cut_member(seed).failures
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_member_that_is_restarted_alone_serves_nothing_from_its_disk(seed: int) -> None:
-    assert not control.restarted_alone(seed).wrong
+    assert not control.restarted_alone(seed).failures
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_process_that_stood_still_has_no_lease_as_it_wakes_up(seed: int) -> None:
-    assert not control.stood_still(seed).wrong
+    assert not control.paused_member(seed).failures
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_orders_that_race_and_are_sent_again_have_a_linearizable_history(seed: int) -> None:
-    assert not control.raced_orders(seed).wrong
+    assert not control.racing_changes(seed).failures
 
 
 def test_an_order_that_was_taken_hundreds_of_changes_ago_is_acknowledged_again() -> None:
-    assert not control.sent_again_late(1).wrong
+    assert not control.late_resend(1).failures
 
 
 def test_beyond_what_is_remembered_an_order_has_no_clear_answer_and_is_never_refused() -> None:
@@ -57,38 +57,38 @@
 @pytest.mark.parametrize(("cores", "borne"), [(3, 1), (4, 1), (5, 2), (6, 2)])
 @pytest.mark.parametrize("seed", range(3))
 def test_drawn_days_of_losses_cuts_and_replacements_break_nothing(seed: int, cores: int, borne: int) -> None:
-    assert not worst_day(seed, cores, borne).wrong
+    assert not worst_day(seed, cores, borne).failures
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_second_loss_after_a_replacement_leaves_a_majority(seed: int) -> None:
-    assert not control.second_loss(seed).wrong
+    assert not control.second_loss(seed).failures
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_two_of_five_are_replaced_and_two_more_may_be_lost(seed: int) -> None:
-    assert not control.second_loss_of_five(seed).wrong
+    assert not control.second_loss_of_five(seed).failures
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_member_that_leaves_waits_until_its_successors_have_what_it_has(seed: int) -> None:
-    assert not control.last_copy(seed).wrong
+    assert not control.last_copy(seed).failures
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_member_whose_disk_refused_an_epoch_has_forgotten_no_promise(seed: int) -> None:
-    assert not control.refused_epoch(seed).wrong
+    assert not control.refused_epoch(seed).failures
 
 
 @pytest.mark.parametrize(("wiped", "routes"), [(False, 1), (True, 1), (False, 3000), (True, 3000)])
 def test_a_member_that_slept_through_hundreds_of_changes_catches_up(wiped: bool, routes: int) -> None:
-    assert not control.caught_up(2, 300, wiped, routes).wrong
+    assert not control.caught_up(2, 300, wiped, routes).failures
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_an_answer_to_an_earlier_life_is_no_answer_to_this_one(seed: int) -> None:
-    assert not control.earlier_life(seed).wrong
-    assert not control.earlier_news(seed).wrong
+    assert not control.previous_process_answer(seed).failures
+    assert not control.previous_process_update(seed).failures
 
 
 def test_a_lease_runs_from_the_beginning_of_the_read_and_never_gets_shorter() -> None:
@@ -225,7 +225,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_change_right_after_another_is_fetched_as_soon_as_it_is_told(seed: int) -> None:
-    fleet = control.founded(seed, 3, 2)
+    fleet = control.founded_fleet(seed, 3, 2)
     for version in (2, 3, 4):
         heard = fleet.machines[0].call("PUT", change(version, version - 1))
         fleet.run(0.15)
@@ -235,15 +235,15 @@
 
 @pytest.mark.parametrize("lost", [(0,), (0, 1)])
 def test_members_that_lost_their_disks_long_ago_vote_in_the_next_epoch_at_once(lost: tuple[int, ...]) -> None:
-    fleet = control.founded(1, 3, 1)
+    fleet = control.founded_fleet(1, 3, 1)
     for number in lost:
         fleet.machines[number].wipe()
         fleet.run(0.5)
         fleet.machines[number].start()
-        fleet.run(control.CATCH_UP)
+        fleet.run(control.CATCH_UP_S)
     fleet.add(True, "c")
     fleet.run(2.0)
-    control.remove(fleet, fleet.machines[2])
+    control.remove_machine(fleet, fleet.machines[2])
     fleet.run(2.0)
     for number in (0, 1):
         machine = fleet.machines[number]
@@ -254,4 +254,4 @@
 
 def test_a_full_disk_and_two_lost_ones_long_ago_leave_a_majority_of_six() -> None:
     """Seed 125: at the epoch change two members had new disks, one had a full disk and one was paused."""
-    assert not worst_day(125, 6, 2).wrong
+    assert not worst_day(125, 6, 2).failures
--- a/tests/edge/test_first_start.py
+++ b/tests/edge/test_first_start.py
@@ -33,27 +33,27 @@
 
 @pytest.mark.parametrize("seed", range(16))
 def test_losses_within_the_first_start_leave_one_first_roster(seed: int) -> None:
-    assert not first_start.first_losses(seed).wrong
+    assert not first_start.first_losses(seed).failures
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_all_killed_in_the_first_start_go_on_by_their_disks(seed: int) -> None:
-    assert not first_start.all_killed(seed).wrong
+    assert not first_start.all_killed(seed).failures
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_seeds_that_died_before_their_first_save_get_votes_from_all_others(seed: int) -> None:
-    assert not first_start.killed_before_the_first_save(seed).wrong
+    assert not first_start.killed_before_the_first_save(seed).failures
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_another_seed_founds_in_the_place_of_one_that_is_lost(seed: int) -> None:
-    assert not first_start.founder_gone(seed).wrong
+    assert not first_start.founder_gone(seed).failures
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_roster_that_was_decided_is_kept_though_its_proposer_is_lost(seed: int) -> None:
-    assert not first_start.founder_lost_as_elected(seed).wrong
+    assert not first_start.founder_lost_as_elected(seed).failures
 
 
 class AcceptorHarness:
--- a/tests/edge/test_lapses.py
+++ b/tests/edge/test_lapses.py
@@ -26,7 +26,7 @@
     announce_step,
 )
 from embersill.edge.configuration.routes import Table
-from embersill.lab.edge.control import founded
+from embersill.lab.edge.control import founded_fleet
 from embersill.lab.edge import plots
 from embersill.lab.edge.fleet import Fleet, change, document
 from embersill.lab.edge.town import Gateway, Town, with_tenants
@@ -125,7 +125,7 @@
 
 
 def test_a_ladder_is_taken_step_by_step_and_every_gateway_has_each_before_the_next() -> None:
-    fleet = founded(1, others=3)
+    fleet = founded_fleet(1, others=3)
     assert order(fleet, wish()) == 200
     began = fleet.kernel.now
     while fleet.machines[-1].node.state["lapses"]["orders"]["t"]["step"] < 2:  # type: ignore[union-attr]
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("seed", range(24))
 def test_no_step_is_skipped_or_taken_twice_whatever_fails(seed: int) -> None:
     """Holders killed between deciding and telling, cuts, wiped disks, all killed, two operators."""
-    fleet = founded(seed, others=3)
+    fleet = founded_fleet(seed, others=3)
     chance = fleet.kernel.stream("troubles of lapses")
     assert order(fleet, wish()) == 200
     wiped_at = -100.0
@@ -198,7 +198,7 @@
 
 
 def test_a_step_is_never_cut_short_by_those_that_have_just_started() -> None:
-    fleet = founded(2, others=2)
+    fleet = founded_fleet(2, others=2)
     fleet.run(100.0)  # a machine's steady clock is far from nought as a process starts on it
     assert order(fleet, wish(ladder=[{"share": 0.5, "lasts_s": 6.0}, {"share": 0.2}])) == 200
     fleet.run(2.0)
@@ -214,7 +214,7 @@
 
 
 def test_two_operators_on_one_number_one_restores_and_one_squeezes() -> None:
-    fleet = founded(3, others=3)
+    fleet = founded_fleet(3, others=3)
     assert order(fleet, wish()) == 200
     fleet.run(1.0)
     number = fleet.machines[0].node.state["lapses"]["number"]  # type: ignore[union-attr]
--- a/tests/edge/test_system.py
+++ b/tests/edge/test_system.py
@@ -8,7 +8,7 @@
 import pytest
 
 from embersill.edge.verdict import Verdict
-from embersill.lab.edge.control import beat, founded
+from embersill.lab.edge.control import founded_fleet, heartbeat_body
 from embersill.lab.edge.fleet import Fleet, Machine, change
 
 
@@ -24,7 +24,7 @@
 
 
 def test_a_change_comes_to_every_gateway_and_is_answered_again_as_it_was() -> None:
-    fleet = founded(1)
+    fleet = founded_fleet(1)
     assert all(m.node is not None and m.node.state["version"] == 1 for m in fleet.machines)
     assert put_until_answered(fleet, change(1, 0)) == 200
     assert put_until_answered(fleet, change(1, 0, routes=2)) == 412
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_of_two_changes_on_the_same_version_one_is_taken(seed: int) -> None:
-    fleet = founded(seed)
+    fleet = founded_fleet(seed)
     for version in range(2, 6):
         base = fleet.machines[0].node.state["version"]  # type: ignore[union-attr]
         calls = [fleet.machines[(seed + n) % 5].call("PUT", change(10 * version + n, base)) for n in range(3)]
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_what_was_acknowledged_outlives_kills_cuts_wipes_and_exchanged_members(seed: int) -> None:
     """Random faults of the core, one lost member at a time, during changes; then recovery."""
-    fleet = founded(seed, 3, 2)
+    fleet = founded_fleet(seed, 3, 2)
     chance, acknowledged, version = fleet.kernel.stream("troubles"), 1, 1
     wiped_at = -100.0
     for _ in range(12):
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_core_machine_is_exchanged_for_another_at_another_address(seed: int) -> None:
-    fleet = founded(seed)
+    fleet = founded_fleet(seed)
     replaced: Machine = fleet.machines[seed % 3]
     replaced.kill()
     if seed % 2:
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_what_was_acknowledged_is_on_disks_by_then(seed: int) -> None:
     """Disks are slow, and all machines lose power at the moment of the acknowledgement."""
-    fleet = founded(seed)
+    fleet = founded_fleet(seed)
     fleet.save_takes = 0.05, 0.2
     heard = fleet.machines[seed % 3].call("PUT", change(7, 1))
     while not heard:
@@ -135,7 +135,7 @@
 
 
 def test_a_member_with_an_empty_disk_has_no_vote_until_a_majority_of_the_others_has_told_it() -> None:
-    fleet = founded(9)
+    fleet = founded_fleet(9)
     one, other, late = fleet.machines[:3]
     late.kill()
     assert put_until_answered(fleet, change(2, 1)) == 200
@@ -172,27 +172,27 @@
 
 
 def test_a_leaving_backend_is_answered_once_all_linked_gateways_know() -> None:
-    fleet = founded(3)
-    heard = fleet.machines[-1].call("beat", beat())
+    fleet = founded_fleet(3)
+    heard = fleet.machines[-1].call("beat", heartbeat_body())
     fleet.run(0.2)
     assert heard[0].status == 200 and heard[0].body["heartbeat_address"] == "10.0.0.1:8000"
     fleet.run(0.5)
     assert all(m.node.registry.instances.known["i-1"].open for m in fleet.machines if m.node is not None)
     fleet.slowed[fleet.machines[-1].name] = 0.1  # this one learns of the decision long after the core
-    leaving = fleet.machines[1].call("beat", beat("draining", 2))
-    again = fleet.machines[1].call("beat", beat("draining", 3))  # must not be answered sooner
+    leaving = fleet.machines[1].call("beat", heartbeat_body("draining", 2))
+    again = fleet.machines[1].call("beat", heartbeat_body("draining", 3))  # must not be answered sooner
     while not leaving and not again:
         fleet.run(0.0005)
     assert not any(m.node.registry.instances.known["i-1"].open for m in fleet.machines if m.node is not None)
-    late = fleet.machines[0].call("beat", beat("ready", 1))  # delayed past the later beats
+    late = fleet.machines[0].call("beat", heartbeat_body("ready", 1))  # delayed past the later beats
     fleet.run(0.5)
     assert late[0].status == 200
     assert not any(m.node.registry.instances.known["i-1"].open for m in fleet.machines if m.node is not None)
 
 
 def test_a_silent_gateway_holds_a_leaving_backend_up_for_a_moment_only() -> None:
-    fleet = founded(4)
-    fleet.machines[0].call("beat", beat())
+    fleet = founded_fleet(4)
+    fleet.machines[0].call("beat", heartbeat_body())
     fleet.run(0.5)
     fleet.cut({fleet.machines[4].name})
     leaving = fleet.machines[0].call("leave", {"id": "i-1"})
@@ -203,18 +203,18 @@
 
 
 def test_a_backend_that_falls_silent_is_taken_out_and_comes_back_with_its_next_beat() -> None:
-    fleet = founded(5)
-    fleet.machines[0].call("beat", beat())
+    fleet = founded_fleet(5)
+    fleet.machines[0].call("beat", heartbeat_body())
     fleet.run(5.0)
     known = [m.node.registry.instances.known["i-1"] for m in fleet.machines if m.node is not None]
     assert all(one.lost for one in known)
-    fleet.machines[0].call("beat", beat(sequence=9))
+    fleet.machines[0].call("beat", heartbeat_body(sequence=9))
     fleet.run(0.5)
     assert all(m.node.registry.instances.known["i-1"].open for m in fleet.machines if m.node is not None)
 
 
 def test_without_a_majority_nothing_is_acknowledged() -> None:
-    fleet = founded(6)
+    fleet = founded_fleet(6)
     fleet.machines[0].kill()
     fleet.machines[1].kill()
     fleet.run(2.0)
@@ -226,7 +226,7 @@
 
 
 def test_a_disk_that_refuses_acknowledges_nothing_and_the_others_go_on() -> None:
-    fleet = founded(7)
+    fleet = founded_fleet(7)
     for machine in fleet.machines[:2]:
         machine.disk_refuses = True
     heard = fleet.machines[0].call("PUT", change(9, 1))
@@ -239,8 +239,8 @@
 
 def test_nobody_serves_an_unvouched_configuration_and_one_on_its_own_counts_all() -> None:
     """After a power loss everywhere one member alone serves nothing; a majority soon serves the old state."""
-    fleet = founded(11, 3, 4)
-    fleet.machines[0].call("beat", beat())
+    fleet = founded_fleet(11, 3, 4)
+    fleet.machines[0].call("beat", heartbeat_body())
     fleet.run(1.0)
     for machine in fleet.machines:
         machine.kill()
@@ -269,7 +269,7 @@
 
 
 def test_after_a_loss_of_power_everywhere_all_serve_again_within_a_second() -> None:
-    fleet = founded(12, 3, 4)
+    fleet = founded_fleet(12, 3, 4)
     for machine in fleet.machines:
         machine.kill()
     for machine in fleet.machines:
@@ -280,13 +280,13 @@
 
 def test_nobody_judges_backends_that_call_a_member_which_the_core_can_not_hear() -> None:
     """One member is cut off from the other two only; every backend goes on calling its own member."""
-    fleet = founded(12, 3, 3)
+    fleet = founded_fleet(12, 3, 3)
     cut, *others = fleet.machines[:3]
     for sequence in range(1, 17):
         if sequence == 3:
             fleet.cut_off[cut.name] = {machine.name for machine in others}
         for number, machine in enumerate(fleet.machines[:3]):
-            machine.call("beat", {**beat("ready", sequence, machine.zone), "id": f"i-{number}"})
+            machine.call("beat", {**heartbeat_body("ready", sequence, machine.zone), "id": f"i-{number}"})
         fleet.run(0.7)
         for machine in fleet.machines:
             assert machine.node is not None
@@ -300,17 +300,17 @@
 
     For the keeper nothing has changed, so it sends no update; gateways have only the other member's report.
     """
-    fleet = founded(12, 3, 3)
+    fleet = founded_fleet(12, 3, 3)
     cut, keeper, other = fleet.machines[:3]
-    keeper.call("beat", beat("ready", 1, keeper.zone))
+    keeper.call("beat", heartbeat_body("ready", 1, keeper.zone))
     fleet.run(0.7)
     fleet.cut_off[cut.name] = {keeper.name, other.name}
-    cut.call("beat", beat("ready", 2, keeper.zone))
+    cut.call("beat", heartbeat_body("ready", 2, keeper.zone))
     for sequence in range(3, 20):
         if sequence == 16:
             fleet.heal()  # silence before the heal must not count
         fleet.run(0.7)
-        keeper.call("beat", beat("ready", sequence, keeper.zone))
+        keeper.call("beat", heartbeat_body("ready", sequence, keeper.zone))
         for machine in fleet.machines:
             assert machine.node is not None
             known = machine.node.registry.instances.known
@@ -318,7 +318,7 @@
 
 
 def test_members_that_look_whether_another_has_written_do_not_tell_what_is_known() -> None:
-    fleet = founded(5, others=2)
+    fleet = founded_fleet(5, others=2)
     base = fleet.machines[0].node.state["version"]  # type: ignore[union-attr]
     assert put_until_answered(fleet, change(base + 1, base, routes=300)) == 200
     fleet.run(2.0)
