--- a/embersill/lab/edge/control_command.py
+++ b/embersill/lab/edge/control_command.py
@@ -1,4 +1,4 @@
-"""`python -m embersill.lab control`: plays the control plane's worst days, and prints one line of JSON."""
+"""`python -m embersill.lab control`: runs the control plane failure scenarios, prints one JSON line."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from embersill.lab.edge.worst_days import worst_day, worst_day_of_five, worst_day_of_six
 
 Scenario = Callable[[int], Report]
-POINTS: dict[str, tuple[Scenario, ...]] = {
+GROUPS: dict[str, tuple[Scenario, ...]] = {
     "cut_off": (cut_member, restarted_alone, paused_member),
     "orders": (racing_changes, late_resend),
     "membership": (second_loss, second_loss_of_five, last_copy, refused_epoch),
@@ -50,83 +50,92 @@
     ),
     "drawn_days": (worst_day, worst_day_of_five, worst_day_of_six),
 }
-SLOW = {late_resend, caught_up, wiped_caught_up}  # hundreds of changes each: a tenth of the runs
-SLOW_PART = 10
-MOST_TOLD = 20  # runs that went wrong, told of each point
-CHUNK = 4  # runs that a process is given at a time
+SLOW = {late_resend, caught_up, wiped_caught_up}  # hundreds of changes each, so they get a tenth of the runs
+SLOW_RUN_DIVISOR = 10
+MAX_SHOWN_FAILURES = 20  # failure messages listed for each group
+RUNS_PER_TASK = 4  # batch size for a worker process
 
 
-def part(figures: list[float], share: float) -> float:
-    """A quantile; nought where there are no figures."""
-    return round(sorted(figures)[min(int(share * len(figures)), len(figures) - 1)], 2) if figures else 0.0
+def quantile(values: list[float], fraction: float) -> float:
+    """A quantile, rounded; 0 if there are no values."""
+    return round(sorted(values)[min(int(fraction * len(values)), len(values) - 1)], 2) if values else 0.0
 
 
-def played(scenario: Scenario, seed: int) -> Report:
-    """One run; what the cluster itself checks at every step counts as wrong like all else."""
+def run_scenario(scenario: Scenario, seed: int) -> Report:
+    """Runs one scenario; a violated invariant of the simulated cluster counts as a failure too."""
     try:
         return scenario(seed)
     except AssertionError as error:
-        return Report([f"a check failed: {error}"])
+        return Report([f"invariant violated: {error}"])
 
 
 def seeds_of(scenario: Scenario, runs: int, first_seed: int) -> range:
-    """The seeds that a scenario is played with."""
-    count = max(runs // SLOW_PART, 1) if scenario in SLOW else runs
+    """The seeds to run a scenario with."""
+    count = max(runs // SLOW_RUN_DIVISOR, 1) if scenario in SLOW else runs
     return range(first_seed, first_seed + count)
 
 
-def told(scenarios: tuple[Scenario, ...], reports: Mapping[tuple[Scenario, int], Report]) -> dict[str, Any]:
-    """What the runs of one point have shown."""
-    mine = {run: report for run, report in reports.items() if run[0] in scenarios}
+def group_result(
+    scenarios: tuple[Scenario, ...], reports: Mapping[tuple[Scenario, int], Report]
+) -> dict[str, Any]:
+    """The results of one group of scenarios."""
+    group_reports = {run: report for run, report in reports.items() if run[0] in scenarios}
     failures = [
-        f"{scenario.__name__} seed {seed}: {why}"
-        for (scenario, seed), report in mine.items()
-        for why in report.failures
+        f"{scenario.__name__} seed {seed}: {failure}"
+        for (scenario, seed), report in group_reports.items()
+        for failure in report.failures
     ]
     counts: dict[str, Any] = {
-        "runs": len(mine),
-        "bad": sum(bool(report.failures) for report in mine.values()),
-        "wrong": failures[:MOST_TOLD],
+        "runs": len(group_reports),
+        "bad": sum(bool(report.failures) for report in group_reports.values()),
+        "wrong": failures[:MAX_SHOWN_FAILURES],
     }
     for scenario in scenarios:
         durations_s = [
-            took for run, report in mine.items() if run[0] is scenario for took in report.durations_s
+            duration_s
+            for run, report in group_reports.items()
+            if run[0] is scenario
+            for duration_s in report.durations_s
         ]
         if durations_s:
-            figures = {"p50": part(durations_s, 0.5), "p99": part(durations_s, 0.99)}
-            counts[f"{scenario.__name__}_seconds"] = figures
+            quantiles = {"p50": quantile(durations_s, 0.5), "p99": quantile(durations_s, 0.99)}
+            counts[f"{scenario.__name__}_seconds"] = quantiles
     return counts
 
 
-def play(runs: int, first_seed: int, jobs: int = 1) -> dict[str, Any]:
-    """All points, `runs` seeds each, in so many processes."""
-    scenarios = [scenario for point in POINTS.values() for scenario in point]
-    asked = [(one, seed) for one in scenarios for seed in seeds_of(one, runs, first_seed)]
+def run_all(runs: int, first_seed: int, jobs: int = 1) -> dict[str, Any]:
+    """Runs all groups with `runs` seeds for each scenario, in `jobs` processes."""
+    scenarios = [scenario for group in GROUPS.values() for scenario in group]
+    planned = [(scenario, seed) for scenario in scenarios for seed in seeds_of(scenario, runs, first_seed)]
     with ProcessPoolExecutor(jobs) as pool:
-        found = pool.map(played, *zip(*asked, strict=True), chunksize=CHUNK)
-        reports = dict(zip(asked, found, strict=True))
-    return {point: told(members, reports) for point, members in POINTS.items()}
+        results = pool.map(run_scenario, *zip(*planned, strict=True), chunksize=RUNS_PER_TASK)
+        reports = dict(zip(planned, results, strict=True))
+    return {name: group_result(members, reports) for name, members in GROUPS.items()}
 
 
-def add_to(others: Any) -> None:
-    """The command's options."""
-    parser = others.add_parser("control", help="the control plane's worst days, on the simulated cluster")
+def add_to(subparsers: Any) -> None:
+    """Adds the command and its options."""
+    parser = subparsers.add_parser("control", help="control plane failure scenarios on the simulated cluster")
     parser.set_defaults(what="control")
-    parser.add_argument("--runs", type=int, default=20, help="seeds a scenario, a tenth for slow ones")
+    parser.add_argument(
+        "--runs", type=int, default=20, help="seeds per scenario; a tenth of that for slow ones"
+    )
     parser.add_argument("--seed", type=int, default=1, help="the first seed")
-    parser.add_argument("--jobs", type=int, default=1, help="processes")
-    parser.add_argument("--fences", action="store_true", help="also take out each line that keeps them safe")
+    parser.add_argument("--jobs", type=int, default=1, help="number of worker processes")
+    parser.add_argument(
+        "--fences", action="store_true", help="also check that each removed safeguard is detected"
+    )
 
 
 def main(options: argparse.Namespace) -> int:
-    """Plays and prints; 1 if anything went wrong or a fence was missed."""
-    points = play(options.runs, options.seed, options.jobs)
-    shown: dict[str, Any] = dict(points)
-    bad = any(point["bad"] for point in points.values())
+    """Runs and prints; 1 if a scenario failed or a removed safeguard went undetected."""
+    groups = run_all(options.runs, options.seed, options.jobs)
+    summary: dict[str, Any] = dict(groups)
+    failed = any(group["bad"] for group in groups.values())
     if options.fences:
-        missed = [name for name in control_fences.BY_NAME if not control_fences.found(name)]
-        count = len(control_fences.GUARDED)
-        shown |= {"fences": count, "found": count - len(missed), "missed": missed}
-        bad = bad or bool(missed)
-    print(json.dumps(shown))
-    return 1 if bad else 0
+        missed = [name for name in control_fences.BY_NAME if not control_fences.detects(name)]
+        count = len(control_fences.CASES)
+        summary |= {"fences": count, "found": count - len(missed), "missed": missed}
+        failed = failed or bool(missed)
+    print(json.dumps(summary))
+    return 1 if failed else 0
--- a/embersill/lab/edge/days.py
+++ b/embersill/lab/edge/days.py
@@ -257,9 +257,9 @@
     return made
 
 
-def add_to(others: Any) -> None:
+def add_to(subparsers: Any) -> None:
     """The command's options."""
-    parser = others.add_parser("days", help="draw a day of trouble for a site")
+    parser = subparsers.add_parser("days", help="draw a day of trouble for a site")
     parser.set_defaults(what="days")
     parser.add_argument("site", type=Path, help="the site's file")
     parser.add_argument("--point", choices=[ANYTHING, *sorted(POINTS)], default="membership")
--- a/embersill/lab/edge/plots.py
+++ b/embersill/lab/edge/plots.py
@@ -73,9 +73,9 @@
     return figure
 
 
-def add_to(others: Any) -> None:
+def add_to(subparsers: Any) -> None:
     """`python -m embersill.lab lapse-plot`."""
-    parser = others.add_parser("lapse-plot", help="draws what `lapse report` printed")
+    parser = subparsers.add_parser("lapse-plot", help="draws what `lapse report` printed")
     parser.set_defaults(what="lapse-plot")
     parser.add_argument("report", type=Path, help="the report, as JSON")
     parser.add_argument("picture", type=Path, help="where to; .svg, .png or .pdf")
--- a/embersill/lab/edge/sites.py
+++ b/embersill/lab/edge/sites.py
@@ -61,9 +61,9 @@
     return {**VARIANTS[name](site), "name": f"{site['name']}-{name}"}
 
 
-def add_to(others: Any) -> None:
+def add_to(subparsers: Any) -> None:
     """The command's options."""
-    parser = others.add_parser("site", help="another deployment made of a site's file")
+    parser = subparsers.add_parser("site", help="another deployment made of a site's file")
     parser.set_defaults(what="site")
     parser.add_argument("site", type=Path, help="the site's file")
     parser.add_argument("--variant", choices=sorted(VARIANTS), required=True)
--- a/embersill/lab/edge/soak_command.py
+++ b/embersill/lab/edge/soak_command.py
@@ -160,9 +160,9 @@
     return 1 if bad else 0
 
 
-def add_to(others: Any) -> None:
+def add_to(subparsers: Any) -> None:
     """The command's options."""
-    parser = others.add_parser("soak", help="play seeded runs of the whole gateway as processes")
+    parser = subparsers.add_parser("soak", help="play seeded runs of the whole gateway as processes")
     parser.set_defaults(what="soak")
     parser.add_argument("--seeds", type=int, default=5, help="how many runs, by seeds one after the other")
     parser.add_argument("--first", type=int, default=1, help="the first seed")
--- a/embersill/lab/edge/totals.py
+++ b/embersill/lab/edge/totals.py
@@ -100,9 +100,11 @@
     )
 
 
-def add_to(others: Any) -> None:
+def add_to(subparsers: Any) -> None:
     """`python -m embersill.lab totals`."""
-    parser = others.add_parser("totals", help="the whole gateway's totals against the truth, without sockets")
+    parser = subparsers.add_parser(
+        "totals", help="the whole gateway's totals against the truth, without sockets"
+    )
     parser.set_defaults(what="totals")
     parser.add_argument("--gateways", type=int, nargs="+", default=[1, 3, 14])
     parser.add_argument("--seed", type=int, default=1)
--- a/embersill/lab/edge/trying.py
+++ b/embersill/lab/edge/trying.py
@@ -313,9 +313,9 @@
     return figure
 
 
-def add_to(others: Any) -> None:
+def add_to(subparsers: Any) -> None:
     """`python -m embersill.lab town`."""
-    parser = others.add_parser("town", help="plays a scenario of the whole system in simulated time")
+    parser = subparsers.add_parser("town", help="plays a scenario of the whole system in simulated time")
     parser.set_defaults(what="town")
     parser.add_argument("scenario", type=Path, help="a TOML file, as docs/operate/town.md has it")
     parser.add_argument("--seeds", type=int, default=1)
--- a/tests/edge/test_fences.py
+++ b/tests/edge/test_fences.py
@@ -509,4 +509,4 @@
 
 @pytest.mark.parametrize("name", control_fences.BY_NAME)
 def test_a_fence_of_the_control_plane_that_is_taken_out_is_found(name: str) -> None:
-    assert control_fences.found(name)
+    assert control_fences.detects(name)
