--- a/embersill/lab/edge/control.py
+++ b/embersill/lab/edge/control.py
@@ -63,7 +63,7 @@
     verdicts = fleet.machines[-1].call("PUT", change(1, 0))
     fleet.run(1.0)
     assert [verdict.status for verdict in verdicts] == [200]
-    fleet.settled()
+    fleet.run_until_converged()
     return fleet
 
 
@@ -287,7 +287,7 @@
 def second_loss(seed: int, cores: int = 3, lost: int = 1) -> Report:
     """`lost` of `cores` members are replaced; as many more are lost once the replacements have caught up."""
     report, fleet = Report(), founded_fleet(seed, cores, 2)
-    fleet.require(lost)
+    fleet.tolerate_losses(lost)
     chance = fleet.kernel.stream("losses")
     members = [machine for machine in fleet.machines if machine.core]
     replaced, planned = chance.sample(members, lost), bool(chance.randrange(2)) and lost == 1
@@ -345,7 +345,9 @@
     leaver, other_holder, slow_member = (fleet.machines[(seed + n) % 3] for n in range(3))
     new = fleet.add(core=True, zone=leaver.zone)
     fleet.run(3.0)
-    fleet.slowed[slow_member.name] = fleet.slowed[new.name] = 0.08  # messages to and from these are delayed
+    fleet.added_delay_s[slow_member.name] = fleet.added_delay_s[new.name] = (
+        0.08  # messages to and from these are delayed
+    )
     verdicts = other_holder.call("PUT", change(7, 1))
     while not verdicts and fleet.kernel.now < 12.0:
         fleet.run(0.001)
@@ -358,7 +360,7 @@
     remove_machine(fleet, leaver)
     other_holder.wipe()
     remove_machine(fleet, other_holder)
-    fleet.slowed.clear()
+    fleet.added_delay_s.clear()
     fleet.run(4.0)
     read = slow_member.call("GET", {})
     fleet.run(1.5)
@@ -374,7 +376,7 @@
     replaced, refusing, wiped = (fleet.machines[(seed + n) % 3] for n in range(3))
     remove_machine(fleet, replaced)
     fleet.run(1.0)
-    refusing.refuse_next = {"begun", "remembered"}
+    refusing.refused_saves = {"begun", "remembered"}
     new = fleet.add(core=True, zone=replaced.zone)
     fleet.run(3.0)
     report.expect(submit_change(fleet, 5, 1, fleet.machines) is not None, "no change was accepted")
@@ -448,7 +450,7 @@
     """A gateway forwards a change, restarts and forwards another: neither gets the answer to the other."""
     report, fleet = Report(), founded_fleet(seed, 3, 2)
     edge = fleet.machines[-1]
-    fleet.slowed[fleet.machines[0].name] = 0.05  # the member that serializes changes
+    fleet.added_delay_s[fleet.machines[0].name] = 0.05  # the member that serializes changes
     edge.call("PUT", change(2, 1))
     fleet.run(0.1)  # the change has arrived there and is not answered yet
     edge.kill()
@@ -468,7 +470,7 @@
     keeper, edge = fleet.machines[0], fleet.machines[-1]
     for number in range(4):
         keeper.call("beat", heartbeat_body(name=f"i-{number}"))
-    fleet.slowed[edge.name] = 0.2
+    fleet.added_delay_s[edge.name] = 0.2
     keeper.call("beat", heartbeat_body("draining", 2, name="i-0"))
     fleet.run(0.01)
     keeper.kill()
--- a/embersill/lab/edge/first_start.py
+++ b/embersill/lab/edge/first_start.py
@@ -78,7 +78,7 @@
     chance = random.Random(f"{seed} first losses")
     cores = chance.choice(list(BORNE))
     report, fleet = Report(), Fleet(seed, cores, 2)
-    fleet.require(BORNE[cores])
+    fleet.tolerate_losses(BORNE[cores])
     rosters = FirstRosters(fleet)
     for machine in fleet.machines:
         if chance.random() < 0.5:
@@ -120,7 +120,7 @@
     chance = random.Random(f"{seed} killed before the first save")
     cores = chance.choice(list(BORNE))
     report, fleet = Report(), Fleet(seed, cores, 2)
-    fleet.require(BORNE[cores])
+    fleet.tolerate_losses(BORNE[cores])
     killed = chance.sample(fleet.machines[:cores], chance.randrange(1, cores + 1))
     for machine in killed:
         kill_for(fleet, machine, BEFORE_FIRST_SAVE, chance.uniform(0.3, 3.0), wiped=True)
--- a/embersill/lab/edge/lapsing.py
+++ b/embersill/lab/edge/lapsing.py
@@ -138,7 +138,7 @@
 class WeighedTown(Town):
     """A town whose gateways slow a tenant down in the way that is weighed."""
 
-    machine = WeighedGateway
+    machine_type = WeighedGateway
 
 
 def order(town: Town, tenant: str, body: dict[str, object]) -> bool:
@@ -215,7 +215,9 @@
         assert order(town, LAPSED, {"action": "restore"}), "it was not restored"
     look(played)
     town.run(max(end - town.kernel.now, 0.0) + PATIENCE + 1.0)
-    played.steps = [orders[LAPSED]["step"] for _, orders in sorted(town.orders.items()) if LAPSED in orders]
+    played.steps = [
+        orders[LAPSED]["step"] for _, orders in sorted(town.lapse_orders.items()) if LAPSED in orders
+    ]
     return played
 
 
--- a/embersill/lab/edge/news.py
+++ b/embersill/lab/edge/news.py
@@ -45,7 +45,7 @@
 class MeasuredTown(Town):
     """A town that counts messages and their bytes, and times its gateways."""
 
-    machine = MeasuredGateway
+    machine_type = MeasuredGateway
 
     def __init__(self, *arguments: Any, **more: Any) -> None:
         self.told: Counter[tuple[str, bool]] = Counter()  # bytes by kind, and if to another zone
@@ -56,7 +56,7 @@
 
     def send(self, sender: Machine, peer: str, message: Any) -> None:
         """Sends a message and counts its bytes by kind, sender and reader."""
-        if peer in sender.up:
+        if peer in sender.link_active_at:
             size, kind = len(msgspec.json.encode(message)) + 1, str(message["kind"])
             if kind in ("ask", "told"):
                 kind = "register"
@@ -66,14 +66,14 @@
             self.into[peer] += size
         super().send(sender, peer, message)
 
-    def arrive(self, sender: Machine, life: int, to: Machine, its_life: int, message: Any) -> None:
+    def deliver(self, sender: Machine, life: int, to: Machine, its_life: int, message: Any) -> None:
         """A message arrives; what the reader does with it is timed."""
         began = time.process_time()
-        super().arrive(sender, life, to, its_life, message)
+        super().deliver(sender, life, to, its_life, message)
         if isinstance(to, MeasuredGateway):
             to.spent += time.process_time() - began
 
-    def check(self, machine: Machine) -> None:
+    def check_invariants(self, machine: Machine) -> None:
         """The rules are left to the tests: to look at all backends at each step is most of the time."""
 
     def clear(self) -> None:
@@ -160,7 +160,7 @@
     shape = shape or usual(gateways, cores)
     town, joined = played(shape, seconds, seed)
     unit = shape.gateways * seconds
-    links = sum(len(machine.up) for machine in town.machines)
+    links = sum(len(machine.link_active_at) for machine in town.machines)
     core = [m for m in town.machines if m.core]
     edge = [m for m in town.machines if not m.core]
     spent = {m.name: m.spent / seconds for m in town.machines if isinstance(m, MeasuredGateway)}
--- a/embersill/lab/edge/rolling.py
+++ b/embersill/lab/edge/rolling.py
@@ -83,9 +83,9 @@
 class Harmful(Gateway):
     """A gateway on which policies named for a harm do it."""
 
-    def serve(self, first: bool) -> None:
+    def start_data_plane(self, first_start: bool) -> None:
         """Serves with attempts that go wrong under such policies."""
-        super().serve(first)
+        super().start_data_plane(first_start)
         self.decider.attempts.__class__ = Planted
         self.decider.attempts.backends.may_send = self.decider.attempts.may_send
         for fleet in self.decider.backends.fleets.values():
@@ -117,7 +117,7 @@
 class RollTown(Town):
     """A town in which policies are rolled out."""
 
-    machine = Harmful
+    machine_type = Harmful
     tenants: dict[str, Any] = {}
 
     def past(self) -> dict[str, Any]:
@@ -145,7 +145,7 @@
     body["routes"]["r1"]["kind"] = "non_idempotent"
     town.machines[0].call("PUT", {**body, "tenants": town.tenants})
     town.run(1.0)
-    town.settled()
+    town.run_until_converged()
     chance = town.kernel.stream("where")
     for zone in ZONES:
         there = [machine for machine in town.machines if machine.zone == zone]
--- a/embersill/lab/edge/totals.py
+++ b/embersill/lab/edge/totals.py
@@ -63,8 +63,8 @@
         town.kernel.at(start + LOST[0], town.cut, {summing.name})
         town.kernel.at(start + LOST[1], town.heal)
     elif trouble == "slow":
-        town.kernel.at(start + LOST[0], town.slowed.update, {summing.name: SLOW})
-        town.kernel.at(start + LOST[1], town.slowed.clear)
+        town.kernel.at(start + LOST[0], town.added_delay_s.update, {summing.name: SLOW})
+        town.kernel.at(start + LOST[1], town.added_delay_s.clear)
     totals, truths = [], []
     while town.kernel.now < end:
         town.run(LOOK)
--- a/embersill/lab/edge/town.py
+++ b/embersill/lab/edge/town.py
@@ -98,10 +98,10 @@
 class Gateway(Machine):
     """A machine that also takes requests; what it had under way ends with its process."""
 
-    def serve(self, first: bool) -> None:
+    def start_data_plane(self, first_start: bool) -> None:
         """Decides about requests too, from now on."""
         assert self.node is not None
-        self.first, self.count = first, 1
+        self.first_start, self.count = first_start, 1
         self.decider = EdgeGateway(self.settings(), self.fleet.chance.getrandbits(32), self.fleet.kernel.now)
         self.quota_client = QuotaClient(
             self.node, lambda: self.fleet.kernel.now, self.post, self.process.after
@@ -134,7 +134,7 @@
             zone=self.zone,
             me=self.number,
             gateways=self.count,
-            fresh=self.first,
+            fresh=self.first_start,
             ratio=RATIO,
             slack=BUDGET_SLACK,
             policy=self.node.policy[0],
@@ -279,10 +279,15 @@
 class Town(Fleet):
     """A fleet of gateways, its tenants' callers, and the book of all requests."""
 
-    machine = Gateway
+    machine_type = Gateway
 
     def __init__(
-        self, seed: int, cores: int = 3, others: int = 2, disks: bool = True, backends: int = BACKENDS
+        self,
+        seed: int,
+        cores: int = 3,
+        others: int = 2,
+        persistent_disks: bool = True,
+        backends: int = BACKENDS,
     ) -> None:
         self.backends = {f"b{n}": Slots() for n in range(backends)}
         self.book: list[Outcomes] = []
@@ -293,7 +298,7 @@
         self.judged = True  # who passes a quota ends the run
         self.bounds: dict[str, float] = {}  # what may run in a window, where a quota is to be held
         self.work = random.Random(f"{seed}/work")
-        super().__init__(seed, cores, others, disks)
+        super().__init__(seed, cores, others, persistent_disks)
 
     @property
     def gateways(self) -> list[Gateway]:
@@ -369,7 +374,7 @@
     }
     town.machines[0].call("PUT", body)
     town.run(1.0)
-    town.settled()
+    town.run_until_converged()
     return town
 
 
--- a/embersill/lab/edge/trying.py
+++ b/embersill/lab/edge/trying.py
@@ -176,8 +176,8 @@
         kernel.at(start + end, town.heal)
     elif kind == "slow":
         slowed = {machine.name: trouble.get("x", 0.2) for machine in chosen(others, share)}
-        kernel.at(start, town.slowed.update, slowed)
-        kernel.at(start + end, town.slowed.clear)
+        kernel.at(start, town.added_delay_s.update, slowed)
+        kernel.at(start + end, town.added_delay_s.clear)
     elif kind == "backends down":
         lost = chosen(list(town.backends), share)
         kernel.at(start, town.dead.update, lost)
--- a/embersill/lab/edge/worst_days.py
+++ b/embersill/lab/edge/worst_days.py
@@ -290,7 +290,7 @@
 
     def slow(self, machine: Machine) -> None:
         """What a member sends and is sent takes longer."""
-        slowed = self.fleet.slowed
+        slowed = self.fleet.added_delay_s
         slowed[machine.name] = self.chance.uniform(0.05, 0.4)
 
         def heal() -> None:
@@ -418,7 +418,7 @@
 
     def __init__(self, seed: int, cores: int, borne: int) -> None:
         super().__init__(founded_fleet(seed, cores, 2), borne)
-        self.fleet.require(borne)
+        self.fleet.tolerate_losses(borne)
         self.report = Report()
         self.operators = Operators(self.fleet, self.fleet.kernel.stream("operators"))
         self.operators.on_taken, self.operators.on_late = self.taken, self.late
--- a/tests/edge/test_lapses.py
+++ b/tests/edge/test_lapses.py
@@ -121,7 +121,7 @@
 
 def steps(fleet: Fleet) -> list[int]:
     """The steps that the order took, as it stood under each number that was seen anywhere."""
-    return [orders["t"]["step"] for _, orders in sorted(fleet.orders.items()) if "t" in orders]
+    return [orders["t"]["step"] for _, orders in sorted(fleet.lapse_orders.items()) if "t" in orders]
 
 
 def test_a_ladder_is_taken_step_by_step_and_every_gateway_has_each_before_the_next() -> None:
@@ -167,7 +167,7 @@
             victim.node.lapse_runner.duty.hand_over()
             victim.carry_out()
         elif trouble == "slow":
-            fleet.slowed[victim.name] = 0.3
+            fleet.added_delay_s[victim.name] = 0.3
         elif trouble == "race":
             for action, machine in zip(("pause", "resume"), chance.sample(fleet.machines, 2), strict=True):
                 machine.call("lapse", {"id": "t", **wish(action)})
@@ -176,7 +176,7 @@
             if machine.node is None:
                 machine.start()
         fleet.heal()
-        fleet.slowed.clear()
+        fleet.added_delay_s.clear()
         if round_ == 4:
             base = max(m.node.state["version"] for m in fleet.machines if m.node is not None)
             fleet.machines[0].call("PUT", change(base + 1, base))
@@ -187,9 +187,9 @@
     assert all(after - before in (0, 1) for before, after in zip(taken, taken[1:], strict=False)), taken
     assert taken[-1] == 2
     began = {
-        fleet.orders[n]["t"]["step"]: at
-        for n, at in sorted(fleet.ordered_at.items(), reverse=True)
-        if "t" in fleet.orders.get(n, {})
+        fleet.lapse_orders[n]["t"]["step"]: at
+        for n, at in sorted(fleet.lapse_orders_seen_at.items(), reverse=True)
+        if "t" in fleet.lapse_orders.get(n, {})
     }
     assert began[1] - began[0] > 1.9 and began[2] - began[1] > 1.9, "a step was cut short"
     for machine in fleet.machines:
--- a/tests/edge/test_places.py
+++ b/tests/edge/test_places.py
@@ -160,7 +160,7 @@
 def test_operators_hear_which_losses_cannot_be_borne_and_when_they_can_again() -> None:
     fleet = Fleet(1, 3, 1)
     lines: list[str] = []
-    fleet.require(2)
+    fleet.tolerate_losses(2)
     for machine in fleet.machines[:3]:
         assert machine.node is not None
         machine.node.on_view = lines.append
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -87,7 +87,7 @@
         if trouble == "cut":
             town.cut({victim.name})
         elif trouble == "slow":
-            town.slowed[victim.name] = 0.2
+            town.added_delay_s[victim.name] = 0.2
         elif trouble in ("kill", "all"):
             dead = [victim] if trouble == "kill" else list(town.machines)
             for machine in dead:
@@ -97,7 +97,7 @@
                 machine.start()
         town.run(seconds)
         town.heal()
-        town.slowed.clear()
+        town.added_delay_s.clear()
     assert town.book
 
 
--- a/tests/edge/test_system.py
+++ b/tests/edge/test_system.py
@@ -43,7 +43,7 @@
         fleet.run(1.2)
         taken = [heard for heard in calls if heard and heard[0].status == 200]
         assert len(taken) <= 1
-        fleet.settled()
+        fleet.run_until_converged()
     assert fleet.machines[0].node.state["version"] > 1  # type: ignore[union-attr]
 
 
@@ -85,7 +85,7 @@
             acknowledged = max(acknowledged, version)
     fleet.heal()
     fleet.run(6.0)
-    fleet.settled()
+    fleet.run_until_converged()
     read = [machine.call("GET", {}) for machine in fleet.machines]
     fleet.run(1.0)
     for answers in read:
@@ -113,14 +113,14 @@
     other.kill()
     fleet.run(2.0)
     assert put_until_answered(fleet, change(50, 1)) == 200
-    fleet.settled()
+    fleet.run_until_converged()
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_what_was_acknowledged_is_on_disks_by_then(seed: int) -> None:
     """Disks are slow, and all machines lose power at the moment of the acknowledgement."""
     fleet = founded_fleet(seed)
-    fleet.save_takes = 0.05, 0.2
+    fleet.save_duration_s = 0.05, 0.2
     heard = fleet.machines[seed % 3].call("PUT", change(7, 1))
     while not heard:
         fleet.run(0.001)
@@ -149,12 +149,12 @@
     assert heard[0].status >= 500
     other.start()
     fleet.run(4.0)
-    fleet.settled()
+    fleet.run_until_converged()
     assert put_until_answered(fleet, change(3, 2)) == 200
 
 
 def test_a_core_without_disks_learns_what_a_restart_forgets() -> None:
-    fleet = Fleet(8, 12, 0, disks=False)
+    fleet = Fleet(8, 12, 0, persistent_disks=False)
     fleet.run(4.0)
     assert put_until_answered(fleet, change(1, 0)) == 200
     roster = fleet.machines[0].node.agreement.roster  # type: ignore[union-attr]
@@ -166,7 +166,7 @@
         victim.start()
         fleet.run(3.0)
         assert put_until_answered(fleet, change(version, version - 1)) == 200
-    fleet.settled()
+    fleet.run_until_converged()
     seated = [m.node for m in fleet.machines if m.name in roster.members]
     assert all(node is not None and node.agreement.votes for node in seated)
 
@@ -178,7 +178,7 @@
     assert heard[0].status == 200 and heard[0].body["heartbeat_address"] == "10.0.0.1:8000"
     fleet.run(0.5)
     assert all(m.node.registry.instances.known["i-1"].open for m in fleet.machines if m.node is not None)
-    fleet.slowed[fleet.machines[-1].name] = 0.1  # this one learns of the decision long after the core
+    fleet.added_delay_s[fleet.machines[-1].name] = 0.1  # this one learns of the decision long after the core
     leaving = fleet.machines[1].call("beat", heartbeat_body("draining", 2))
     again = fleet.machines[1].call("beat", heartbeat_body("draining", 3))  # must not be answered sooner
     while not leaving and not again:
@@ -257,7 +257,7 @@
         machine.start()
     fleet.run(3.0)
     assert put_until_answered(fleet, change(2, 1)) == 200
-    fleet.settled()
+    fleet.run_until_converged()
     edge = fleet.machines[-1]
     edge.kill()
     edge.start()
@@ -325,10 +325,10 @@
     told: list[int] = []
     send = fleet.send
 
-    def counted(sender: Machine, peer: str, message: Any) -> None:
+    def counted(sender: Machine, peer_name: str, message: Any) -> None:
         if message["kind"] == "told":
             told.append(len(json.dumps(message)))
-        send(sender, peer, message)
+        send(sender, peer_name, message)
 
     fleet.send = counted  # type: ignore[method-assign]
     fleet.run(5.0)
