--- a/benchmarks/lapse.py
+++ b/benchmarks/lapse.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from embersill.lab.edge.lapsing import TROUBLES, WAYS, measured, play
-from embersill.lab.edge.town import at_part
+from embersill.lab.edge.town import quantile
 from embersill.rig.hall import Answered, Hall
 
 HALL_TENANTS = {"lapsed": (60.0, 60.0), "dispatch": (60.0, 60.0)}
@@ -94,7 +94,7 @@
     ):
         took = sorted(one.took for one in asked if one.status == 200)
         found[f"others_served_{name}"] = round(len(took) / max(len(asked), 1), 4)
-        found[f"others_p99_ms_{name}"] = round(1000 * at_part(took, 0.99), 1)
+        found[f"others_p99_ms_{name}"] = round(1000 * quantile(took, 0.99), 1)
     for step, share in enumerate(HALL_SHARES):
         since = ordered_at + step * HALL_STEP + HALL_SETTLES
         asked = [
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -16,7 +16,7 @@
 from embersill.edge.configuration.policy import Policy
 from embersill.edge.configuration.rollouts import rollouts_of
 from embersill.lab.edge.rolling import HARMS, MARKED, RollTown, roll_town
-from embersill.lab.edge.town import at_part, worth
+from embersill.lab.edge.town import quantile, worth
 
 MOST = 200.0  # seconds of a town's time for a run to end
 BEFORE = 6.0  # seconds of traffic before the order
@@ -66,9 +66,9 @@
         town.run(0.05)
     back_at = town.kernel.now
     town.run(AFTER)
-    after = [o for o in town.book if back_at <= o.asked_at < town.kernel.now - 2.5]
-    marked = [o for o in town.book if o.caller == "c" and start <= o.asked_at < town.kernel.now - 2.5]
-    before = [o for o in town.book if o.caller == "c" and o.asked_at < start]
+    after = [o for o in town.requests if back_at <= o.asked_at < town.kernel.now - 2.5]
+    marked = [o for o in town.requests if o.caller == "c" and start <= o.asked_at < town.kernel.now - 2.5]
+    before = [o for o in town.requests if o.caller == "c" and o.asked_at < start]
     return {
         "gateways": gateways,
         "harm": harm,
@@ -99,9 +99,9 @@
         "good_halted": round(sum(r["how"] != "done" for r in good) / max(len(good), 1), 4),
         "doubled_after_halt": sum(r["doubled_after"] for r in rows),
         "lost_after_halt": sum(r["lost_after"] for r in rows),
-        "s_to_halt_p50": at_part(halted, 0.5),
-        "s_to_halt_p99": at_part(halted, 0.99),
-        "s_to_back_p99": at_part(sorted(r["s_to_back"] for r in bad), 0.99),
+        "s_to_halt_p50": quantile(halted, 0.5),
+        "s_to_halt_p99": quantile(halted, 0.99),
+        "s_to_back_p99": quantile(sorted(r["s_to_back"] for r in bad), 0.99),
         "marked_traffic_worth_ratio": min((r["marked_ratio"] for r in rows if not r["trouble"]), default=1.0),
     }
 
--- a/embersill/lab/edge/lapsing.py
+++ b/embersill/lab/edge/lapsing.py
@@ -15,15 +15,15 @@
 from embersill.edge.configuration.lapses import Slowed, lapses_of
 from embersill.lab.edge.fleet import Machine, change
 from embersill.lab.edge.town import (
-    PATIENCE,
-    WINDOW,
+    CLIENT_TIMEOUT_S,
+    QUOTA_WINDOW_S,
     Gateway,
-    Outcomes,
-    Town,
-    at_part,
-    share,
-    waits,
-    with_tenants,
+    RequestRecord,
+    SystemSimulation,
+    quantile,
+    served_share,
+    served_durations,
+    system_with_tenants,
     worth,
 )
 
@@ -58,7 +58,7 @@
 class Played:
     """One run: all requests, and since when each step was in force."""
 
-    town: Town
+    system: SystemSimulation
     began: list[tuple[float, int]] = field(default_factory=list)  # when each step was first seen; -1: free
     # gateways that were lost: name, from when, until when
     gone: list[tuple[str, float, float]] = field(default_factory=list)
@@ -70,12 +70,12 @@
         if not found:
             return math.inf, -math.inf
         after = [at for at, one in self.began if at > found[0]]
-        return found[0] + SETTLES, min(after, default=self.town.kernel.now)
+        return found[0] + SETTLES, min(after, default=self.system.kernel.now)
 
-    def sound(self, one: Outcomes) -> bool:
+    def sound(self, one: RequestRecord) -> bool:
         """True if its gateway was there, and settled, while the request was."""
         return not any(
-            name == one.gateway and since - PATIENCE <= one.asked_at < until + SETTLES
+            name == one.gateway and since - CLIENT_TIMEOUT_S <= one.asked_at < until + SETTLES
             for name, since, until in self.gone
         )
 
@@ -97,19 +97,19 @@
         if self.way == "lower priority":
             self.decider.attempts.slowed_tenants = {LAPSED: Slowed(0.0, 0.0, share - 1.0)}
 
-    def ask(
+    def request(
         self, tenant: str, patience: float, route: str = "r0", repeat: bool = False, caller: str = ""
-    ) -> Outcomes | None:
+    ) -> RequestRecord | None:
         """A request; the lapsed tenant's goes the way that is weighed."""
         if tenant != LAPSED or self.share >= 1.0 or self.node is None:
-            return super().ask(tenant, patience, route, repeat, caller)
+            return super().request(tenant, patience, route, repeat, caller)
         now = self.fleet.kernel.now
         if self.way == "delay":
-            told = Outcomes(tenant, self.name, now, caller=caller, route=route)
+            told = RequestRecord(tenant, self.name, now, caller=caller, route=route)
             held = min(DELAY / self.share, patience / 2)
 
             def go_on() -> None:
-                made = Gateway.ask(self, tenant, patience - held, route, repeat, caller)
+                made = Gateway.request(self, tenant, patience - held, route, repeat, caller)
                 if made is not None:
                     made.asked_at = now
 
@@ -124,54 +124,63 @@
             if self.level < 1.0:
                 return self.turned_away(tenant, route, caller)
             self.level -= 1.0
-        return super().ask(tenant, patience, route, repeat, caller)
+        return super().request(tenant, patience, route, repeat, caller)
 
-    def turned_away(self, tenant: str, route: str, caller: str) -> Outcomes:
+    def turned_away(self, tenant: str, route: str, caller: str) -> RequestRecord:
         """A request that is refused before any decision."""
-        town, now = self.fleet, self.fleet.kernel.now
-        assert isinstance(town, Town)
-        told = Outcomes(tenant, self.name, now, now, "refused", True, caller=caller, route=route)
-        town.book.append(told)
+        system, now = self.fleet, self.fleet.kernel.now
+        assert isinstance(system, SystemSimulation)
+        told = RequestRecord(tenant, self.name, now, now, "refused", True, caller=caller, route=route)
+        system.requests.append(told)
         return told
 
 
-class WeighedTown(Town):
+class WeighedTown(SystemSimulation):
     """A town whose gateways slow a tenant down in the way that is weighed."""
 
     machine_type = WeighedGateway
 
 
-def order(town: Town, tenant: str, body: dict[str, object]) -> bool:
+def order(system: SystemSimulation, tenant: str, body: dict[str, object]) -> bool:
     """An operator's order, sent to one gateway after the other until it has a clear answer."""
     for number in range(40):
-        machine = town.machines[number % len(town.machines)]
+        machine = system.machines[number % len(system.machines)]
         heard = machine.call("lapse", {"id": tenant, "by": "staff", **body})
-        town.run(0.6)
+        system.run(0.6)
         if heard and heard[0].status == 200:
             return True
     return False
 
 
-def callers(town: Town, tenant: str, per_s: float, until: float, one: bool = False) -> None:
+def callers(system: SystemSimulation, tenant: str, per_s: float, until: float, one: bool = False) -> None:
     """A tenant's callers: half keep to a gateway, half meet any; with `one` all crowd at one, then move."""
-    machines, chance = town.machines, town.kernel.stream(f"places of {tenant}")
+    machines, chance = system.machines, system.kernel.stream(f"places of {tenant}")
     uneven = [machine for n, machine in enumerate(machines) for _ in range(1 + n % 3)]
     if one:
-        start = town.kernel.now
+        start = system.kernel.now
 
         def crowd() -> Machine:
             up = [m for m in machines if m.node is not None] or machines
-            return up[int((town.kernel.now - start) / 9.0) * 7 % len(up)]
+            return up[int((system.kernel.now - start) / 9.0) * 7 % len(up)]
 
-        return town.call(tenant, per_s, crowd, until, PATIENCE, 1, "crowd", ROUTES)
+        return system.generate_traffic(tenant, per_s, crowd, until, CLIENT_TIMEOUT_S, 1, "crowd", ROUTES)
 
     def up(choices: list[Machine]) -> Machine:
         return chance.choice([m for m in choices if m.node is not None] or machines)
 
-    town.call(tenant, per_s / 2, lambda: up(uneven), until, PATIENCE, 1, "new", ROUTES)
+    system.generate_traffic(tenant, per_s / 2, lambda: up(uneven), until, CLIENT_TIMEOUT_S, 1, "new", ROUTES)
     for number, machine in enumerate(machines):  # kept connections: a lost gateway's go elsewhere meanwhile
         part = per_s / 2 * (1 + number % 3) / sum(1 + n % 3 for n in range(len(machines)))
-        town.call(tenant, part, lambda m=machine: up([m]), until, PATIENCE, 1, f"kept {number}", ROUTES)  # type: ignore[misc]
+        system.generate_traffic(
+            tenant,
+            part,
+            lambda m=machine: up([m]),  # type: ignore[misc]
+            until,
+            CLIENT_TIMEOUT_S,
+            1,
+            f"kept {number}",
+            ROUTES,
+        )
     return None
 
 
@@ -183,95 +192,95 @@
     quotas |= {name: (OTHERS_QUOTA * gateways, OTHERS_QUOTA * gateways) for name in OTHERS}
     more = [f"lapsed{n}" for n in range(9)] if trouble == "ten lapsed" else []
     quotas |= dict.fromkeys(more, (2.0 * gateways, 2.0 * gateways))
-    town = with_tenants(
+    system = system_with_tenants(
         seed,
         gateways,
         quotas,
         ROUTES,
         BACKENDS_EACH * max(gateways, 5),
-        Town if way == WAYS[0] else WeighedTown,
+        SystemSimulation if way == WAYS[0] else WeighedTown,
     )
-    played, start = Played(town), town.kernel.now
+    played, start = Played(system), system.kernel.now
     end = start + CALM + STEP * len(SHARES) + AFTER
     pressing, times = trouble == "one gateway", 10.0 if gateways <= MANY else 3.0
-    callers(town, LAPSED, ASKED * gateways * (times if pressing else 1.0), end, pressing)
+    callers(system, LAPSED, ASKED * gateways * (times if pressing else 1.0), end, pressing)
     for name in OTHERS:
-        callers(town, name, OTHERS_ASKED * gateways, end)
+        callers(system, name, OTHERS_ASKED * gateways, end)
     for name in more:
-        callers(town, name, 2.0 * gateways, end)
-    town.run(CALM)
+        callers(system, name, 2.0 * gateways, end)
+    system.run(CALM)
     ladder = [{"share": share, "lasts_s": STEP} for share in SHARES]
     if way != WAYS[0]:
         return weighed(played, way, end)
     if ordered:
         for name in (LAPSED, *more):
-            assert order(town, name, {"action": "start", "ladder": ladder}), "the order was not taken"
-    struck(town, trouble, played)
-    while town.kernel.now < end - AFTER:
-        town.run(LOOK)
+            assert order(system, name, {"action": "start", "ladder": ladder}), "the order was not taken"
+    struck(system, trouble, played)
+    while system.kernel.now < end - AFTER:
+        system.run(LOOK)
         look(played)
     if ordered:
-        town.bounds.pop(LAPSED, None)
-        assert order(town, LAPSED, {"action": "restore"}), "it was not restored"
+        system.quota_bounds.pop(LAPSED, None)
+        assert order(system, LAPSED, {"action": "restore"}), "it was not restored"
     look(played)
-    town.run(max(end - town.kernel.now, 0.0) + PATIENCE + 1.0)
+    system.run(max(end - system.kernel.now, 0.0) + CLIENT_TIMEOUT_S + 1.0)
     played.steps = [
-        orders[LAPSED]["step"] for _, orders in sorted(town.lapse_orders.items()) if LAPSED in orders
+        orders[LAPSED]["step"] for _, orders in sorted(system.lapse_orders.items()) if LAPSED in orders
     ]
     return played
 
 
 def weighed(played: Played, way: str, end: float) -> Played:
     """The same ladder by one of the ways that were left; what passes the step's rate is noted."""
-    town = played.town
-    town.judged = False
-    gateways = [machine for machine in town.machines if isinstance(machine, WeighedGateway)]
+    system = played.system
+    system.fail_on_violation = False
+    gateways = [machine for machine in system.machines if isinstance(machine, WeighedGateway)]
     for machine in gateways:
         machine.begin(way)
     whole = QUOTA * len(gateways)
     for step, share_now in enumerate(SHARES):
-        played.began.append((town.kernel.now, step))
+        played.began.append((system.kernel.now, step))
         for machine in gateways:
             machine.slowed(share_now)
         if way == "shrinking burst":
-            change_quota(town, burst=share_now)
-        town.bounds.pop(LAPSED, None)
-        town.run(WINDOW)
-        town.hold(LAPSED, whole * share_now, whole * share_now)
-        town.run(STEP - WINDOW)
-    played.began.append((town.kernel.now, -1))
-    town.bounds.pop(LAPSED, None)
+            change_quota(system, burst=share_now)
+        system.quota_bounds.pop(LAPSED, None)
+        system.run(QUOTA_WINDOW_S)
+        system.enforce_quota(LAPSED, whole * share_now, whole * share_now)
+        system.run(STEP - QUOTA_WINDOW_S)
+    played.began.append((system.kernel.now, -1))
+    system.quota_bounds.pop(LAPSED, None)
     for machine in gateways:
         machine.slowed(1.0)
-    town.run(max(end - town.kernel.now, 0.0) + PATIENCE + 1.0)
+    system.run(max(end - system.kernel.now, 0.0) + CLIENT_TIMEOUT_S + 1.0)
     return played
 
 
 def look(played: Played) -> None:
     """Notes a step that is seen for the first time, and holds the tenant to it once a window has passed."""
-    town = played.town
-    known = [lapses_of(m.node.state)["orders"] for m in town.machines if m.node is not None]
+    system = played.system
+    known = [lapses_of(m.node.state)["orders"] for m in system.machines if m.node is not None]
     orders = max((one for one in known if LAPSED in one), key=lambda one: one[LAPSED]["step"], default=None)
     if orders is None:
         return
     order_of = orders[LAPSED]
     step = -1 if order_of["phase"] == "restored" else order_of["step"]
-    now = town.kernel.now
+    now = system.kernel.now
     if step != (played.began[-1][1] if played.began else -1):
         played.began.append((now, step))
-        town.bounds.pop(LAPSED, None)
-    elif step >= 0 and LAPSED not in town.bounds and now - played.began[-1][0] > WINDOW:
-        tables = [m.node.table for m in town.machines if m.node is not None and m.node.table is not None]
+        system.quota_bounds.pop(LAPSED, None)
+    elif step >= 0 and LAPSED not in system.quota_bounds and now - played.began[-1][0] > QUOTA_WINDOW_S:
+        tables = [m.node.table for m in system.machines if m.node is not None and m.node.table is not None]
         slowed_tenants = [table.slowed_tenants[LAPSED] for table in tables if LAPSED in table.slowed_tenants]
         if slowed_tenants:
-            town.hold(
+            system.enforce_quota(
                 LAPSED, max(one.rate for one in slowed_tenants), max(one.burst for one in slowed_tenants)
             )
 
 
-def struck(town: Town, trouble: str, played: Played) -> None:
+def struck(system: SystemSimulation, trouble: str, played: Played) -> None:
     """Sets the trouble's times, from the order on."""
-    kernel, machines, now = town.kernel, town.machines, town.kernel.now
+    kernel, machines, now = system.kernel, system.machines, system.kernel.now
 
     def lose(victims: Iterable[Machine], seconds: float) -> None:
         lost = [m for m in victims if m.node is not None]
@@ -283,36 +292,36 @@
 
     def holder() -> list[Machine]:
         names = [lapses_of(m.node.state)["holder"] for m in machines if m.node is not None]
-        return [town.by_name[name] for name in names if name][:1]
+        return [system.by_name[name] for name in names if name][:1]
 
     if trouble == "holder killed":  # between deciding and telling, or telling and binding
         for at in (STEP - 0.02, 2 * STEP + 0.3):
             kernel.at(now + at, lambda: lose(holder(), 4.0))
     elif trouble == "gateway cut off":  # through two steps
-        kernel.at(now + STEP / 2, town.cut, {machines[-1].name})
-        kernel.at(now + 2.5 * STEP, town.heal)
+        kernel.at(now + STEP / 2, system.cut, {machines[-1].name})
+        kernel.at(now + 2.5 * STEP, system.heal)
         played.gone.append((machines[-1].name, now + STEP / 2, now + 2.5 * STEP))
     elif trouble == "core cut":
-        kernel.at(now + STEP - 0.5, town.cut, {machines[0].name})
-        kernel.at(now + STEP + 5.0, town.heal)
+        kernel.at(now + STEP - 0.5, system.cut, {machines[0].name})
+        kernel.at(now + STEP + 5.0, system.heal)
         played.gone.append((machines[0].name, now + STEP - 0.5, now + STEP + 5.0))
     elif trouble == "all killed":
         kernel.at(now + 1.5 * STEP, lambda: lose(list(machines), 0.6))
     elif trouble == "quota changed":
-        kernel.at(now + 1.5 * STEP, lambda: change_quota(town, 0.5, 0.5))
+        kernel.at(now + 1.5 * STEP, lambda: change_quota(system, 0.5, 0.5))
     elif trouble == "backends lost":
-        lost = [name for n, name in enumerate(town.backends) if n % 3 == 0]
-        kernel.at(now + STEP / 2, town.dead.update, lost)
+        lost = [name for n, name in enumerate(system.backends) if n % 3 == 0]
+        kernel.at(now + STEP / 2, system.backends_down.update, lost)
 
 
-def change_quota(town: Town, rate: float = 1.0, burst: float = 1.0) -> None:
+def change_quota(system: SystemSimulation, rate: float = 1.0, burst: float = 1.0) -> None:
     """A new configuration with so much of the lapsed tenant's quota."""
-    gateway = town.machines[-1]
+    gateway = system.machines[-1]
     assert gateway.node is not None
     state = gateway.node.state
     body = {**change(state["version"] + 1, state["version"], ROUTES)}
     body["tenants"] = {name: dict(tenant) for name, tenant in state["document"].get("tenants", {}).items()}
-    usual = QUOTA * len(town.machines)
+    usual = QUOTA * len(system.machines)
     body["tenants"][LAPSED] |= {"rate_per_s": usual * rate, "burst_size": usual * burst}
     gateway.call("PUT", body)
 
@@ -320,9 +329,9 @@
 # what it came to
 
 
-def parted(asked: list[Outcomes], key: Callable[[Outcomes], str]) -> list[list[Outcomes]]:
+def parted(asked: list[RequestRecord], key: Callable[[RequestRecord], str]) -> list[list[RequestRecord]]:
     """By gateway, zone, route or caller, those with enough requests to say something."""
-    found: dict[str, list[Outcomes]] = {}
+    found: dict[str, list[RequestRecord]] = {}
     for one in asked:
         found.setdefault(key(one), []).append(one)
     return [part for part in found.values() if len(part) >= FEW]
@@ -333,7 +342,7 @@
     return max(2.0, math.sqrt(2 * math.log(parts)))
 
 
-def unevenness(asked: list[Outcomes], key: Callable[[Outcomes], str], least: float = 0.0) -> float:
+def unevenness(asked: list[RequestRecord], key: Callable[[RequestRecord], str], least: float = 0.0) -> float:
     """The largest difference in the share served between any two, beyond what chance alone makes.
 
     Chance: as many standard errors of a share at either end as the most and the least of so many parts lie
@@ -342,27 +351,27 @@
     parts = parted(asked, key)
     if len(parts) < 2:
         return least
-    shares = [(share(part), len(part)) for part in parts]
-    whole = share(asked)
+    shares = [(served_share(part), len(part)) for part in parts]
+    whole = served_share(asked)
     low, high = min(shares), max(shares)
     errors = 1 / math.sqrt(low[1]) + 1 / math.sqrt(high[1])
     chance = errors_of(len(parts)) * math.sqrt(whole * (1 - whole)) * errors
     return max(high[0] - low[0] - chance, least)
 
 
-def spread(asked: list[Outcomes], key: Callable[[Outcomes], str]) -> float:
+def spread(asked: list[RequestRecord], key: Callable[[RequestRecord], str]) -> float:
     """The largest difference of the median time of an answer between any two, as a part of the whole's.
 
     Beyond chance, as `unevenness`: a median is known to 1.25 standard errors of a mean.
     """
-    whole = waits(asked)
-    parts = [own for own in map(waits, parted(asked, key)) if len(own) >= FEW]
-    medians = sorted((at_part(own, 0.5), len(own)) for own in parts)
+    whole = served_durations(asked)
+    parts = [own for own in map(served_durations, parted(asked, key)) if len(own) >= FEW]
+    medians = sorted((quantile(own, 0.5), len(own)) for own in parts)
     if len(medians) < 2:
         return 0.0
     errors = 1 / math.sqrt(medians[0][1]) + 1 / math.sqrt(medians[-1][1])
     chance = errors_of(len(parts)) * 1.25 * pstdev(whole) * errors
-    return max(medians[-1][0] - medians[0][0] - chance, 0.0) / at_part(whole, 0.5)
+    return max(medians[-1][0] - medians[0][0] - chance, 0.0) / quantile(whole, 0.5)
 
 
 def passed(played: Played) -> float:
@@ -371,18 +380,18 @@
     for step, share_now in enumerate(SHARES):
         since, until = played.window(step)
         if until > since:
-            allowed += QUOTA * len(played.town.machines) * share_now * (until - since)
+            allowed += QUOTA * len(played.system.machines) * share_now * (until - since)
             served += sum(
                 one.tenant == LAPSED and one.end == "served" and since <= one.asked_at < until
-                for one in played.town.book
+                for one in played.system.requests
             )
     return served / max(allowed, 1e-9)
 
 
 def measured(played: Played, without: Played) -> dict[str, float]:
     """The figures of a run, with the same run without an order beside it."""
-    town = played.town
-    sound = [one for one in town.book if played.sound(one)]
+    system = played.system
+    sound = [one for one in system.requests if played.sound(one)]
     figures = dict.fromkeys(
         (
             "evenness",
@@ -396,10 +405,12 @@
     )
     for step in range(len(SHARES)):
         since, until = played.window(step)
-        inside = [one for one in sound if one.tenant == LAPSED and since <= one.asked_at < until - PATIENCE]
+        inside = [
+            one for one in sound if one.tenant == LAPSED and since <= one.asked_at < until - CLIENT_TIMEOUT_S
+        ]
         parts = parted(inside, lambda one: one.gateway)
-        raw = max(map(share, parts)) - min(map(share, parts)) if parts else 0.0
-        zone = {machine.name: machine.zone for machine in town.machines}
+        raw = max(map(served_share, parts)) - min(map(served_share, parts)) if parts else 0.0
+        zone = {machine.name: machine.zone for machine in system.machines}
         for name, found in (
             ("evenness", unevenness(inside, lambda one: one.gateway)),
             ("evenness_raw", raw),
@@ -410,13 +421,15 @@
         ):
             figures[name] = max(figures[name], found)
     others = [
-        [one for one in run.town.book if one.tenant in OTHERS and played.sound(one)]
+        [one for one in run.system.requests if one.tenant in OTHERS and played.sound(one)]
         for run in (played, without)
     ]
     figures["others_worth_ratio"] = worth(others[0]) / max(worth(others[1]), 1e-9)
-    figures["others_p99_ratio"] = at_part(waits(others[0]), 0.99) / max(at_part(waits(others[1]), 0.99), 1e-9)
+    figures["others_p99_ratio"] = quantile(served_durations(others[0]), 0.99) / max(
+        quantile(served_durations(others[1]), 0.99), 1e-9
+    )
     figures["lost"] = sum(not one.end or one.end == "failed" for one in sound)
-    figures["doubled"] = sum(one.runs > 1 for one in town.book)
+    figures["doubled"] = sum(one.runs > 1 for one in system.requests)
     taken = played.steps
     figures["steps_skipped"] = sum(
         after - before > 1 for before, after in zip(taken, taken[1:], strict=False)
@@ -424,6 +437,6 @@
     down = [step for step, before in zip(taken[1:], taken, strict=False) if step != before and step >= 0]
     figures["steps_repeated"] = len(down) - len(set(down))
     figures["steps_taken"] = len(set(down))
-    figures["overshoot"] = town.most.get(LAPSED, 0.0)
+    figures["overshoot"] = system.peak_quota_usage.get(LAPSED, 0.0)
     figures["passed"] = passed(played)
     return {name: round(figure, 4) for name, figure in figures.items()}
--- a/embersill/lab/edge/news.py
+++ b/embersill/lab/edge/news.py
@@ -16,7 +16,7 @@
 
 from embersill.edge.peers.links import HEARTBEAT_INTERVAL_S
 from embersill.lab.edge.fleet import Machine
-from embersill.lab.edge.town import Gateway, Town, with_tenants
+from embersill.lab.edge.town import Gateway, SystemSimulation, system_with_tenants
 
 ASKED = 8.0  # requests a second and gateway
 TENANTS_EACH = 0.9  # tenants a gateway
@@ -42,7 +42,7 @@
         self.timed(super().tick)
 
 
-class MeasuredTown(Town):
+class MeasuredTown(SystemSimulation):
     """A town that counts messages and their bytes, and times its gateways."""
 
     machine_type = MeasuredGateway
@@ -85,7 +85,7 @@
                 machine.spent = 0.0
 
 
-def beating(town: Town, count: int, until: float) -> None:
+def beating(system: SystemSimulation, count: int, until: float) -> None:
     """Backends that call their keeper, as the answer to their last call named it."""
 
     def beat(number: int, calls: int, where: Machine) -> None:
@@ -104,15 +104,15 @@
 
         def again() -> None:
             named = heard[0].body.get("heartbeat_address", "") if heard else ""
-            to = next((m for m in town.machines if m.ip == str(named).partition(":")[0]), where)
-            if town.kernel.now < until:
+            to = next((m for m in system.machines if m.ip == str(named).partition(":")[0]), where)
+            if system.kernel.now < until:
                 beat(number, calls + 1, to)
 
-        town.kernel.at(town.kernel.now + BEAT, again)
+        system.kernel.at(system.kernel.now + BEAT, again)
 
     for number in range(count):
-        machine = town.machines[number % len(town.machines)]
-        town.kernel.at(town.kernel.now + BEAT * number / count, beat, number, 1, machine)
+        machine = system.machines[number % len(system.machines)]
+        system.kernel.at(system.kernel.now + BEAT * number / count, beat, number, 1, machine)
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,18 +136,18 @@
 def played(shape: Shape, seconds: float, seed: int) -> tuple[MeasuredTown, int]:
     """A town after so many calm seconds that were counted, and the bytes that it took to join."""
     quotas = {f"t{n}": (4 * shape.asked, 4 * shape.asked) for n in range(shape.tenants)}
-    town = with_tenants(seed, shape.gateways, quotas, 4, shape.backends, MeasuredTown, shape.cores)
-    assert isinstance(town, MeasuredTown)
-    chance, until = town.kernel.stream("where"), town.kernel.now + seconds + JOIN
-    beating(town, len(town.backends), until)
+    system = system_with_tenants(seed, shape.gateways, quotas, 4, shape.backends, MeasuredTown, shape.cores)
+    assert isinstance(system, MeasuredTown)
+    chance, until = system.kernel.stream("where"), system.kernel.now + seconds + JOIN
+    beating(system, len(system.backends), until)
     for name in quotas:
         rate = shape.asked * shape.gateways / shape.tenants
-        town.call(name, rate, lambda: chance.choice(town.machines), until)
-    town.run(JOIN)
-    joined = sum(town.told.values())
-    town.clear()
-    town.run(seconds)
-    return town, joined
+        system.generate_traffic(name, rate, lambda: chance.choice(system.machines), until)
+    system.run(JOIN)
+    joined = sum(system.told.values())
+    system.clear()
+    system.run(seconds)
+    return system, joined
 
 
 def measure(
@@ -158,29 +158,29 @@
     `shape`: in place of the usual one for so many gateways.
     """
     shape = shape or usual(gateways, cores)
-    town, joined = played(shape, seconds, seed)
+    system, joined = played(shape, seconds, seed)
     unit = shape.gateways * seconds
-    links = sum(len(machine.link_active_at) for machine in town.machines)
-    core = [m for m in town.machines if m.core]
-    edge = [m for m in town.machines if not m.core]
-    spent = {m.name: m.spent / seconds for m in town.machines if isinstance(m, MeasuredGateway)}
-    both_ways = town.out_of + town.into
+    links = sum(len(machine.link_active_at) for machine in system.machines)
+    core = [m for m in system.machines if m.core]
+    edge = [m for m in system.machines if not m.core]
+    spent = {m.name: m.spent / seconds for m in system.machines if isinstance(m, MeasuredGateway)}
+    both_ways = system.out_of + system.into
     return {
         "gateways": shape.gateways,
         "core": shape.cores,
-        "backends": len(town.backends),
+        "backends": len(system.backends),
         "tenants": shape.tenants,
-        "bytes_a_gateway_and_s": round(sum(town.told.values()) / unit, 1),
-        "between_zones": round(sum(size for (_, far), size in town.told.items() if far) / unit, 1),
+        "bytes_a_gateway_and_s": round(sum(system.told.values()) / unit, 1),
+        "between_zones": round(sum(size for (_, far), size in system.told.items() if far) / unit, 1),
         "by_kind": {
-            kind: round(sum(size for (one, _), size in town.told.items() if one == kind) / unit, 2)
-            for kind in sorted({kind for kind, _ in town.told})
+            kind: round(sum(size for (one, _), size in system.told.items() if one == kind) / unit, 2)
+            for kind in sorted({kind for kind, _ in system.told})
         },
-        "messages_a_gateway_and_s": round(sum(town.messages.values()) / unit, 2),
+        "messages_a_gateway_and_s": round(sum(system.messages.values()) / unit, 2),
         "heartbeats_at_most": round(links / shape.gateways * HEARTBEAT / HEARTBEAT_INTERVAL_S, 1),
-        "busiest_out_bytes_a_s": round(max(town.out_of.values()) / seconds),
-        "busiest_in_bytes_a_s": round(max(town.into.values()) / seconds),
-        "least_of_core_out_bytes_a_s": round(min(town.out_of[m.name] for m in core) / seconds),
+        "busiest_out_bytes_a_s": round(max(system.out_of.values()) / seconds),
+        "busiest_in_bytes_a_s": round(max(system.into.values()) / seconds),
+        "least_of_core_out_bytes_a_s": round(min(system.out_of[m.name] for m in core) / seconds),
         "edge_bytes_a_s": round(sum(both_ways[m.name] for m in edge) / max(len(edge), 1) / seconds, 1),
         "core_bytes_a_s": round(sum(both_ways[m.name] for m in core) / len(core) / seconds, 1),
         "processor_core_most": round(max(spent[m.name] for m in core), 4),
--- a/embersill/lab/edge/rolling.py
+++ b/embersill/lab/edge/rolling.py
@@ -12,7 +12,7 @@
 from embersill.edge.configuration.stages import Site
 from embersill.interface import Outcome, Repeats, Send
 from embersill.lab.edge.fleet import change
-from embersill.lab.edge.town import Gateway, Town
+from embersill.lab.edge.town import Gateway, SystemSimulation
 from embersill.work import Job, Server
 
 # all answers later; one in twenty; one in four refused; of those that must run once one in twenty sent on
@@ -98,23 +98,23 @@
         assert isinstance(attempts, Planted)
         return attempts
 
-    def policy_came(self, policy: Policy, label: str) -> None:
+    def on_policy(self, policy: Policy, label: str) -> None:
         """Another policy, and with it another harm or none."""
-        super().policy_came(policy, label)
+        super().on_policy(policy, label)
         self.planted.harm = policy["name"] if policy["name"] in HARMS else ""
 
-    def lasts(self, action: Send, takes: float) -> float:
+    def attempt_duration(self, action: Send, takes: float) -> float:
         """Seconds that an attempt lasts; longer under `slows` and `tail`."""
         slow = self.planted.harm == "slows" or self.planted.harm == "tail" and action.request % 20 == 0
         return takes + SLOWER if slow else takes
 
-    def outcome_of(self, action: Send, place: int) -> Outcome:
+    def attempt_outcome(self, action: Send, attempt: int) -> Outcome:
         """How an attempt ends; some first ones break under `doubles`."""
-        breaks = self.planted.harm == "doubles" and place == 0 and action.request % 20 == 0
+        breaks = self.planted.harm == "doubles" and attempt == 0 and action.request % 20 == 0
         return Outcome.BROKEN if breaks else Outcome.SERVED
 
 
-class RollTown(Town):
+class RollTown(SystemSimulation):
     """A town in which policies are rolled out."""
 
     machine_type = Harmful
@@ -138,27 +138,27 @@
 
 def roll_town(seed: int, gateways: int = 9) -> RollTown:
     """Gateways in three zones, with callers of a tenant in each; half of what they ask must run once."""
-    town = RollTown(seed, 3, gateways - 3, backends=36)
-    town.run(3.0)
-    town.tenants = {"t": {"api_keys": ["t"], "rate_per_s": 1000.0, "burst_size": 1000.0}}
+    system = RollTown(seed, 3, gateways - 3, backends=36)
+    system.run(3.0)
+    system.tenants = {"t": {"api_keys": ["t"], "rate_per_s": 1000.0, "burst_size": 1000.0}}
     body = change(1, 0, 2)
     body["routes"]["r1"]["kind"] = "non_idempotent"
-    town.machines[0].call("PUT", {**body, "tenants": town.tenants})
-    town.run(1.0)
-    town.run_until_converged()
-    chance = town.kernel.stream("where")
+    system.machines[0].call("PUT", {**body, "tenants": system.tenants})
+    system.run(1.0)
+    system.run_until_converged()
+    chance = system.kernel.stream("where")
     for zone in ZONES:
-        there = [machine for machine in town.machines if machine.zone == zone]
-        town.call(
+        there = [machine for machine in system.machines if machine.zone == zone]
+        system.generate_traffic(
             "t",
             ASKED,
             lambda there=there: chance.choice(  # type: ignore[misc]
                 [m for m in there if m.node is not None] or there
             ),
-            town.kernel.now + 1000.0,
+            system.kernel.now + 1000.0,
             2.0,
             1,
             zone,
             2,
         )
-    return town
+    return system
--- a/embersill/lab/edge/totals.py
+++ b/embersill/lab/edge/totals.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from embersill.lab.edge.fleet import Machine
-from embersill.lab.edge.town import Outcomes, with_quota
+from embersill.lab.edge.town import RequestRecord, system_with_quota
 
 QUOTA = 60.0  # requests a second, and the burst
 CALM, JUMP = 30.0, 90.0  # requests a second that are asked for
@@ -43,33 +43,35 @@
 
 def measure(gateways: int, trouble: str = "none", seed: int = 1) -> Figures:
     """One run; AssertionError if the tenant ever runs more than its quota's bound."""
-    town = with_quota(seed, gateways, QUOTA, QUOTA)
-    start, chance = town.kernel.now, town.kernel.stream("where")
+    system = system_with_quota(seed, gateways, QUOTA, QUOTA)
+    start, chance = system.kernel.now, system.kernel.stream("where")
     end = start + LASTS
 
     def where() -> Machine:
-        up = [machine for machine in town.machines if machine.node is not None]
+        up = [machine for machine in system.machines if machine.node is not None]
         return chance.choice(up)
 
-    node = town.machines[0].node
+    node = system.machines[0].node
     assert node is not None
-    summing = town.by_name[node.demand.summing("t")]
-    town.call("t", CALM, where, end)
-    town.kernel.at(start + JUMPS[0], lambda: town.call("t", JUMP - CALM, where, start + JUMPS[1]))
+    summing = system.by_name[node.demand.summing("t")]
+    system.generate_traffic("t", CALM, where, end)
+    system.kernel.at(
+        start + JUMPS[0], lambda: system.generate_traffic("t", JUMP - CALM, where, start + JUMPS[1])
+    )
     if trouble == "lost":
-        town.kernel.at(start + LOST[0], summing.kill)
-        town.kernel.at(start + LOST[1], summing.start)
+        system.kernel.at(start + LOST[0], summing.kill)
+        system.kernel.at(start + LOST[1], summing.start)
     elif trouble == "cut":
-        town.kernel.at(start + LOST[0], town.cut, {summing.name})
-        town.kernel.at(start + LOST[1], town.heal)
+        system.kernel.at(start + LOST[0], system.cut, {summing.name})
+        system.kernel.at(start + LOST[1], system.heal)
     elif trouble == "slow":
-        town.kernel.at(start + LOST[0], town.added_delay_s.update, {summing.name: SLOW})
-        town.kernel.at(start + LOST[1], town.added_delay_s.clear)
+        system.kernel.at(start + LOST[0], system.added_delay_s.update, {summing.name: SLOW})
+        system.kernel.at(start + LOST[1], system.added_delay_s.clear)
     totals, truths = [], []
-    while town.kernel.now < end:
-        town.run(LOOK)
-        now = town.kernel.now
-        truths.append(sum(now - 1.0 < one.asked_at <= now for one in reversed(town.book)))
+    while system.kernel.now < end:
+        system.run(LOOK)
+        now = system.kernel.now
+        truths.append(sum(now - 1.0 < one.asked_at <= now for one in reversed(system.requests)))
         known = summing.node.demand.sums.total("t", 0.0, (), now) if summing.node is not None else 0.0
         totals.append(known)
     calm = [
@@ -82,11 +84,11 @@
         return sum(abs(totals[n] - truths[n - lag]) for n in calm) / len(calm) / QUOTA
 
     lag = min(range(MOST_LAG), key=distance)
-    inside = [one for one in town.book if LOST[0] <= one.asked_at - start < LOST[1]]
-    outside = [one for one in town.book if not JUMPS[0] <= one.asked_at - start < LOST[1] + 4.0]
+    inside = [one for one in system.requests if LOST[0] <= one.asked_at - start < LOST[1]]
+    outside = [one for one in system.requests if not JUMPS[0] <= one.asked_at - start < LOST[1] + 4.0]
     owed = min(1.0, QUOTA * (LOST[1] - LOST[0]) / max(len(inside), 1))
 
-    def served(asked: list[Outcomes]) -> float:
+    def served(asked: list[RequestRecord]) -> float:
         return sum(one.end == "served" for one in asked) / max(len(asked), 1)
 
     return Figures(
@@ -96,7 +98,7 @@
         lag * LOOK,
         served(outside),
         min(served(inside) / owed, 1.0),
-        town.most.get("t", 0.0),
+        system.peak_quota_usage.get("t", 0.0),
     )
 
 
--- a/embersill/lab/edge/town.py
+++ b/embersill/lab/edge/town.py
@@ -1,8 +1,8 @@
-"""Gateways with their data plane in the world's time: the control plane of `fleet`, and requests on it.
+"""Simulation of the whole system: the control plane of `fleet` plus the gateways' data plane and its traffic.
 
-Each machine decides by the classes that are in service (`Node`, `EdgeGateway`, `QuotaClient`); clients,
-backends and the network are the world's. What every request came to is written down, and what each tenant
-ran is held against its quota after every send.
+Each machine runs the production decision code (`Node`, `EdgeGateway`, `QuotaClient`); clients, backends and
+the network are simulated. The outcome of every request is recorded, and each tenant's usage is checked
+against its quota after every send.
 """
 
 from __future__ import annotations
@@ -40,19 +40,19 @@
 )
 from embersill.lab.edge.fleet import Fleet, Machine, change
 
-WINDOW, OVERSHOOT, SLACK = 5.0, 0.1, 20.0  # of the quota rule, as both deployments have them
-RATIO, BUDGET_SLACK = 0.2, 68.0  # of the budget of further attempts
-BACKENDS, SLOTS = 30, 4  # of the one service; each works on so many requests at once
-SERVED_IN = 0.03, 0.12  # seconds that a backend takes
-REFUSED_IN = 0.002  # and in which a dial to one that is down is refused
-PATIENCE = 2.0  # seconds that a client waits, where nothing else is said
-AIM, LATE = 0.5, 0.5  # seconds within which an answer has its whole worth; its worth after that
-FRONT = 0.1  # seconds before its client's end at which a request is over
+QUOTA_WINDOW_S, QUOTA_OVERSHOOT, QUOTA_SLACK = 5.0, 0.1, 20.0  # as in both reference deployments
+RETRY_BUDGET_RATIO, RETRY_BUDGET_SLACK = 0.2, 68.0  # budget for retries
+BACKEND_COUNT, SLOTS_PER_BACKEND = 30, 4  # of the single service; requests each runs at once
+SERVICE_TIME_S = 0.03, 0.12  # range
+CONNECTION_REFUSED_S = 0.002  # time until a connection to a backend that is down is refused
+CLIENT_TIMEOUT_S = 2.0  # default
+TARGET_LATENCY_S, LATE_WORTH = 0.5, 0.5  # full worth up to this latency; worth after it
+DEADLINE_MARGIN_S = 0.1  # a request's deadline is this long before its client's timeout
 
 
 @dataclass(slots=True)
-class Outcomes:
-    """What became of one request: when it came, and its one answer."""
+class RequestRecord:
+    """One request: when it arrived, and its outcome."""
 
     tenant: str
     gateway: str
@@ -62,44 +62,44 @@
     over_quota: bool = False
     retry_after: float = 0.0
     sends: int = 0
-    runs: int = 0  # of those that a backend worked on
-    caller: str = ""  # which of its callers it came from
+    runs: int = 0  # sends that a backend executed
+    caller: str = ""  # group of the tenant's callers that sent it
     route: str = ""
 
 
-def share(asked: list[Outcomes]) -> float:
-    """Requests that were served, of these."""
-    return sum(one.end == "served" for one in asked) / max(len(asked), 1)
+def served_share(requests: list[RequestRecord]) -> float:
+    """The fraction of these requests that were served."""
+    return sum(record.end == "served" for record in requests) / max(len(requests), 1)
 
 
-def waits(asked: Iterable[Outcomes]) -> list[float]:
-    """Seconds that the served ones took, in order."""
-    return sorted(one.ended_at - one.asked_at for one in asked if one.end == "served")
+def served_durations(requests: Iterable[RequestRecord]) -> list[float]:
+    """Durations of the served requests in seconds, sorted."""
+    return sorted(record.ended_at - record.asked_at for record in requests if record.end == "served")
 
 
-def at_part(ordered: list[float], part: float) -> float:
-    """A quantile of ordered figures; nought where there are none."""
-    return ordered[min(int(part * len(ordered)), len(ordered) - 1)] if ordered else 0.0
+def quantile(ordered: list[float], fraction: float) -> float:
+    """A quantile of sorted values; 0 if there are none."""
+    return ordered[min(int(fraction * len(ordered)), len(ordered) - 1)] if ordered else 0.0
 
 
-def worth(asked: Iterable[Outcomes]) -> float:
-    """Mean worth of requests: whole within the aim, a part after it."""
-    owed = [
+def worth(requests: Iterable[RequestRecord]) -> float:
+    """Mean worth of requests: 1 if served within the target latency, `LATE_WORTH` if served later, else 0."""
+    values = [
         1.0
-        if one.end == "served" and one.ended_at - one.asked_at <= AIM
-        else LATE
-        if one.end == "served"
+        if record.end == "served" and record.ended_at - record.asked_at <= TARGET_LATENCY_S
+        else LATE_WORTH
+        if record.end == "served"
         else 0.0
-        for one in asked
+        for record in requests
     ]
-    return sum(owed) / max(len(owed), 1)
+    return sum(values) / max(len(values), 1)
 
 
 class Gateway(Machine):
-    """A machine that also takes requests; what it had under way ends with its process."""
+    """A machine that also serves requests; requests in progress fail when its process ends."""
 
     def start_data_plane(self, first_start: bool) -> None:
-        """Decides about requests too, from now on."""
+        """Creates the data plane and connects it to the node."""
         assert self.node is not None
         self.first_start, self.count = first_start, 1
         self.decider = EdgeGateway(self.settings(), self.fleet.chance.getrandbits(32), self.fleet.kernel.now)
@@ -110,24 +110,24 @@
         self.flights = InFlight(self.node, self.post, self.process.after)
         self.flights.on_flush = self.carry_out
         self.decider.attempts.on_in_flight_change = self.flights.changed
-        self.node.on_table = self.table_came
-        self.node.on_policy = self.policy_came
+        self.node.on_table = self.on_table
+        self.node.on_policy = self.on_policy
         self.node.rollout_runner.counts = self.decider.seen
         sums = self.node.demand.sums
-        sums.overshoot, sums.slack = OVERSHOOT, SLACK
+        sums.overshoot, sums.slack = QUOTA_OVERSHOOT, QUOTA_SLACK
         self.events: deque[Event] = deque()
         self.handling = False
-        self.open: dict[int, Outcomes] = {}
+        self.open_requests: dict[int, RequestRecord] = {}
         self.sent: dict[int, int] = {}
-        assert isinstance(self.fleet, Town)
+        assert isinstance(self.fleet, SystemSimulation)
         backends = tuple(
-            Backend(name, "abc"[n % 3], name, 0, Status.SERVING, 1.0, None, "s", SLOTS)
+            Backend(name, "abc"[n % 3], name, 0, Status.SERVING, 1.0, None, "s", SLOTS_PER_BACKEND)
             for n, name in enumerate(self.fleet.backends)
         )
         self.post(BackendList(ListKind.CHANGES, backends))
 
     def settings(self) -> Settings:
-        """The settings of the decisions, by the configuration and the number of gateways."""
+        """The gateway settings for the current configuration and number of gateways."""
         assert self.node is not None
         return settings_for(
             self.node.table,
@@ -135,24 +135,24 @@
             me=self.number,
             gateways=self.count,
             fresh=self.first_start,
-            ratio=RATIO,
-            slack=BUDGET_SLACK,
+            ratio=RETRY_BUDGET_RATIO,
+            slack=RETRY_BUDGET_SLACK,
             policy=self.node.policy[0],
         )
 
-    def table_came(self, table: Table) -> None:
-        """Another configuration is in force."""
+    def on_table(self, table: Table) -> None:
+        """Applies a new configuration."""
         assert self.node is not None
         self.decider.slow(table.slowed_tenants, self.node.slowdown_counts)
         self.post(Configured(self.settings()))
 
-    def policy_came(self, policy: Policy, label: str) -> None:
-        """Another policy is in force."""
+    def on_policy(self, policy: Policy, label: str) -> None:
+        """Applies a new policy."""
         self.decider.follow(policy, label)
         self.post(Configured(self.settings()))
 
     def tick(self) -> None:
-        """What is due by now, of decisions too."""
+        """Runs due timers, those of the data plane too."""
         if self.node is not None:
             self.quota_client.tick()
             if self.node.peers.count != self.count:
@@ -161,45 +161,60 @@
         super().tick()
 
     def kill(self) -> None:
-        """The process dies, and with it what it had under way."""
+        """Kills the process; its requests in progress fail."""
         if self.node is not None:
             self.quota_client.close()
-            for one in self.open.values():
-                one.end, one.ended_at = "failed", self.fleet.kernel.now
-            self.open.clear()
+            for record in self.open_requests.values():
+                record.end, record.ended_at = "failed", self.fleet.kernel.now
+            self.open_requests.clear()
         super().kill()
 
-    def ask(
-        self, tenant: str, patience: float, route: str = "r0", repeat: bool = False, caller: str = ""
-    ) -> Outcomes | None:
-        """A client's request; None where nobody takes it."""
+    def request(
+        self, tenant: str, timeout_s: float, route: str = "r0", repeat: bool = False, caller: str = ""
+    ) -> RequestRecord | None:
+        """Sends a client's request to this gateway; None if it accepts none."""
         if self.node is None or self.node.table is None:
             return None
-        now, town = self.fleet.kernel.now, self.fleet
-        assert isinstance(town, Town)
-        town.asked += 1
-        told = self.open[town.asked] = Outcomes(tenant, self.name, now, caller=caller, route=route)
-        town.book.append(told)
-        if self.node.table.stopped(tenant):  # as the door does
-            self.finish(town.asked, "refused")
-            return told
-        self.post(Request(town.asked, route, tenant, tenant, now + patience - FRONT, 1.0, 0, -1, repeat, "s"))
+        now, system = self.fleet.kernel.now, self.fleet
+        assert isinstance(system, SystemSimulation)
+        system.request_count += 1
+        record = self.open_requests[system.request_count] = RequestRecord(
+            tenant, self.name, now, caller=caller, route=route
+        )
+        system.requests.append(record)
+        if self.node.table.stopped(tenant):  # as the HTTP front end does
+            self.finish(system.request_count, "refused")
+            return record
+        self.post(
+            Request(
+                system.request_count,
+                route,
+                tenant,
+                tenant,
+                now + timeout_s - DEADLINE_MARGIN_S,
+                1.0,
+                0,
+                -1,
+                repeat,
+                "s",
+            )
+        )
         self.carry_out()
-        return told
+        return record
 
     def post(self, event: Event) -> None:
-        """Events one after the other, as the driver hands them on."""
+        """Handles events one after another, as the driver does."""
         self.events.append(event)
         if self.handling:
             return
         self.handling = True
         while self.events:
             for action in self.decider.handle(self.events.popleft(), self.fleet.kernel.now):
-                self.act(action)
+                self.execute(action)
         self.handling = False
 
-    def act(self, action: Any) -> None:
-        """Carries out what was decided."""
+    def execute(self, action: Any) -> None:
+        """Executes an action that the gateway decided on."""
         if isinstance(action, SetTimer):
             self.process.after(action.delay, lambda: self.post(TimerDue(action.key)))
         elif isinstance(action, Count):
@@ -209,75 +224,81 @@
         elif isinstance(action, Send):
             self.send(action)
         elif isinstance(action, Refuse):
-            told = self.finish(action.request, "refused")
-            if told is not None:
-                told.over_quota, told.retry_after = action.over_quota, action.retry_after
+            record = self.finish(action.request, "refused")
+            if record is not None:
+                record.over_quota, record.retry_after = action.over_quota, action.retry_after
         elif isinstance(action, Fail):
             self.finish(action.request, "failed")
 
-    def finish(self, number: int, end: str) -> Outcomes | None:
-        """A request has ended; None where it had before."""
-        told = self.open.pop(number, None)
-        if told is not None:
-            told.end, told.ended_at = end, self.fleet.kernel.now
-        return told
+    def finish(self, request_id: int, end: str) -> RequestRecord | None:
+        """Records the end of a request; None if it had ended before."""
+        record = self.open_requests.pop(request_id, None)
+        if record is not None:
+            record.end, record.ended_at = end, self.fleet.kernel.now
+        return record
 
     def send(self, action: Send) -> None:
-        """Has a backend work on an attempt for a while."""
-        town, told = self.fleet, self.open[action.request]
-        assert isinstance(town, Town)
-        place, told.sends = told.sends, told.sends + 1
-        lost = action.backend in town.dead
-        if not lost:
-            told.runs += 1
-            town.ran(told.tenant)
-        backend, now = town.backends[action.backend], town.kernel.now
-        takes = REFUSED_IN if lost else self.lasts(action, backend.takes(now, town.work))
-        outcome = Outcome.NO_CONNECTION if lost else self.outcome_of(action, place)
+        """Simulates an attempt at a backend."""
+        system, record = self.fleet, self.open_requests[action.request]
+        assert isinstance(system, SystemSimulation)
+        attempt, record.sends = record.sends, record.sends + 1
+        down = action.backend in system.backends_down
+        if not down:
+            record.runs += 1
+            system.record_run(record.tenant)
+        backend, now = system.backends[action.backend], system.kernel.now
+        duration_s = (
+            CONNECTION_REFUSED_S
+            if down
+            else self.attempt_duration(action, backend.service_time(now, system.service_time_random))
+        )
+        outcome = Outcome.NO_CONNECTION if down else self.attempt_outcome(action, attempt)
 
         def ended() -> None:
             served = outcome is Outcome.SERVED
             if served:
                 self.finish(action.request, "served")
-            load = () if lost else backend.load(town.kernel.now)
-            self.post(AttemptEnded(action.request, place, action.backend, outcome, takes, served, 0.0, load))
+            load = () if down else backend.load(system.kernel.now)
+            self.post(
+                AttemptEnded(action.request, attempt, action.backend, outcome, duration_s, served, 0.0, load)
+            )
             self.carry_out()
 
-        self.process.after(takes, ended)
+        self.process.after(duration_s, ended)
 
-    def lasts(self, action: Send, takes: float) -> float:
-        """Seconds until the answer comes, of those that its backend takes."""
-        return takes
+    def attempt_duration(self, action: Send, service_time_s: float) -> float:
+        """Seconds until the answer to an attempt arrives."""
+        return service_time_s
 
-    def outcome_of(self, action: Send, place: int) -> Outcome:
-        """How an attempt ends that came to a backend which is up."""
+    def attempt_outcome(self, action: Send, attempt: int) -> Outcome:
+        """How an attempt at a running backend ends."""
         return Outcome.SERVED
 
 
-class Slots:
-    """A backend: it works on so many requests at once, and the others wait for a slot."""
+class SimulatedBackend:
+    """A backend with a fixed number of slots; further requests wait for a free slot."""
 
     def __init__(self) -> None:
-        self.free_at = [0.0] * SLOTS
-        self.until: list[float] = []  # when those that are there end
+        self.slot_free_at = [0.0] * SLOTS_PER_BACKEND
+        self.in_progress_until: list[float] = []  # end times of requests running or waiting
 
-    def takes(self, now: float, work: random.Random) -> float:
-        """Seconds until the answer to a request that comes now."""
-        ends = max(heapq.heappop(self.free_at), now) + work.uniform(*SERVED_IN)
-        heapq.heappush(self.free_at, ends)
-        heapq.heappush(self.until, ends)
-        return ends - now
+    def service_time(self, now: float, chance: random.Random) -> float:
+        """Admits a request that arrives now; returns the seconds until its answer."""
+        ends_at = max(heapq.heappop(self.slot_free_at), now) + chance.uniform(*SERVICE_TIME_S)
+        heapq.heappush(self.slot_free_at, ends_at)
+        heapq.heappush(self.in_progress_until, ends_at)
+        return ends_at - now
 
     def load(self, now: float) -> tuple[float, float, float]:
-        """Running, waiting and slots, as it tells them with its answers."""
-        while self.until and self.until[0] <= now:
-            heapq.heappop(self.until)
-        running = min(len(self.until), SLOTS)
-        return float(running), float(len(self.until) - running), float(SLOTS)
+        """Running requests, waiting requests and slots, as reported with its answers."""
+        while self.in_progress_until and self.in_progress_until[0] <= now:
+            heapq.heappop(self.in_progress_until)
+        running = min(len(self.in_progress_until), SLOTS_PER_BACKEND)
+        return float(running), float(len(self.in_progress_until) - running), float(SLOTS_PER_BACKEND)
 
 
-class Town(Fleet):
-    """A fleet of gateways, its tenants' callers, and the book of all requests."""
+class SystemSimulation(Fleet):
+    """A fleet of gateways, the traffic of its tenants, and a record of all requests."""
 
     machine_type = Gateway
 
@@ -287,99 +308,101 @@
         cores: int = 3,
         others: int = 2,
         persistent_disks: bool = True,
-        backends: int = BACKENDS,
+        backends: int = BACKEND_COUNT,
     ) -> None:
-        self.backends = {f"b{n}": Slots() for n in range(backends)}
-        self.book: list[Outcomes] = []
-        self.asked = 0
-        self.dead: set[str] = set()  # backends that are down
-        self.runs: dict[str, deque[float]] = {}
-        self.most: dict[str, float] = {}  # by tenant, the most of its bound that any window has used
-        self.judged = True  # who passes a quota ends the run
-        self.bounds: dict[str, float] = {}  # what may run in a window, where a quota is to be held
-        self.work = random.Random(f"{seed}/work")
+        self.backends = {f"b{n}": SimulatedBackend() for n in range(backends)}
+        self.requests: list[RequestRecord] = []
+        self.request_count = 0
+        self.backends_down: set[str] = set()
+        self.recent_runs: dict[str, deque[float]] = {}
+        self.peak_quota_usage: dict[
+            str, float
+        ] = {}  # by tenant: largest fraction of the bound used in a window
+        self.fail_on_violation = True  # exceeding a quota raises AssertionError
+        self.quota_bounds: dict[str, float] = {}  # by tenant: runs allowed in a window, if enforced
+        self.service_time_random = random.Random(f"{seed}/work")
         super().__init__(seed, cores, others, persistent_disks)
 
     @property
     def gateways(self) -> list[Gateway]:
-        """All machines, as gateways that take requests."""
+        """All machines, as gateways that serve requests."""
         return [machine for machine in self.machines if isinstance(machine, Gateway)]
 
-    def hold(self, tenant: str, rate: float, burst: float) -> None:
-        """From now on what the tenant runs is held against this quota."""
-        self.bounds[tenant] = (rate * WINDOW + burst) * (1 + OVERSHOOT) + SLACK
+    def enforce_quota(self, tenant: str, rate: float, burst: float) -> None:
+        """Checks the tenant's usage against this quota from now on."""
+        self.quota_bounds[tenant] = (rate * QUOTA_WINDOW_S + burst) * (1 + QUOTA_OVERSHOOT) + QUOTA_SLACK
 
-    def ran(self, tenant: str) -> None:
-        """A backend has run a tenant's request: it counts towards the tenant's quota."""
-        runs = self.runs.setdefault(tenant, deque())
+    def record_run(self, tenant: str) -> None:
+        """Counts a request that a backend has run towards its tenant's quota."""
+        runs = self.recent_runs.setdefault(tenant, deque())
         runs.append(self.kernel.now)
-        while runs[0] < self.kernel.now - WINDOW:
+        while runs[0] < self.kernel.now - QUOTA_WINDOW_S:
             runs.popleft()
-        bound = self.bounds.get(tenant)
+        bound = self.quota_bounds.get(tenant)
         if bound is not None:
-            self.most[tenant] = max(self.most.get(tenant, 0.0), len(runs) / bound)
-            within = len(runs) <= bound or not self.judged
-            assert within, f"{tenant} ran {len(runs)} of {bound:.0f} by {self.kernel.now:.2f}"
+            self.peak_quota_usage[tenant] = max(self.peak_quota_usage.get(tenant, 0.0), len(runs) / bound)
+            within = len(runs) <= bound or not self.fail_on_violation
+            assert within, f"{tenant} ran {len(runs)}, more than {bound:.0f}, at {self.kernel.now:.2f} s"
 
-    def call(
+    def generate_traffic(
         self,
         tenant: str,
-        per_s: float,
-        where: Callable[[], Machine],
+        rate_per_s: float,
+        choose_machine: Callable[[], Machine],
         until: float,
-        patience: float = PATIENCE,
-        repeats: int = 0,
+        timeout_s: float = CLIENT_TIMEOUT_S,
+        retries: int = 0,
         caller: str = "",
         routes: int = 1,
     ) -> None:
-        """Callers of a tenant come by chance, `per_s` each second, and come again after a refusal as told."""
+        """Generates a tenant's requests as a Poisson process; refused ones are retried."""
         chance = self.kernel.stream(f"callers of {tenant} {caller}".rstrip())
 
-        def once(left: int) -> None:
-            machine = where()
+        def send_request(retries_left: int) -> None:
+            machine = choose_machine()
             assert isinstance(machine, Gateway)
             route = f"r{chance.randrange(routes)}" if routes > 1 else "r0"
-            told = machine.ask(tenant, patience, route, left < repeats, caller)
-            if told is not None and left:
-                self.kernel.at(self.kernel.now + patience / 3, again, told, left)
+            record = machine.request(tenant, timeout_s, route, retries_left < retries, caller)
+            if record is not None and retries_left:
+                self.kernel.at(self.kernel.now + timeout_s / 3, retry_if_refused, record, retries_left)
 
-        def again(told: Outcomes, left: int) -> None:
-            if told.end == "refused":
-                once(left - 1)
+        def retry_if_refused(record: RequestRecord, retries_left: int) -> None:
+            if record.end == "refused":
+                send_request(retries_left - 1)
 
-        def come() -> None:
+        def arrive() -> None:
             if self.kernel.now < until:
-                once(repeats)
-                self.kernel.at(self.kernel.now + chance.expovariate(per_s), come)
+                send_request(retries)
+                self.kernel.at(self.kernel.now + chance.expovariate(rate_per_s), arrive)
 
-        self.kernel.at(self.kernel.now + chance.expovariate(per_s), come)
+        self.kernel.at(self.kernel.now + chance.expovariate(rate_per_s), arrive)
 
 
-def with_tenants(
+def system_with_tenants(
     seed: int,
     gateways: int,
     quotas: Mapping[str, tuple[float, float]],
     routes: int = 1,
-    backends: int = BACKENDS,
-    kind: type[Town] = Town,
+    backends: int = BACKEND_COUNT,
+    simulation: type[SystemSimulation] = SystemSimulation,
     cores: int = 3,
-) -> Town:
-    """A town whose tenants have these quotas, rate and burst; everybody knows of them."""
-    town = kind(seed, min(gateways, cores), max(gateways - cores, 0), backends=backends)
-    town.run(3.0)
+) -> SystemSimulation:
+    """A simulation in which all gateways have a configuration with these tenants' quotas (rate, burst)."""
+    system = simulation(seed, min(gateways, cores), max(gateways - cores, 0), backends=backends)
+    system.run(3.0)
     body = change(1, 0, routes)
     body["tenants"] = {
         name: {"api_keys": [name], "rate_per_s": rate, "burst_size": burst}
         for name, (rate, burst) in quotas.items()
     }
-    town.machines[0].call("PUT", body)
-    town.run(1.0)
-    town.run_until_converged()
-    return town
+    system.machines[0].call("PUT", body)
+    system.run(1.0)
+    system.run_until_converged()
+    return system
 
 
-def with_quota(seed: int, gateways: int, rate: float, burst: float) -> Town:
-    """A town in which the one tenant, `t`, has a quota, which is held from now on."""
-    town = with_tenants(seed, gateways, {"t": (rate, burst)})
-    town.hold("t", rate, burst)
-    return town
+def system_with_quota(seed: int, gateways: int, rate: float, burst: float) -> SystemSimulation:
+    """A simulation with a single tenant, `t`, whose quota is checked from now on."""
+    system = system_with_tenants(seed, gateways, {"t": (rate, burst)})
+    system.enforce_quota("t", rate, burst)
+    return system
--- a/embersill/lab/edge/trying.py
+++ b/embersill/lab/edge/trying.py
@@ -24,7 +24,15 @@
 
 from embersill.edge.configuration.check import checked
 from embersill.lab.edge.fleet import Machine
-from embersill.lab.edge.town import PATIENCE, Outcomes, Town, at_part, waits, with_tenants, worth
+from embersill.lab.edge.town import (
+    CLIENT_TIMEOUT_S,
+    RequestRecord,
+    SystemSimulation,
+    quantile,
+    served_durations,
+    system_with_tenants,
+    worth,
+)
 
 if TYPE_CHECKING:
     from matplotlib.figure import Figure
@@ -160,36 +168,38 @@
     return things[: max(1, round(share * len(things)))]
 
 
-def strike(town: Town, trouble: Trouble, callers: list[Caller], where: Callable[[], Machine]) -> None:
+def strike(
+    system: SystemSimulation, trouble: Trouble, callers: list[Caller], where: Callable[[], Machine]
+) -> None:
     """Sets one trouble's beginning and end."""
-    kernel, start, end = town.kernel, town.kernel.now + trouble["at"], trouble["for_s"]
+    kernel, start, end = system.kernel, system.kernel.now + trouble["at"], trouble["for_s"]
     share, x, kind = trouble.get("share", 0.1), trouble.get("x", 5.0), trouble["kind"]
-    core = [machine for machine in town.machines if machine.core]
-    others = [machine for machine in town.machines if not machine.core] or core
+    core = [machine for machine in system.machines if machine.core]
+    others = [machine for machine in system.machines if not machine.core] or core
     if kind in ("kill", "kill core"):
         for machine in chosen(core if kind == "kill core" else others, share):
             kernel.at(start, machine.kill)
             kernel.at(start + end, machine.start)
     elif kind == "cut":
         names = {machine.name for machine in chosen(others, share)}
-        kernel.at(start, town.cut, names)
-        kernel.at(start + end, town.heal)
+        kernel.at(start, system.cut, names)
+        kernel.at(start + end, system.heal)
     elif kind == "slow":
         slowed = {machine.name: trouble.get("x", 0.2) for machine in chosen(others, share)}
-        kernel.at(start, town.added_delay_s.update, slowed)
-        kernel.at(start + end, town.added_delay_s.clear)
+        kernel.at(start, system.added_delay_s.update, slowed)
+        kernel.at(start + end, system.added_delay_s.clear)
     elif kind == "backends down":
-        lost = chosen(list(town.backends), share)
-        kernel.at(start, town.dead.update, lost)
-        kernel.at(start + end, town.dead.difference_update, lost)
+        lost = chosen(list(system.backends), share)
+        kernel.at(start, system.backends_down.update, lost)
+        kernel.at(start + end, system.backends_down.difference_update, lost)
     else:
         hot = [one for one in callers if kind == "burst" or one["name"] == trouble.get("tenant")]
         for one in hot:
             more = one["asks_per_s"] * (x - 1.0)
             kernel.at(
                 start,
-                lambda name=one["name"], more=more, until=start + end: town.call(
-                    name, more, where, until, PATIENCE, 1, "more"
+                lambda name=one["name"], more=more, until=start + end: system.generate_traffic(
+                    name, more, where, until, CLIENT_TIMEOUT_S, 1, "more"
                 ),
             )
 
@@ -199,7 +209,7 @@
     with constants_set(constants or {}):
         gateways, callers = scenario["gateways"], scenario["tenants"]
         quotas = {one["name"]: (one["rate_per_s"], one["burst_size"]) for one in callers}
-        town = with_tenants(
+        system = system_with_tenants(
             seed,
             gateways,
             quotas,
@@ -207,59 +217,59 @@
             scenario.get("backends", max(3 * gateways, 12)),
             cores=min(scenario.get("core", 3), gateways),
         )
-        start = town.kernel.now
-        chance = town.kernel.stream("where")
+        start = system.kernel.now
+        chance = system.kernel.stream("where")
 
         def where() -> Machine:
-            return chance.choice([m for m in town.machines if m.node is not None] or town.machines)
+            return chance.choice([m for m in system.machines if m.node is not None] or system.machines)
 
         for one in callers:
             if one["rate_per_s"] > 0:
-                town.hold(one["name"], one["rate_per_s"], one["burst_size"])
-            town.call(
+                system.enforce_quota(one["name"], one["rate_per_s"], one["burst_size"])
+            system.generate_traffic(
                 one["name"],
                 one["asks_per_s"],
                 where,
                 start + scenario["seconds"],
-                PATIENCE,
+                CLIENT_TIMEOUT_S,
                 one.get("repeats", 1),
             )
         for trouble in scenario.get("troubles", []):
-            strike(town, trouble, callers, where)
+            strike(system, trouble, callers, where)
         broken = ""
         try:
-            town.run(scenario["seconds"] + PATIENCE + 1.0)
+            system.run(scenario["seconds"] + CLIENT_TIMEOUT_S + 1.0)
         except AssertionError as error:
             broken = str(error)
         return {
             "seed": seed,
             "broken": broken,
-            **figures(town.book),
+            **figures(system.requests),
             "tenants": {
                 name: {
-                    **figures([o for o in town.book if o.tenant == name]),
-                    "most_of_quota": round(town.most.get(name, 0.0), 3),
+                    **figures([o for o in system.requests if o.tenant == name]),
+                    "most_of_quota": round(system.peak_quota_usage.get(name, 0.0), 3),
                 }
                 for name in quotas
             },
-            "seconds": by_second(town.book, start, scenario["seconds"]),
+            "seconds": by_second(system.requests, start, scenario["seconds"]),
         }
 
 
-def figures(asked: list[Outcomes]) -> dict[str, float]:
+def figures(asked: list[RequestRecord]) -> dict[str, float]:
     """Worth, ends and times in seconds of these requests."""
-    took = waits(asked)
+    took = served_durations(asked)
     ends = {
         end: sum(one.end == end for one in asked) / max(len(asked), 1)
         for end in ("served", "refused", "failed")
     }
-    found = {"worth": worth(asked), **ends, "p50": at_part(took, 0.5), "p99": at_part(took, 0.99)}
+    found = {"worth": worth(asked), **ends, "p50": quantile(took, 0.5), "p99": quantile(took, 0.99)}
     return {"asked": len(asked), **{name: round(value, 5) for name, value in found.items()}}
 
 
-def by_second(asked: Iterable[Outcomes], start: float, seconds: float) -> list[dict[str, float]]:
+def by_second(asked: Iterable[RequestRecord], start: float, seconds: float) -> list[dict[str, float]]:
     """The same for each second from a start on."""
-    parts: list[list[Outcomes]] = [[] for _ in range(math.ceil(seconds))]
+    parts: list[list[RequestRecord]] = [[] for _ in range(math.ceil(seconds))]
     for one in asked:
         place = int(one.asked_at - start)
         if 0 <= place < len(parts):
--- a/tests/edge/test_lapses.py
+++ b/tests/edge/test_lapses.py
@@ -29,7 +29,7 @@
 from embersill.lab.edge.control import founded_fleet
 from embersill.lab.edge import plots
 from embersill.lab.edge.fleet import Fleet, change, document
-from embersill.lab.edge.town import Gateway, Town, with_tenants
+from embersill.lab.edge.town import Gateway, SystemSimulation, system_with_tenants
 from tests.edge.test_parts import FakeExchange, RecordingDriver
 from tests.edge.test_system import put_until_answered
 
@@ -226,26 +226,26 @@
     assert sorted(verdicts[0].status for verdicts in heard) == [200, 412]
 
 
-def served(town: Town, tenant: str, since: float, until: float, gateway: str = "") -> float:
+def served(town: SystemSimulation, tenant: str, since: float, until: float, gateway: str = "") -> float:
     asked = [
         one
-        for one in town.book
+        for one in town.requests
         if one.tenant == tenant and since <= one.asked_at < until and (not gateway or one.gateway == gateway)
     ]
     return sum(one.end == "served" for one in asked) / max(len(asked), 1)
 
 
-def squeezed_town(seed: int, gateways: int = 6, share: float = 0.2) -> tuple[Town, float]:
+def squeezed_town(seed: int, gateways: int = 6, share: float = 0.2) -> tuple[SystemSimulation, float]:
     """Two tenants with the same quota, one of which is slowed down to a share of it."""
-    town = with_tenants(seed, gateways, {"t": (60.0, 60.0), "u": (60.0, 60.0)})
+    town = system_with_tenants(seed, gateways, {"t": (60.0, 60.0), "u": (60.0, 60.0)})
     chance = town.kernel.stream("uneven")
     uneven = [machine for n, machine in enumerate(town.machines) for _ in range(n + 1)]
     for tenant, per_s in (("t", 45.0), ("u", 40.0)):
-        town.call(tenant, per_s, lambda: chance.choice(uneven), town.kernel.now + 40.0, repeats=2)
+        town.generate_traffic(tenant, per_s, lambda: chance.choice(uneven), town.kernel.now + 40.0, retries=2)
     town.run(8.0)
     assert order(town, wish(ladder=[{"share": share}])) == 200
     town.run(6.0)  # what was accrued under the old rate is used up
-    town.hold("t", 60.0 * share, 60.0 * share)
+    town.enforce_quota("t", 60.0 * share, 60.0 * share)
     return town, town.kernel.now
 
 
@@ -260,32 +260,38 @@
     assert 0.05 < whole < 0.35
     for machine in town.machines:
         assert abs(served(town, "t", since, until, machine.name) - whole) < 0.12, machine.name
-    passed = [one for one in town.book if one.tenant == "t" and one.sends and since <= one.asked_at < until]
+    passed = [
+        one for one in town.requests if one.tenant == "t" and one.sends and since <= one.asked_at < until
+    ]
     assert 0.75 * 12.0 < len(passed) / (until - since) < 1.15 * 12.0
-    late = [one for one in town.book if one.tenant == "t" and one.asked_at >= since]
+    late = [one for one in town.requests if one.tenant == "t" and one.asked_at >= since]
     refused = [one for one in late if one.end == "refused"]
     assert all(one.over_quota and one.retry_after > 0.2 for one in refused)
     assert len({round(one.retry_after, 2) for one in refused}) > 10  # spread, not all at once
-    assert all(one.sends <= 1 for one in town.book) and not any(one.end == "failed" for one in town.book)
+    assert all(one.sends <= 1 for one in town.requests) and not any(
+        one.end == "failed" for one in town.requests
+    )
 
 
 def test_a_slowed_tenant_costs_others_nothing_while_a_third_of_the_backends_is_lost() -> None:
     town, since = squeezed_town(11)
-    town.dead = {f"b{n}" for n in range(0, 30, 3)}
+    town.backends_down = {f"b{n}" for n in range(0, 30, 3)}
     town.run(12.0)
     until = town.kernel.now - 3.0
     assert served(town, "u", since, until) > 0.97
     assert 0.05 < served(town, "t", since, until) < 0.35
-    sent = [one for one in town.book if one.tenant == "t" and one.end == "served" and one.asked_at >= since]
+    sent = [
+        one for one in town.requests if one.tenant == "t" and one.end == "served" and one.asked_at >= since
+    ]
     assert len(sent) < 1.15 * 12.0 * 12.0  # what a lost backend did not run is charged once
 
 
 def test_ten_lapse_at_once_and_each_is_held_to_its_own_step() -> None:
     names = [f"x{n}" for n in range(10)]
-    town = with_tenants(4, 6, dict.fromkeys([*names, "u"], (20.0, 20.0)))
+    town = system_with_tenants(4, 6, dict.fromkeys([*names, "u"], (20.0, 20.0)))
     chance = town.kernel.stream("where")
     for name in (*names, "u"):
-        town.call(name, 15.0, lambda: chance.choice(town.machines), town.kernel.now + 22.0)
+        town.generate_traffic(name, 15.0, lambda: chance.choice(town.machines), town.kernel.now + 22.0)
     for number, name in enumerate(names):
         town.machines[number % 6].call("lapse", {"id": name, **wish(ladder=[{"share": 0.1 + 0.05 * number}])})
     town.run(10.0)
@@ -295,7 +301,7 @@
     town.run(9.0)
     for number, name in enumerate(names):
         rate = 20.0 * (0.1 + 0.05 * number)
-        passed = sum(one.tenant == name and one.sends > 0 and since <= one.asked_at for one in town.book)
+        passed = sum(one.tenant == name and one.sends > 0 and since <= one.asked_at for one in town.requests)
         assert 0.6 * rate < passed / 9.0 < 1.2 * rate, name
     assert served(town, "u", since, town.kernel.now - 1.0) > 0.97
 
@@ -313,7 +319,7 @@
     for whom in ("tenant", "others"):
         for figure in ("asked", "served", "refused", "held"):
             assert whole[whom][figure] == sum(row[whom][figure] for row in rows)
-    asked = [one for one in town.book if one.tenant == "t" and one.asked_at >= since]
+    asked = [one for one in town.requests if one.tenant == "t" and one.asked_at >= since]
     assert whole["tenant"]["asked"] >= len(asked) * 0.9
     assert whole["tenant"]["refused"] > whole["tenant"]["served"]
     shares = [row["tenant"]["served"] / row["tenant"]["asked"] for row in rows if row["tenant"]["asked"] > 30]
@@ -383,7 +389,7 @@
 def test_a_small_step_is_kept_exactly_and_has_none_of_the_bounds_margin() -> None:
     town, since = squeezed_town(7, share=0.02)
     town.run(12.0)
-    passed = [one for one in town.book if one.tenant == "t" and one.sends and one.asked_at >= since]
+    passed = [one for one in town.requests if one.tenant == "t" and one.sends and one.asked_at >= since]
     assert 5 <= len(passed) <= 1.2 * 12.0 * 1.15 + 1
 
 
@@ -394,11 +400,11 @@
         town.run(0.3)
         machine.start()
         town.run(1.0)
-    town.run(6.0)  # `Town.ran` holds the step's rate and burst after each send
-    assert town.most["t"] <= 1.0
+    town.run(6.0)  # `SystemSimulation.record_run` holds the step's rate and burst after each send
+    assert town.peak_quota_usage["t"] <= 1.0
     town.run(40.0)
-    assert not [one for one in town.book if not one.end], "each request has its one end"
-    lost = [one for one in town.book if one.end == "failed"]
+    assert not [one for one in town.requests if not one.end], "each request has its one end"
+    lost = [one for one in town.requests if one.end == "failed"]
     assert len(lost) <= 20 and all(one.gateway in {m.name for m in town.machines[3:]} for one in lost)
 
 
@@ -415,14 +421,14 @@
 
 
 def test_at_a_step_of_nought_nothing_passes_and_what_was_held_has_its_end() -> None:
-    town = with_tenants(2, 4, {"t": (4.0, 4.0)})
+    town = system_with_tenants(2, 4, {"t": (4.0, 4.0)})
     gateway = town.machines[3]
     assert isinstance(gateway, Gateway)
-    held_ones = [gateway.ask("t", 8.0) for _ in range(6)]
+    held_ones = [gateway.request("t", 8.0) for _ in range(6)]
     assert order(town, wish(ladder=[{"share": 0.0}])) == 200
     town.run(3.0)
     assert all(one is not None and one.end in ("served", "refused") for one in held_ones)
-    asked = [gateway.ask("t", 2.0) for _ in range(6)]
+    asked = [gateway.request("t", 2.0) for _ in range(6)]
     town.run(2.0)
     assert [one.end for one in asked if one is not None] == ["refused"] * 6
 
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -1,6 +1,7 @@
 """Quotas over all gateways under stress: tenants get active, overload and move between failing gateways.
 
-After each send, every run checks what a tenant's requests used against the quota's bound (`Town.ran`).
+After each send, every run checks what a tenant's requests used against the quota's bound
+(`SystemSimulation.record_run`).
 """
 
 from __future__ import annotations
@@ -12,43 +13,43 @@
 
 from embersill.lab.edge.fleet import Machine
 from embersill.lab.edge.totals import TROUBLES, measure
-from embersill.lab.edge.town import Town, with_quota
+from embersill.lab.edge.town import SystemSimulation, system_with_quota
 
 
-def press(town: Town, per_s: float, seconds: float, at: Sequence[Machine]) -> None:
+def press(town: SystemSimulation, per_s: float, seconds: float, at: Sequence[Machine]) -> None:
     """Sends a tenant's requests to those of these machines that are up."""
     chance = town.kernel.stream(f"where {town.kernel.now}")
 
     def where() -> Machine:
         return chance.choice([m for m in at if m.node is not None] or list(town.machines))
 
-    town.call("t", per_s, where, town.kernel.now + seconds)
+    town.generate_traffic("t", per_s, where, town.kernel.now + seconds)
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 5, 14])
 def test_a_tenant_that_was_idle_and_presses_has_one_burst_and_not_two(gateways: int) -> None:
     # part of the burst is in the gateways' own buckets, and the reserve has to hold exactly that much less
-    town = with_quota(1, gateways, 60.0, 60.0)
+    town = system_with_quota(1, gateways, 60.0, 60.0)
     press(town, 5.0, 2.0, town.machines)
     town.run(12.0)
     press(town, 360.0, 8.0, town.machines)
     town.run(8.0)
-    assert 0.8 < town.most["t"] <= 1.0
+    assert 0.8 < town.peak_quota_usage["t"] <= 1.0
 
 
 @pytest.mark.parametrize("rate", [2.0, 5.0])
 def test_a_thin_tenant_that_presses_at_many_gateways_has_no_request_from_each(rate: float) -> None:
     # a full bucket of less than a token would admit one request at each of forty gateways at once
-    town = with_quota(6, 40, rate, rate)
+    town = system_with_quota(6, 40, rate, rate)
     press(town, 80.0, 6.0, town.machines)
     town.run(6.0)
-    assert 0.3 < town.most["t"] <= 1.0
+    assert 0.3 < town.peak_quota_usage["t"] <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_the_member_that_sums_is_cut_off_with_callers_of_its_own(seed: int) -> None:
     # the others use the even slice without being heard: the member must not count them as idle
-    town = with_quota(seed, 5, 200.0, 200.0)
+    town = system_with_quota(seed, 5, 200.0, 200.0)
     node = town.machines[0].node
     assert node is not None
     summing = town.by_name[node.demand.summing("t")]
@@ -57,23 +58,23 @@
     town.run(3.3)
     town.heal()
     town.run(3.0)
-    assert town.most["t"] > 0.7
+    assert town.peak_quota_usage["t"] > 0.7
 
 
 def test_callers_that_move_from_one_gateway_to_all_others_take_no_second_burst() -> None:
-    town = with_quota(4, 8, 60.0, 60.0)
+    town = system_with_quota(4, 8, 60.0, 60.0)
     press(town, 480.0, 6.0, town.machines[4:5])
     town.run(6.0)
     press(town, 480.0, 6.0, [m for m in town.machines if m is not town.machines[4]])
     town.run(6.0)
-    assert 0.7 < town.most["t"] <= 1.0
+    assert 0.7 < town.peak_quota_usage["t"] <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(16))
 def test_no_mix_of_loads_moves_and_troubles_passes_a_quota(seed: int) -> None:
     chance = random.Random(seed)
     gateways, rate = chance.choice([1, 2, 3, 5, 8, 14]), chance.choice([5.0, 20.0, 60.0, 200.0])
-    town = with_quota(seed, gateways, rate, rate * chance.choice([0.5, 1.0, 2.0]))
+    town = system_with_quota(seed, gateways, rate, rate * chance.choice([0.5, 1.0, 2.0]))
     town.run(chance.choice([0.0, 3.0, 8.0]))
     for _ in range(5):
         seconds, width = chance.uniform(1.0, 5.0), chance.choice([1, max(1, gateways // 2), gateways])
@@ -98,7 +99,7 @@
         town.run(seconds)
         town.heal()
         town.added_delay_s.clear()
-    assert town.book
+    assert town.requests
 
 
 @pytest.mark.parametrize("gateways, trouble", [(3, "none"), (14, "none"), *((5, t) for t in TROUBLES[1:])])
--- a/tests/edge/test_rollout.py
+++ b/tests/edge/test_rollout.py
@@ -274,7 +274,7 @@
     assert all(m.node is not None and m.node.policy == (BUILT_IN_POLICY, "") for m in town.machines)
     since = town.kernel.now
     town.run(4.0)
-    after = [one for one in town.book if one.asked_at >= since and one.asked_at < town.kernel.now - 2.5]
+    after = [one for one in town.requests if one.asked_at >= since and one.asked_at < town.kernel.now - 2.5]
     assert after and all(one.end for one in after) and all(one.runs <= 1 for one in after)
     assert {"doubles": "twice", "loses": "missing"}.get(harm, "") in past["why"]
 
@@ -285,9 +285,9 @@
     while not any(m.node is not None and m.node.policy[0] == GOOD for m in town.machines):
         town.run(0.2)
     lost = [name for n, name in enumerate(town.backends) if n % 3 == 0]
-    town.dead.update(lost)
+    town.backends_down.update(lost)
     town.run(3.0)
-    town.dead.clear()
+    town.backends_down.clear()
     assert until_over(town)["how"] == "done"
 
 
