--- a/embersill/lab/edge/__init__.py
+++ b/embersill/lab/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The whole gateway in simulated time: clusters, towns with traffic, scenarios, drawn days."""
+"""The whole gateway in simulated time: clusters, systems with traffic, failure scenarios, random days."""
--- a/embersill/lab/edge/control.py
+++ b/embersill/lab/edge/control.py
@@ -239,18 +239,18 @@
         for body in chance.sample(bodies[-40:], min(len(bodies), 4)):
             pending_changes.append((body, fleet.kernel.now, chance.choice(running).call("PUT", body)))
         pending_reads.append((fleet.kernel.now, chance.choice(running).call("GET", {})))
-        trouble, victim = (
+        fault, victim = (
             chance.choice(("kill", "cut", "wipe", "heal", "none", "none")),
             fleet.machines[chance.randrange(3)],
         )
-        if trouble == "kill" and all(machine.node is not None for machine in fleet.machines[:3]):
+        if fault == "kill" and all(machine.node is not None for machine in fleet.machines[:3]):
             victim.kill()
-        elif trouble == "cut":
+        elif fault == "cut":
             fleet.cut({victim.name})
-        elif trouble == "wipe" and fleet.kernel.now - wiped_at > 8.0 and len(running) == len(fleet.machines):
+        elif fault == "wipe" and fleet.kernel.now - wiped_at > 8.0 and len(running) == len(fleet.machines):
             wiped_at = fleet.kernel.now
             victim.wipe()
-        elif trouble == "heal":
+        elif fault == "heal":
             fleet.heal()
         for _ in range(chance.randrange(1, 60)):
             fleet.run(0.01)
--- a/embersill/lab/edge/control_command.py
+++ b/embersill/lab/edge/control_command.py
@@ -32,7 +32,7 @@
     founder_lost_as_elected,
     killed_before_the_first_save,
 )
-from embersill.lab.edge.worst_days import worst_day, worst_day_of_five, worst_day_of_six
+from embersill.lab.edge.worst_days import random_day, random_day_of_five, random_day_of_six
 
 Scenario = Callable[[int], Report]
 GROUPS: dict[str, tuple[Scenario, ...]] = {
@@ -48,7 +48,7 @@
         founder_gone,
         founder_lost_as_elected,
     ),
-    "drawn_days": (worst_day, worst_day_of_five, worst_day_of_six),
+    "drawn_days": (random_day, random_day_of_five, random_day_of_six),
 }
 SLOW = {late_resend, caught_up, wiped_caught_up}  # hundreds of changes each, so they get a tenth of the runs
 SLOW_RUN_DIVISOR = 10
--- a/embersill/lab/edge/control_fences.py
+++ b/embersill/lab/edge/control_fences.py
@@ -174,7 +174,7 @@
         ),
     ),
     FenceCase(
-        "worst_day",
+        "random_day",
         Fence(
             "disk-first",
             PERSISTENCE,
--- a/embersill/lab/edge/fleet.py
+++ b/embersill/lab/edge/fleet.py
@@ -112,8 +112,8 @@
             if self.core:
                 self.disk[VOTE_KEY] = msgspec.json.encode(vote)
             return vote
-        kept = self.disk.get(VOTE_KEY) if self.core else None
-        return msgspec.json.decode(kept, type=Vote) if kept else None
+        encoded_vote = self.disk.get(VOTE_KEY) if self.core else None
+        return msgspec.json.decode(encoded_vote, type=Vote) if encoded_vote else None
 
     def start_data_plane(self, first_start: bool) -> None:
         """Called once the node exists; overridden by machines that also serve requests."""
--- a/embersill/lab/edge/town.py
+++ b/embersill/lab/edge/town.py
@@ -58,7 +58,7 @@
     gateway: str
     asked_at: float
     ended_at: float = 0.0
-    end: str = ""  # "served", "refused" or "failed"; empty while it is open
+    end: str = ""  # "served", "refused" or "failed"; empty while in progress
     over_quota: bool = False
     retry_after: float = 0.0
     sends: int = 0
--- a/tests/edge/test_control.py
+++ b/tests/edge/test_control.py
@@ -15,7 +15,7 @@
 from embersill.lab.edge import control, days, sites
 from embersill.lab.edge.fleet import change
 from embersill.lab.edge.troubles import FAULTS, PLANNED
-from embersill.lab.edge.worst_days import worst_day
+from embersill.lab.edge.worst_days import random_day
 from embersill.world.version_history import Order, Outcome, Read, violations
 
 
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize(("cores", "borne"), [(3, 1), (4, 1), (5, 2), (6, 2)])
 @pytest.mark.parametrize("seed", range(3))
 def test_drawn_days_of_losses_cuts_and_replacements_break_nothing(seed: int, cores: int, borne: int) -> None:
-    assert not worst_day(seed, cores, borne).failures
+    assert not random_day(seed, cores, borne).failures
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -254,4 +254,4 @@
 
 def test_a_full_disk_and_two_lost_ones_long_ago_leave_a_majority_of_six() -> None:
     """Seed 125: at the epoch change two members had new disks, one had a full disk and one was paused."""
-    assert not worst_day(125, 6, 2).failures
+    assert not random_day(125, 6, 2).failures
