--- a/benchmarks/lapse.py
+++ b/benchmarks/lapse.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from embersill.lab.edge.lapsing import TROUBLES, WAYS, measured, play
+from embersill.lab.edge.lapsing import FAULTS, SLOWDOWN_METHODS, compare_runs, simulate
 from embersill.lab.edge.town import quantile
 from embersill.rig.hall import Answered, Hall
 
@@ -32,8 +32,12 @@
 
 def one(job: tuple[int, str, str, int]) -> dict[str, Any]:
     gateways, trouble, way, seed = job
-    played, without = play(gateways, trouble, seed, way=way), play(gateways, trouble, seed, ordered=False)
-    return {"gateways": gateways, "trouble": trouble, "way": way, "seed": seed, **measured(played, without)}
+    played, without = (
+        simulate(gateways, trouble, seed, method=way),
+        simulate(gateways, trouble, seed, ordered=False),
+    )
+    return {"gateways": gateways, "trouble": trouble, "way": way, "seed": seed,
+            **compare_runs(played, without)}
 
 
 async def callers(hall: Hall, tenant: str, per_s: float, until: float, book: list[Answered]) -> None:
@@ -122,25 +126,25 @@
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m benchmarks.lapse", description=__doc__)
     parser.add_argument("--gateways", type=int, nargs="*", default=[3, 14, 96])
-    parser.add_argument("--troubles", nargs="*", default=list(TROUBLES), choices=TROUBLES)
+    parser.add_argument("--troubles", nargs="*", default=list(FAULTS), choices=FAULTS)
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--ways", type=int, default=14, help="gateways for the ways weighed; 0: none")
     parser.add_argument("--hall", type=int, default=5, help="gateways as processes; 0: none")
     parser.add_argument("--jobs", type=int, default=4)
     chosen = parser.parse_args()
     jobs = [
-        (count, trouble, WAYS[0], seed)
+        (count, trouble, SLOWDOWN_METHODS[0], seed)
         for count in sorted(chosen.gateways, reverse=True)
         for trouble in chosen.troubles
         for seed in range(1, chosen.seeds + 1)
     ]
-    jobs += [(chosen.ways, "calm", way, 1) for way in WAYS if chosen.ways]
+    jobs += [(chosen.ways, "calm", way, 1) for way in SLOWDOWN_METHODS if chosen.ways]
     found: dict[str, Any] = {}
     if chosen.hall:
         found["hall"] = asyncio.run(in_a_hall(chosen.hall))
     with ProcessPoolExecutor(chosen.jobs) as pool:
         rows = list(pool.map(one, jobs))
-    found["town"] = [row for row in rows if row["way"] == WAYS[0]]
+    found["town"] = [row for row in rows if row["way"] == SLOWDOWN_METHODS[0]]
     found["ways"] = [row for row in rows if row["gateways"] == chosen.ways and row["trouble"] == "calm"]
     json.dump(found, sys.stdout, indent=1)
     print()
--- a/tests/edge/test_slowed.py
+++ b/tests/edge/test_slowed.py
@@ -6,7 +6,7 @@
 
 from embersill.edge.configuration.lapses import Slowed
 from embersill.interface import Borrow, BorrowResult, Outcome, PeerLoad, Refuse, Send, TimerDue
-from embersill.lab.edge.lapsing import SHARES, TROUBLES, WAYS, measured, play
+from embersill.lab.edge.lapsing import FAULTS, SLOWDOWN_METHODS, STEP_SHARES, compare_runs, simulate
 from tests.edge.test_parts import actions_of, attempt_ended, make_gateway, make_request
 
 HALF = {"t": Slowed(100.0, 100.0, 0.5)}
@@ -65,12 +65,12 @@
     assert actions_of(made, Borrow) and not actions_of(made, Send)
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
+@pytest.mark.parametrize("trouble", FAULTS)
 def test_a_lapsed_tenant_meets_the_same_everywhere_and_nobody_else_feels_it(trouble: str) -> None:
-    played, without = play(3, trouble), play(3, trouble, ordered=False)
-    got = measured(played, without)
+    played, without = simulate(3, trouble), simulate(3, trouble, ordered=False)
+    got = compare_runs(played, without)
     assert got["lost"] == got["doubled"] == got["steps_skipped"] == got["steps_repeated"] == 0
-    assert got["steps_taken"] == len(SHARES) and got["overshoot"] <= 1.0
+    assert got["steps_taken"] == len(STEP_SHARES) and got["overshoot"] <= 1.0
     assert got["evenness"] <= 0.05 and got["evenness_zones"] <= 0.05 and got["evenness_callers"] <= 0.05
     assert got["evenness_routes"] <= 0.05 and got["wait_p50_spread"] <= 0.1
     assert got["others_worth_ratio"] >= 0.99 and got["others_p99_ratio"] <= 1.05
@@ -78,8 +78,8 @@
 
 
 def test_the_experiment_finds_ways_that_are_uneven_or_pass_a_step() -> None:
-    without = play(5, ordered=False)
-    found = {way: measured(play(5, way=way), without) for way in WAYS[1:]}
+    without = simulate(5, ordered=False)
+    found = {way: compare_runs(simulate(5, method=way), without) for way in SLOWDOWN_METHODS[1:]}
     assert found["random shedding"]["overshoot"] > 1.0 and found["delay"]["overshoot"] > 1.0
     assert found["shrinking burst"]["overshoot"] > 1.0 and found["lower priority"]["overshoot"] > 1.0
     assert found["even tokens"]["evenness"] > 0.05
