--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -15,7 +15,7 @@
 
 from embersill.edge.configuration.policy import Policy
 from embersill.edge.configuration.rollouts import rollouts_of
-from embersill.lab.edge.rolling import HARMS, MARKED, RollTown, roll_town
+from embersill.lab.edge.rolling import HARMS, MARKED_TENANT, RolloutSimulation, rollout_simulation
 from embersill.lab.edge.town import quantile, worth
 
 MOST = 200.0  # seconds of a town's time for a run to end
@@ -24,7 +24,7 @@
 TROUBLES = "", "", "", "gateway killed", "holder killed", "core cut"
 
 
-def strike(town: RollTown, trouble: str) -> None:
+def strike(town: RolloutSimulation, trouble: str) -> None:
     chance, kernel = town.kernel.stream("trouble"), town.kernel
     at = kernel.now + chance.uniform(2.0, 20.0)
     if trouble == "core cut":
@@ -44,24 +44,24 @@
 
 def one(job: tuple[int, str, int]) -> dict[str, Any]:
     gateways, harm, seed = job
-    town = roll_town(seed, gateways)
+    town = rollout_simulation(seed, gateways)
     chance = town.kernel.stream("policy")
     policy: Policy = {"name": harm or "good", "far_share": round(chance.uniform(0.0, 0.3), 3)}
     trouble = chance.choice(TROUBLES)
     town.run(BEFORE)
     start = town.kernel.now
-    town.start(policy)
+    town.start_rollout(policy)
     strike(town, trouble)
     reached: list[str] = []
     bound_at = over_at = 0.0
-    while not town.past() and town.kernel.now < start + MOST:
+    while not town.last_finished_run() and town.kernel.now < start + MOST:
         town.run(0.1)
         for machine in town.machines:
             if machine.node is not None and machine.node.policy[0] == policy and machine.zone not in reached:
                 reached.append(machine.zone)
                 bound_at = bound_at or town.kernel.now
     over_at = town.kernel.now
-    past = town.past()
+    past = town.last_finished_run()
     while any(m.node is not None and m.node.policy[0]["name"] == harm for m in town.machines) and harm:
         town.run(0.05)
     back_at = town.kernel.now
@@ -91,7 +91,7 @@
     halted = sorted(r["s_to_halt"] for r in bad if r["how"] == "halted")
     return {
         "runs": len(rows),
-        "marked_traffic": MARKED,
+        "marked_traffic": MARKED_TENANT,
         "bad_stopped_at_first_step": round(
             sum(r["how"] == "halted" and len(r["reached"]) <= 1 for r in bad) / max(len(bad), 1), 4
         ),
--- a/embersill/lab/edge/rolling.py
+++ b/embersill/lab/edge/rolling.py
@@ -1,4 +1,4 @@
-"""A town in which a policy is carried down the sites, and policies that harm by a planted fault."""
+"""Simulation of policy rollouts over sites, with policies that trigger an injected fault."""
 
 from __future__ import annotations
 
@@ -15,46 +15,46 @@
 from embersill.lab.edge.town import Gateway, SystemSimulation
 from embersill.work import Job, Server
 
-# all answers later; one in twenty; one in four refused; of those that must run once one in twenty sent on
-# twice; one in a hundred lost
+# slows: all answers are late; tail: one in twenty is late; refuses: one in four is refused; doubles: one in
+# twenty that must not be repeated is sent twice; loses: one in a hundred is never answered
 HARMS = "slows", "tail", "refuses", "doubles", "loses"
 ZONES = "abc"
-MARKED = "dispatch"
+MARKED_TENANT = "dispatch"
 SITES: dict[str, Site] = {
-    "a": {"asks": {"parcels": 20.0, MARKED: 0.0}, "zones": ["a"], "core": 1},
-    "b": {"asks": {"parcels": 30.0, MARKED: 0.0}, "zones": ["b"], "core": 1},
-    "c": {"asks": {"parcels": 20.0, MARKED: 40.0}, "zones": ["c"], "core": 1},
+    "a": {"asks": {"parcels": 20.0, MARKED_TENANT: 0.0}, "zones": ["a"], "core": 1},
+    "b": {"asks": {"parcels": 30.0, MARKED_TENANT: 0.0}, "zones": ["b"], "core": 1},
+    "c": {"asks": {"parcels": 20.0, MARKED_TENANT: 40.0}, "zones": ["c"], "core": 1},
 }
-WATCH = 6.0  # seconds that a step is watched
-ASKED = 120.0  # requests a second and zone
-SLOWER = 0.25  # seconds that a policy that slows adds to each answer, and one with a tail to one in twenty
+WATCH_S = 6.0  # how long each step is watched
+REQUESTS_PER_S = 120.0  # per zone
+ADDED_LATENCY_S = 0.25  # added to answers by the policies `slows` and `tail`
 
 
-def wish(what: str | Policy, **more: Any) -> dict[str, Any]:
-    """An operator's: an action, or a policy to start with."""
-    if isinstance(what, str):
-        return {"action": what, "by": "staff", **more}
+def rollout_request(action_or_policy: str | Policy, **fields: Any) -> dict[str, Any]:
+    """The body of an operator's request: an action, or the start of a policy's rollout."""
+    if isinstance(action_or_policy, str):
+        return {"action": action_or_policy, "by": "staff", **fields}
     return {
         "action": "start",
         "by": "staff",
-        "policy": what,
+        "policy": action_or_policy,
         "sites": SITES,
-        "last": [MARKED],
+        "last": [MARKED_TENANT],
         "most_share": 1.0,
-        "watch_s": WATCH,
-        **more,
+        "watch_s": WATCH_S,
+        **fields,
     }
 
 
-def run_of(state: State) -> Run:
-    """The run that is under way."""
+def current_run(state: State) -> Run:
+    """The rollout run in progress."""
     run = rollouts_of(state)["run"]
     assert run is not None
     return run
 
 
-class Planted(EdgeAttempts):
-    """Attempts that go wrong under a policy named for it."""
+class FaultyAttempts(EdgeAttempts):
+    """Attempts with a fault that depends on the name of the policy in force."""
 
     harm = ""
 
@@ -65,80 +65,84 @@
         return super().place(job)
 
     def may_send(self, job: Job, server: Server) -> bool:
-        """Takes every request for repeatable under `doubles`."""
+        """Treats every request as repeatable under `doubles`."""
         klass = job.klass
-        if self.harm == "doubles":  # takes what must run once for what may be repeated
+        if self.harm == "doubles":
             job.klass = replace(klass, repeats=Repeats.SAFE)
         allowed = super().may_send(job, server)
         job.klass = klass
         return allowed
 
     def send(self, job: Job, server: Server) -> None:
-        """Forgets one request in a hundred under `loses`, once it is sent."""
+        """Forgets one request in a hundred under `loses`, after sending it."""
         super().send(job, server)
         if self.harm == "loses" and job.klass.repeats is Repeats.ONCE and job.request.id % 100 == 0:
-            del self.jobs[job.request.id]  # nobody will answer it
+            del self.jobs[job.request.id]  # it will never be answered
 
 
-class Harmful(Gateway):
-    """A gateway on which policies named for a harm do it."""
+class FaultyGateway(Gateway):
+    """A gateway on which a policy named after a fault triggers that fault."""
 
     def start_data_plane(self, first_start: bool) -> None:
-        """Serves with attempts that go wrong under such policies."""
+        """Replaces the attempts of the data plane by faulty ones."""
         super().start_data_plane(first_start)
-        self.decider.attempts.__class__ = Planted
+        self.decider.attempts.__class__ = FaultyAttempts
         self.decider.attempts.backends.may_send = self.decider.attempts.may_send
         for fleet in self.decider.backends.fleets.values():
             fleet.may_send = self.decider.attempts.may_send
 
     @property
-    def planted(self) -> Planted:
+    def faulty_attempts(self) -> FaultyAttempts:
         """The attempts of this gateway."""
         attempts = self.decider.attempts
-        assert isinstance(attempts, Planted)
+        assert isinstance(attempts, FaultyAttempts)
         return attempts
 
     def on_policy(self, policy: Policy, label: str) -> None:
-        """Another policy, and with it another harm or none."""
+        """Applies a policy, and the fault that it is named after, if any."""
         super().on_policy(policy, label)
-        self.planted.harm = policy["name"] if policy["name"] in HARMS else ""
-
-    def attempt_duration(self, action: Send, takes: float) -> float:
-        """Seconds that an attempt lasts; longer under `slows` and `tail`."""
-        slow = self.planted.harm == "slows" or self.planted.harm == "tail" and action.request % 20 == 0
-        return takes + SLOWER if slow else takes
+        self.faulty_attempts.harm = policy["name"] if policy["name"] in HARMS else ""
+
+    def attempt_duration(self, action: Send, service_time_s: float) -> float:
+        """The duration of an attempt; longer under `slows` and `tail`."""
+        slow = (
+            self.faulty_attempts.harm == "slows"
+            or self.faulty_attempts.harm == "tail"
+            and action.request % 20 == 0
+        )
+        return service_time_s + ADDED_LATENCY_S if slow else service_time_s
 
     def attempt_outcome(self, action: Send, attempt: int) -> Outcome:
-        """How an attempt ends; some first ones break under `doubles`."""
-        breaks = self.planted.harm == "doubles" and attempt == 0 and action.request % 20 == 0
+        """How an attempt ends; one in twenty first attempts breaks under `doubles`."""
+        breaks = self.faulty_attempts.harm == "doubles" and attempt == 0 and action.request % 20 == 0
         return Outcome.BROKEN if breaks else Outcome.SERVED
 
 
-class RollTown(SystemSimulation):
-    """A town in which policies are rolled out."""
+class RolloutSimulation(SystemSimulation):
+    """A simulation in which policies are rolled out."""
 
-    machine_type = Harmful
+    machine_type = FaultyGateway
     tenants: dict[str, Any] = {}
 
-    def past(self) -> dict[str, Any]:
-        """The last run that is over, as any gateway has it; empty while there is none."""
-        pasts = [rollouts_of(m.node.state)["past"] for m in self.machines if m.node is not None]
-        longest = max(pasts, key=len, default=[])
+    def last_finished_run(self) -> dict[str, Any]:
+        """The last finished rollout run known to any gateway; empty if there is none."""
+        finished_runs = [rollouts_of(m.node.state)["past"] for m in self.machines if m.node is not None]
+        longest = max(finished_runs, key=len, default=[])
         return {**longest[-1]} if longest else {}
 
-    def start(self, policy: Policy) -> None:
-        """An operator's order, sent until it is taken."""
+    def start_rollout(self, policy: Policy) -> None:
+        """Requests a policy's rollout at one gateway after another until it is accepted."""
         for number in range(40):
-            heard = self.machines[number % len(self.machines)].call("rollout", wish(policy))
+            verdicts = self.machines[number % len(self.machines)].call("rollout", rollout_request(policy))
             self.run(0.6)
-            if heard and heard[0].status == 200:
+            if verdicts and verdicts[0].status == 200:
                 return
-        raise AssertionError("the policy was not taken")
+        raise AssertionError("the rollout request was not accepted")
 
 
-def roll_town(seed: int, gateways: int = 9) -> RollTown:
-    """Gateways in three zones, with callers of a tenant in each; half of what they ask must run once."""
-    system = RollTown(seed, 3, gateways - 3, backends=36)
+def rollout_simulation(seed: int, gateways: int = 9) -> RolloutSimulation:
+    """Gateways in three zones, each with callers of one tenant; half of their requests must run once."""
+    system = RolloutSimulation(seed, 3, gateways - 3, backends=36)
     system.run(3.0)
     system.tenants = {"t": {"api_keys": ["t"], "rate_per_s": 1000.0, "burst_size": 1000.0}}
     body = change(1, 0, 2)
@@ -148,12 +152,12 @@
     system.run_until_converged()
     chance = system.kernel.stream("where")
     for zone in ZONES:
-        there = [machine for machine in system.machines if machine.zone == zone]
+        machines = [machine for machine in system.machines if machine.zone == zone]
         system.generate_traffic(
             "t",
-            ASKED,
-            lambda there=there: chance.choice(  # type: ignore[misc]
-                [m for m in there if m.node is not None] or there
+            REQUESTS_PER_S,
+            lambda machines=machines: chance.choice(  # type: ignore[misc]
+                [m for m in machines if m.node is not None] or machines
             ),
             system.kernel.now + 1000.0,
             2.0,
--- a/tests/edge/test_rollout.py
+++ b/tests/edge/test_rollout.py
@@ -28,7 +28,15 @@
 from embersill.edge.configuration.stages import Site, steps_of
 from embersill.edge.rollout.watch import BOUNDS_S, MAX_STAGES, Seen, Watch, total_by_kind
 from embersill.lab.edge.fleet import change, document
-from embersill.lab.edge.rolling import HARMS, SITES, Harmful, RollTown, roll_town, run_of, wish
+from embersill.lab.edge.rolling import (
+    HARMS,
+    SITES,
+    FaultyGateway,
+    RolloutSimulation,
+    current_run,
+    rollout_request,
+    rollout_simulation,
+)
 from embersill.lab.edge.town import Gateway
 
 GOOD: Policy = {"name": "sooner far away", "far_share": 0.2}
@@ -122,14 +130,14 @@
 
 
 def test_a_run_goes_step_by_step_and_its_policy_holds_where_it_was_bound() -> None:
-    state = apply_request(state_of(), wish(GOOD)).ok
-    assert apply_request(state, wish(GOOD)).ok is state
-    assert apply_request(state, wish({"name": "other", "far_share": 1.0})).error.status == 412
-    assert apply_request(state_of(), wish("pause")).error.status == 404
+    state = apply_request(state_of(), rollout_request(GOOD)).ok
+    assert apply_request(state, rollout_request(GOOD)).ok is state
+    assert apply_request(state, rollout_request({"name": "other", "far_share": 1.0})).error.status == 412
+    assert apply_request(state_of(), rollout_request("pause")).error.status == 404
     assert in_force(state, "a", "g") == BUILT_IN_POLICY and label(state)
     assert activate_step(state, 1, 0) is None  # nothing binds that was not told
     seen = [label(state)]
-    order = run_of(state)["steps"]
+    order = current_run(state)["steps"]
     for step, (zone,) in enumerate(order):
         state = announce_step(state, 1, step) or state
         assert announce_step(state, 1, step) is None and announce_step(state, 1, step + 1) is None
@@ -142,31 +150,33 @@
     state = complete_run(state, 1) or state
     assert rollouts_of(state)["run"] is None and not label(state)
     assert in_force(state, "elsewhere", "g") == GOOD
-    assert apply_request(state, wish(GOOD)).error.status == 412  # it is in force already
+    assert apply_request(state, rollout_request(GOOD)).error.status == 412  # it is in force already
     kept = apply_change(state, "PUT", {**document(2), "based_on_version": "00000001"}).ok
     assert in_force(kept, "a", "g") == GOOD and revision(kept) > revision(state)
 
 
 def test_a_step_that_harms_goes_back_everywhere_and_is_tried_again_once_if_that_may_help() -> None:
-    state = apply_request(state_of(), wish(GOOD)).ok
-    first = run_of(state)["steps"][0][0]
+    state = apply_request(state_of(), rollout_request(GOOD)).ok
+    first = current_run(state)["steps"][0][0]
     state = activate_step(announce_step(state, 1, 0) or state, 1, 0) or state
-    paused = apply_request(state, wish("pause")).ok
+    paused = apply_request(state, rollout_request("pause")).ok
     assert in_force(paused, first, "g") == GOOD and roll_back(paused, 1, 0, "slow", True) is None
     rests = roll_back(state, 1, 0, "slow", True) or state
     assert in_force(rests, first, "g") == BUILT_IN_POLICY and announce_step(rests, 1, 0) is None
     again = resume_after_rest(rests, 1, -1) or rests
-    assert run_of(again)["tries"] == 1 and label(again) != label(apply_request(state_of(), wish(GOOD)).ok)
+    assert current_run(again)["tries"] == 1 and label(again) != label(
+        apply_request(state_of(), rollout_request(GOOD)).ok
+    )
     halted = roll_back(state, 1, 0, "order: missing: 7", False) or state
     past = rollouts_of(halted)["past"][-1]
     assert in_force(halted, first, "g") == BUILT_IN_POLICY and past["how"] == "halted" and "7" in past["why"]
-    aborted = apply_request(state, wish("abort")).ok
+    aborted = apply_request(state, rollout_request("abort")).ok
     assert (
         rollouts_of(aborted)["past"][-1]["how"] == "aborted"
         and in_force(aborted, first, "g") == BUILT_IN_POLICY
     )
     for _ in range(40):
-        run = run_of(apply_request(aborted, wish(GOOD)).ok)
+        run = current_run(apply_request(aborted, rollout_request(GOOD)).ok)
         aborted = end_run(aborted, run, "aborted", "")
     assert len(rollouts_of(aborted)["past"]) == 16
 
@@ -235,19 +245,19 @@
     assert refused.how == "harm" and "refused" in refused.why
 
 
-def until_over(town: RollTown, seconds: float = 150.0) -> dict[str, Any]:
+def until_over(town: RolloutSimulation, seconds: float = 150.0) -> dict[str, Any]:
     end = town.kernel.now + seconds
-    while town.kernel.now < end and not town.past():
+    while town.kernel.now < end and not town.last_finished_run():
         town.run(0.5)
     town.run(1.0)
-    return town.past()
+    return town.last_finished_run()
 
 
 def test_a_good_policy_comes_to_all_sites_marked_ones_last_and_is_kept() -> None:
-    town = roll_town(1)
-    town.start(GOOD)
+    town = rollout_simulation(1)
+    town.start_rollout(GOOD)
     order: list[str] = []
-    while not town.past() and town.kernel.now < 200.0:
+    while not town.last_finished_run() and town.kernel.now < 200.0:
         town.run(0.2)
         for machine in town.machines:
             if machine.node is not None and machine.node.policy[0] == GOOD and machine.zone not in order:
@@ -262,10 +272,10 @@
 
 @pytest.mark.parametrize("harm", HARMS)
 def test_a_bad_policy_stops_on_its_first_sites_and_nothing_of_it_remains(harm: str) -> None:
-    town = roll_town(2)
-    town.start({"name": harm, "far_share": 0.15})
+    town = rollout_simulation(2)
+    town.start_rollout({"name": harm, "far_share": 0.15})
     reached: set[str] = set()
-    while not town.past() and town.kernel.now < 250.0:
+    while not town.last_finished_run() and town.kernel.now < 250.0:
         town.run(0.2)
         reached |= {m.zone for m in town.machines if m.node is not None and m.node.policy[0]["name"] == harm}
     past = until_over(town)
@@ -280,8 +290,8 @@
 
 
 def test_a_backend_crash_in_the_watch_neither_halts_for_good_nor_passes_blindly() -> None:
-    town = roll_town(3)
-    town.start(GOOD)
+    town = rollout_simulation(3)
+    town.start_rollout(GOOD)
     while not any(m.node is not None and m.node.policy[0] == GOOD for m in town.machines):
         town.run(0.2)
     lost = [name for n, name in enumerate(town.backends) if n % 3 == 0]
@@ -294,10 +304,10 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_whatever_fails_one_run_has_one_end_and_every_gateway_the_same_policy(seed: int) -> None:
     """Holders killed, all killed, the core cut, a site cut off that missed the end, a gateway added."""
-    town = roll_town(seed + 10)
+    town = rollout_simulation(seed + 10)
     chance = town.kernel.stream("troubles of a rollout")
     policy: Policy = {"name": chance.choice(["slows", "doubles"]), "far_share": 0.15} if seed % 2 else GOOD
-    town.start(policy)
+    town.start_rollout(policy)
     for _ in range(4):
         town.run(chance.uniform(1.0, 6.0))
         holders = [rollouts_of(m.node.state)["holder"] for m in town.machines if m.node is not None]
@@ -334,7 +344,7 @@
     assert len(states) == 1
     expected = policy if past["how"] == "done" else BUILT_IN_POLICY
     assert all(m.node is not None and m.node.policy == (expected, "") for m in town.machines)
-    assert isinstance(town.machines[0], Harmful)
+    assert isinstance(town.machines[0], FaultyGateway)
 
 
 def test_commands_check_a_policy_and_plan_its_way(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
