--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -12,7 +12,7 @@
 import pytest
 
 from embersill.lab.edge.fleet import Machine
-from embersill.lab.edge.totals import TROUBLES, measure
+from embersill.lab.edge.totals import FAULTS, measure
 from embersill.lab.edge.town import SystemSimulation, system_with_quota
 
 
@@ -102,8 +102,8 @@
     assert town.requests
 
 
-@pytest.mark.parametrize("gateways, trouble", [(3, "none"), (14, "none"), *((5, t) for t in TROUBLES[1:])])
+@pytest.mark.parametrize("gateways, trouble", [(3, "none"), (14, "none"), *((5, t) for t in FAULTS[1:])])
 def test_totals_come_near_the_truth_and_serve_what_is_inside_the_quota(gateways: int, trouble: str) -> None:
     got = measure(gateways, trouble)
-    assert got.error < 0.2 and got.lag <= 2.5 and got.most <= 1.0
-    assert got.served > 0.97 and got.served_inside > 0.6
+    assert got.error < 0.2 and got.lag_s <= 2.5 and got.peak_quota_usage <= 1.0
+    assert got.served > 0.97 and got.served_during_fault > 0.6
