--- a/embersill/lab/edge/plots.py
+++ b/embersill/lab/edge/plots.py
@@ -1,4 +1,4 @@
-"""A report on a lapsed tenant as a picture: what it was served at each gateway, and what all others met."""
+"""Plots a report on a lapsed tenant: its served share at each gateway, and how all other tenants fared."""
 
 from __future__ import annotations
 
@@ -13,60 +13,71 @@
 if TYPE_CHECKING:
     from matplotlib.figure import Figure
 
-WIDE, HIGH = 9.0, 7.0  # inches
-LEAST = 5  # requests below which a gateway's share is not drawn
+WIDTH_INCHES, HEIGHT_INCHES = 9.0, 7.0
+MIN_REQUESTS = 5  # a gateway's share of fewer requests is not plotted
 
 
-def share(counts: dict[str, Any]) -> float:
-    """Requests that were served, of those that were asked."""
+def served_share(counts: dict[str, Any]) -> float:
+    """The fraction of requests that were served."""
     return float(counts["served"]) / max(float(counts["asked"]), 1.0)
 
 
 def read_report(path: Path) -> Result[dict[str, Any], str]:
-    """What `lapse report` printed; an error that names the place of what is wrong."""
+    """Reads the output of `lapse report`; an error names what is invalid."""
     try:
-        told = json.loads(path.read_text())
+        report = json.loads(path.read_text())
     except (OSError, ValueError) as error:
         return Error(f"{path}: {error}")
-    if not isinstance(told, dict):
+    if not isinstance(report, dict):
         return Error(f"{path}: not a report")
     for name in ("tenant", "whole", "gateways"):
-        if name not in told:
+        if name not in report:
             return Error(f"{path}: no {name}")
-    return Ok(told) if told["whole"] else Error(f"{path}: nothing was counted")
+    return Ok(report) if report["whole"] else Error(f"{path}: nothing was counted")
 
 
-def drawn(report: dict[str, Any]) -> Figure:
-    """By step: the tenant's share served at each gateway and in all, the others' share and waits."""
-    from matplotlib.axes import Axes  # half a second to load, which no other command needs
+def draw(report: dict[str, Any]) -> Figure:
+    """Plots the tenant's served share by step, overall and by gateway, and the others' share and p99 wait."""
+    from matplotlib.axes import Axes  # takes half a second to import and no other command needs it
     from matplotlib.figure import Figure
 
     steps = list(report["whole"])
-    places = range(len(steps))
-    figure = Figure((WIDE, HIGH), layout="constrained")
+    positions = range(len(steps))
+    figure = Figure((WIDTH_INCHES, HEIGHT_INCHES), layout="constrained")
     above, below = figure.subplots(2, 1, sharex=True)
     assert isinstance(above, Axes) and isinstance(below, Axes)
-    for name, told in report["gateways"].items():
-        known = [
-            (place, share(told[step]["tenant"]))
-            for place, step in enumerate(steps)
-            if step in told and told[step]["tenant"]["asked"] >= LEAST
+    for name, by_step in report["gateways"].items():
+        points = [
+            (position, served_share(by_step[step]["tenant"]))
+            for position, step in enumerate(steps)
+            if step in by_step and by_step[step]["tenant"]["asked"] >= MIN_REQUESTS
         ]
-        above.plot([place for place, _ in known], [part for _, part in known], "o", alpha=0.6, label=name)
-    above.plot(places, [share(report["whole"][step]["tenant"]) for step in steps], "k-", label="all gateways")
+        above.plot(
+            [position for position, _ in points],
+            [fraction for _, fraction in points],
+            "o",
+            alpha=0.6,
+            label=name,
+        )
+    above.plot(
+        positions,
+        [served_share(report["whole"][step]["tenant"]) for step in steps],
+        "k-",
+        label="all gateways",
+    )
     above.set_ylabel(f"share of {report['tenant']}'s requests served")
     above.set_ylim(-0.02, 1.05)
     above.legend(fontsize="x-small", ncols=4, loc="upper right")
     others = [report["whole"][step]["others"] for step in steps]
-    below.plot(places, [share(one) for one in others], "o-", label="share served, all others")
+    below.plot(positions, [served_share(counts) for counts in others], "o-", label="share served, all others")
     below.plot(
-        places,
-        [one["wait_p99_s"] if one["wait_p99_s"] is not None else 2.0 for one in others],
+        positions,
+        [counts["wait_p99_s"] if counts["wait_p99_s"] is not None else 2.0 for counts in others],
         "s--",
-        label="seconds waited at p99, all others",
+        label="p99 wait in seconds, all others",
     )
     below.set_ylim(-0.02, 1.05)
-    below.set_xticks(list(places), steps)
+    below.set_xticks(list(positions), steps)
     below.legend(fontsize="x-small")
     silent = f"; silent: {', '.join(report['silent'])}" if report.get("silent") else ""
     figure.suptitle(f"{report['tenant']}, step by step{silent}")
@@ -75,21 +86,21 @@
 
 def add_to(subparsers: Any) -> None:
     """`python -m embersill.lab lapse-plot`."""
-    parser = subparsers.add_parser("lapse-plot", help="draws what `lapse report` printed")
+    parser = subparsers.add_parser("lapse-plot", help="plot the output of `lapse report`")
     parser.set_defaults(what="lapse-plot")
     parser.add_argument("report", type=Path, help="the report, as JSON")
-    parser.add_argument("picture", type=Path, help="where to; .svg, .png or .pdf")
+    parser.add_argument("picture", type=Path, help="output file; .svg, .png or .pdf")
 
 
 def main(arguments: argparse.Namespace) -> int:
-    """Draws a report into a picture; 1 where either is unusable."""
-    read = read_report(arguments.report)
-    if read.is_error():
-        print(f"lapse-plot: {read.error}", file=sys.stderr)
+    """Plots a report; 1 if the report is invalid or the picture can't be written."""
+    parsed = read_report(arguments.report)
+    if parsed.is_error():
+        print(f"lapse-plot: {parsed.error}", file=sys.stderr)
         return 1
     try:
-        drawn(read.ok).savefig(arguments.picture)
-    except (OSError, ValueError) as error:  # no such folder, no such kind of picture
+        draw(parsed.ok).savefig(arguments.picture)
+    except (OSError, ValueError) as error:  # missing folder or unsupported format
         print(f"lapse-plot: {arguments.picture}: {error}", file=sys.stderr)
         return 1
     return 0
