--- a/benchmarks/ratelimit.py
+++ b/benchmarks/ratelimit.py
@@ -121,7 +121,7 @@
 
 async def asking(seconds: float) -> dict[str, Any]:
     limiter = Limiter({"free": (1e9, 1e9)}, asyncio.get_running_loop().time)
-    limiter.keep_asked = False
+    limiter.record_requests = False
     await limiter.start()
     text = (
         f'[ratelimit.ask]\nservices = ["{limiter.address}"]\ndomain = "lookup"\nplans = ["free"]\n'
--- a/tests/ratelimit/test_agreement.py
+++ b/tests/ratelimit/test_agreement.py
@@ -6,7 +6,7 @@
 
 from embersill.interface import AttemptEnded
 from embersill.lab import agreement
-from embersill.lab.agreement import Try, compare
+from embersill.lab.agreement import Attempt, compare
 from tests.ratelimit.test_service import run
 
 
@@ -21,15 +21,19 @@
 
 
 def test_a_difference_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    served = agreement.served
+    served = agreement.served_event
     calls = 0
 
-    def forgets(number: int, send: object, one: Try) -> AttemptEnded:
+    def forgets(number: int, send: object, one: Attempt) -> AttemptEnded:
         nonlocal calls
         calls += 1  # alternates between the two entry points: only one of them skips settlement
-        return served(number, send, Try(one.at, one.customer, one.plan, one.units, 0) if calls % 2 else one)  # type: ignore[arg-type]
+        return served(
+            number,
+            send,  # type: ignore[arg-type]
+            Attempt(one.at, one.customer, one.plan, one.units, 0) if calls % 2 else one,
+        )
 
-    monkeypatch.setattr(agreement, "served", forgets)
+    monkeypatch.setattr(agreement, "served_event", forgets)
 
     async def test() -> None:
         told = await compare(1500)
--- a/tests/ratelimit/test_service.py
+++ b/tests/ratelimit/test_service.py
@@ -289,7 +289,7 @@
             asker = Asker(first.address, second.address)
             first.script = [step]
             assert await asker.ask(1) == "Send"
-            assert len(second.asked) == 1 and second.buckets.taken == {CUSTOMER: 2.0}
+            assert len(second.received) == 1 and second.buckets.granted_hits == {CUSTOMER: 2.0}
             first.script, second.script = [step], [step]
             assert await asker.ask(2) == "Refuse"
             await asker.asking.close()
@@ -304,7 +304,7 @@
             assert [await asker.ask(n, 8.0) for n in range(1, 5)] == ["Send"] * 3 + ["Refuse"]
             limiter.script = [never]
             dying = asyncio.ensure_future(asker.ask(5))
-            await limiter.until_asked(5)
+            await limiter.wait_for_requests(5)
             await limiter.stop(0.0)  # GOAWAY, and the stream is aborted
             assert await dying == "Refuse"
             assert await asker.ask(6) == "Refuse"  # refused connections
@@ -314,7 +314,7 @@
             while await asker.ask(number) != "Send":  # the channel reconnects
                 number += 1
                 await asyncio.sleep(0.05)
-            assert fresh.buckets.taken[CUSTOMER] >= 2.0
+            assert fresh.buckets.granted_hits[CUSTOMER] >= 2.0
             await fresh.stop()
             await asker.asking.close()
 
@@ -429,6 +429,6 @@
                 told = deployment.books.figures()
                 assert told["answers_none"] == 0 and told["served"] > 0
                 pro = [t for t in deployment.books.tries.values() if t.plan == "pro"]
-                assert len(limiter.asked) == len(pro) > 0
+                assert len(limiter.received) == len(pro) > 0
 
     run(test)
