--- a/benchmarks/counts.py
+++ b/benchmarks/counts.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from embersill.lab import still
-from embersill.lab.still import Harness, answer
+from embersill.lab.still import Harness, backend_response
 
 CEILINGS = Path(__file__).with_name("ceilings.json")
 WARM_UP, MEASURED = 500, 1000
@@ -43,7 +43,7 @@
 def count(klass: str, body: int = 0, answered: int = 200, piece: int = 0) -> dict[str, float]:
     """Counts a request, over many: calls of Python and C functions, objects made, timers, writes, bytes."""
     harness = Harness()
-    text = answer(answered)
+    text = backend_response(answered)
     calls: Counter[str] = Counter()
 
     def watch(frame: FrameType, event: str, argument: Any) -> None:
@@ -60,7 +60,7 @@
         for _ in range(times):
             asked = harness.request(klass, body)
             pieces = [asked[i : i + piece] for i in range(0, len(asked), piece)] if piece else [asked]
-            harness.one(pieces, text)
+            harness.exchange(pieces, text)
 
     was_enabled = gc.isenabled()
     gc.disable()
--- a/embersill/lab/fuzzing/targets.py
+++ b/embersill/lab/fuzzing/targets.py
@@ -77,7 +77,7 @@
                 names = [line.partition(b":")[0] for line in head.split(b"\r\n")[1:]]
                 expect(b"transfer-encoding" not in names, "a request went on with a transfer encoding")
                 expect(names.count(b"content-length") <= 1, "a request went on with two lengths")
-            answers = b"".join(harness.near.written)
+            answers = b"".join(harness.client_transport.written)
             expect(answers == b"" or answers.startswith(b"HTTP/1.1 "), "an answer begins oddly")
             client = harness.client
             expect(len(client.exchanges) <= 17, "more requests under way than the bound")
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -14,7 +14,7 @@
 
 from benchmarks.counts import CASES, CEILINGS, count, count_all, over
 from embersill.net.backends import BackendConnection
-from embersill.lab.still import Harness, answer
+from embersill.lab.still import Harness, backend_response
 from embersill.net.clients import ClientConnection, Exchange
 
 CORPUS = pathlib.Path(__file__).with_name("corpus.json")
@@ -74,7 +74,7 @@
         pieces = [asked[i : i + 3] for i in range(0, len(asked), 3)]
         sys.setprofile(watch)
         try:
-            harness.one(pieces, answer(200))
+            harness.exchange(pieces, backend_response(200))
         finally:
             sys.setprofile(None)
         harness.close()
@@ -176,7 +176,7 @@
 
 
 ANSWERS = [
-    answer(200),
+    backend_response(200),
     b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok",
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
     b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
@@ -186,10 +186,10 @@
     b"HTTP/1.1 404 No\r\nContent-Length: 3\r\n\r\nabc",
     b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc",
     b"noise",
-    answer(65536),
-    answer(65537),
+    backend_response(65536),
+    backend_response(65537),
     b"HTTP/1.1 200 OK\r\nBilled-Units: x\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
-    answer(3) + b"and more",
+    backend_response(3) + b"and more",
 ]
 
 
