--- a/embersill/lab/losses.py
+++ b/embersill/lab/losses.py
@@ -1,7 +1,7 @@
-"""`python -m embersill.lab.losses FILE...`: where a fleet's worth went, from the lines of `lab.tracing`.
+"""`python -m embersill.lab.losses FILE...`: how a fleet lost worth, from the log lines of `lab.tracing`.
 
-One table for all gateways together: by second, what became of what was asked; by reason, class and plan, the
-worth not served in time; by age and kind of backend, how long answers took and how attempts ended.
+One table for all gateways together: by time, class and plan, the outcomes of requests weighted by worth; by
+age and kind of backend, how long answers took and how sends ended.
 """
 
 from __future__ import annotations
@@ -12,133 +12,147 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-LINE = re.compile(r"(?:\[?\d+\.\d+\]? )?(\d+\.\d+)\t(.*)")  # a log may put its own time ahead
-AGES = (0.0, 2.0, 4.0, 8.0, 16.0)  # seconds since a backend's start, from
+LINE_PATTERN = re.compile(r"(?:\[?\d+\.\d+\]? )?(\d+\.\d+)\t(.*)")  # a log may prefix its own time
+AGE_BOUNDS_S = (0.0, 2.0, 4.0, 8.0, 16.0)  # lower bounds of the age groups of backends
 
 
 @dataclass
-class Try:
+class Attempt:
+    """One request, its sends, and its outcome."""
+
     at: float
     klass: str
     plan: str
     units: float
     worth: float
-    aim: float
+    target_latency_s: float
     sends: list[tuple[float, str, str, float | None]] = field(default_factory=list)
     ends: list[tuple[float, str]] = field(default_factory=list)
-    end: str = "open"
-    ended: float = 0.0
+    outcome: str = "open"
+    ended_at: float = 0.0
 
 
-class Fleet:
-    """All that the lines of any number of gateways tell."""
+class TraceReader:
+    """Reads the trace lines of any number of gateways."""
 
     def __init__(self) -> None:
         self.classes: dict[str, list[str]] = {}
         self.plans: dict[str, list[str]] = {}
-        self.tries: dict[tuple[str, int, int], Try] = {}
-        self.lives: Counter[str] = Counter()
-        self.others: list[tuple[float, str, list[str]]] = []
+        self.attempts: dict[tuple[str, int, int], Attempt] = {}
+        self.process_starts: Counter[str] = Counter()
+        self.other_events: list[tuple[float, str, list[str]]] = []
 
     def read(self, gateway: str, lines: Iterable[str]) -> None:
+        """Reads the lines of one gateway."""
         for line in lines:
-            found = LINE.match(line.rstrip("\n"))
-            if found is None:
+            match = LINE_PATTERN.match(line.rstrip("\n"))
+            if match is None:
                 continue
-            at, (kind, *words) = float(found[1]), found[2].split("\t")
-            self.step(gateway, at, kind, words)
+            at, (kind, *fields) = float(match[1]), match[2].split("\t")
+            self.read_event(gateway, at, kind, fields)
 
-    def step(self, gateway: str, at: float, kind: str, words: list[str]) -> None:
+    def read_event(self, gateway: str, at: float, kind: str, fields: list[str]) -> None:
+        """Processes one event."""
         if kind == "class":
-            if words[0] in self.classes and words[0] == next(iter(self.classes)):
-                self.lives[gateway] += 1  # a process that starts tells its classes first
-            self.classes[words[0]] = words
+            if fields[0] in self.classes and fields[0] == next(iter(self.classes)):
+                self.process_starts[gateway] += 1  # a starting process writes its classes first
+            self.classes[fields[0]] = fields
         elif kind == "plan":
-            self.plans[words[0]] = words
+            self.plans[fields[0]] = fields
         elif kind == "request":
-            klass, plan, units = words[1], words[2], float(words[4])
+            klass, plan, units = fields[1], fields[2], float(fields[4])
             worth = float(self.classes[klass][3]) * float(self.plans[plan][1]) * units
-            self.tries[self.key(gateway, words[0])] = Try(
+            self.attempts[self.key(gateway, fields[0])] = Attempt(
                 at, klass, plan, units, worth, float(self.classes[klass][1])
             )
         elif kind in ("send", "ended", "refuse", "fail"):
-            found = self.tries.get(self.key(gateway, words[0]))
-            if found is not None:
-                self.of(found, at, kind, words)
+            attempt = self.attempts.get(self.key(gateway, fields[0]))
+            if attempt is not None:
+                self.update_attempt(attempt, at, kind, fields)
         else:
-            self.others.append((at, kind, words))
+            self.other_events.append((at, kind, fields))
 
     def key(self, gateway: str, number: str) -> tuple[str, int, int]:
-        return gateway, self.lives[gateway], int(number)
+        """Identifies a request: its gateway, the process's number of starts, its id."""
+        return gateway, self.process_starts[gateway], int(number)
 
-    def of(self, found: Try, at: float, kind: str, words: list[str]) -> None:
+    def update_attempt(self, attempt: Attempt, at: float, kind: str, fields: list[str]) -> None:
+        """Records a send or an end of a request."""
         if kind == "send":
-            age = None if words[3] == "-" else float(words[3])
-            found.sends.append((at, words[1], words[2], age))
+            age = None if fields[3] == "-" else float(fields[3])
+            attempt.sends.append((at, fields[1], fields[2], age))
         elif kind == "ended":
-            found.ends.append((at, words[3]))
-            if words[3] == "SERVED" and found.end == "open":
-                found.end, found.ended = "served" if at - found.at <= found.aim else "late", at
-        elif found.end == "open":
-            reason = words[1] if kind == "refuse" else "failed"
-            if found.sends:
-                last = found.ends[-1][1].lower() if found.ends else "out"
+            attempt.ends.append((at, fields[3]))
+            if fields[3] == "SERVED" and attempt.outcome == "open":
+                attempt.outcome, attempt.ended_at = (
+                    "served" if at - attempt.at <= attempt.target_latency_s else "late",
+                    at,
+                )
+        elif attempt.outcome == "open":
+            reason = fields[1] if kind == "refuse" else "failed"
+            if attempt.sends:
+                last = attempt.ends[-1][1].lower() if attempt.ends else "out"
                 reason = f"{kind} after {last}"
-            found.end, found.ended = reason, at
+            attempt.outcome, attempt.ended_at = reason, at
 
 
-def rows(fleet: Fleet) -> Iterable[str]:
-    tries = list(fleet.tries.values())
-    if not tries:
+def rows(reader: TraceReader) -> Iterable[str]:
+    """The lines of the report."""
+    attempts = list(reader.attempts.values())
+    if not attempts:
         return
-    begin, whole = min(t.at for t in tries), sum(t.worth for t in tries)
+    start, total_worth = min(attempt.at for attempt in attempts), sum(attempt.worth for attempt in attempts)
     reasons: dict[str, float] = defaultdict(float)
     by_second: dict[int, dict[str, float]] = defaultdict(lambda: defaultdict(float))
     by_kind: dict[tuple[str, str], dict[str, float]] = defaultdict(lambda: defaultdict(float))
-    for t in tries:
-        reasons[t.end] += t.worth
-        by_second[int(t.at - begin) // 2][t.end] += t.worth
-        by_kind[t.klass, t.plan][t.end] += t.worth
+    for attempt in attempts:
+        reasons[attempt.outcome] += attempt.worth
+        by_second[int(attempt.at - start) // 2][attempt.outcome] += attempt.worth
+        by_kind[attempt.klass, attempt.plan][attempt.outcome] += attempt.worth
     names = [name for name, _ in sorted(reasons.items(), key=lambda r: -r[1])[:12]]
-    yield f"{len(tries)} tries, worth {whole:.0f}; percent of each row's worth by how it ended"
+    yield f"{len(attempts)} tries, worth {total_worth:.0f}; percent of each row's worth by how it ended"
     yield "from   worth " + " ".join(f"{n[:16]:>16}" for n in names)
-    shown = [(f"{2 * s:>4}", c) for s, c in sorted(by_second.items())]
-    shown += [(f"{k} {p}", c) for (k, p), c in sorted(by_kind.items())] + [("all", reasons)]
-    for name, counts in shown:
+    groups = [(f"{2 * s:>4}", c) for s, c in sorted(by_second.items())]
+    groups += [(f"{k} {p}", c) for (k, p), c in sorted(by_kind.items())] + [("all", reasons)]
+    for name, counts in groups:
         total = sum(counts.values())
         yield f"{name:>14} {total:7.0f} " + " ".join(f"{100 * counts[n] / total:16.1f}" for n in names)
-    yield from attempts(tries, begin)
-
-
-def attempts(tries: list[Try], begin: float) -> Iterable[str]:
-    took: dict[tuple[int, str, str], list[float]] = defaultdict(list)
-    ended: dict[tuple[int, str, str], Counter[str]] = defaultdict(Counter)
-    places: dict[tuple[int, str, str], set[str]] = defaultdict(set)
-    for t in tries:
-        for (at, backend, kind, age), (end, outcome) in zip(t.sends, t.ends, strict=False):
-            grown = "warm" if age is None or age < 0 else f"{max(a for a in AGES if a <= age):g} s"
-            key = int(at - begin) // 4, kind, grown
-            took[key].append(end - at)
-            ended[key][outcome] += 1
-            places[key].add(backend)
+    yield from send_rows(attempts, start)
+
+
+def send_rows(attempts: list[Attempt], start: float) -> Iterable[str]:
+    """The lines about sends, by time, kind and age of backend."""
+    durations: dict[tuple[int, str, str], list[float]] = defaultdict(list)
+    outcomes: dict[tuple[int, str, str], Counter[str]] = defaultdict(Counter)
+    backends: dict[tuple[int, str, str], set[str]] = defaultdict(set)
+    for attempt in attempts:
+        for (at, backend, kind, age), (end, outcome) in zip(attempt.sends, attempt.ends, strict=False):
+            age_group = (
+                "warm" if age is None or age < 0 else f"{max(a for a in AGE_BOUNDS_S if a <= age):g} s"
+            )
+            key = int(at - start) // 4, kind, age_group
+            durations[key].append(end - at)
+            outcomes[key][outcome] += 1
+            backends[key].add(backend)
     yield "from  kind     age     backends attempts a-s/backend   p50    p90  ended"
-    for (second, kind, grown), times in sorted(took.items()):
+    for (second, kind, age_group), times in sorted(durations.items()):
         times.sort()
-        key = second, kind, grown
-        ends = ", ".join(f"{outcome} {number}" for outcome, number in ended[key].items())
+        key = second, kind, age_group
+        ends = ", ".join(f"{outcome} {number}" for outcome, number in outcomes[key].items())
         yield (
-            f"{4 * second:>4}  {kind:8} {grown:8}{len(places[key]):>8}{len(times):>9}"
-            f"{len(times) / 4 / len(places[key]):>10.1f} {times[len(times) // 2]:>9.2f}"
+            f"{4 * second:>4}  {kind:8} {age_group:8}{len(backends[key]):>8}{len(times):>9}"
+            f"{len(times) / 4 / len(backends[key]):>10.1f} {times[len(times) // 2]:>9.2f}"
             f"{times[len(times) * 9 // 10]:>7.2f}  {ends}"
         )
 
 
 def main(paths: list[str]) -> int:
-    fleet = Fleet()
+    """Reads trace files and prints the report."""
+    reader = TraceReader()
     for path in paths:
         with open(path, encoding="utf-8", errors="replace") as file:
-            fleet.read(path, file)
-    for row in rows(fleet):
+            reader.read(path, file)
+    for row in rows(reader):
         print(row)
     return 0
 
--- a/embersill/lab/tracing.py
+++ b/embersill/lab/tracing.py
@@ -1,8 +1,8 @@
-"""`python -m embersill.lab.tracing`: the platform's gateway, with what its module hears and says on its log.
+"""`python -m embersill.lab.tracing`: the platform's gateway, logging events and actions of its decision code.
 
-Off unless it is started in the gateway's place. One line an event or action, tab-separated, its time first;
-`embersill.lab.losses` reads the lines of a whole fleet. What is written is bounded: past the bound one line
-says so, and the gateway goes on without.
+It is used only when started instead of the gateway. One tab-separated line for each event or action, with the
+time first; `embersill.lab.losses` reads the lines of a whole fleet. The output is bounded: past the bound one
+line says so, and the gateway continues without tracing.
 """
 
 from __future__ import annotations
@@ -30,59 +30,76 @@
 )
 from embersill.roles import Program, start_clock
 
-MOST_BYTES = 64 << 20  # of one process's lines
-KEPT = 64  # lines kept back at most, and
-KEPT_FOR = 0.25  # seconds for which they are: one that is killed leaves the rest unsaid
+MAX_BYTES = 64 << 20  # of one process's trace
+MAX_BUFFERED_LINES = 64  # lines buffered at most, and
+MAX_BUFFER_TIME_S = 0.25  # for how long: a killed process loses what is buffered
 
 
-class Traced:
-    """Stands before the module and notes what passes; it changes nothing of it."""
+class TracedGateway:
+    """Wraps the gateway and logs its events and actions without changing them."""
 
-    def __init__(self, gateway: Gateway, write: Callable[[bytes], object], most: int = MOST_BYTES) -> None:
+    def __init__(
+        self, gateway: Gateway, write: Callable[[bytes], object], max_bytes: int = MAX_BYTES
+    ) -> None:
         self.gateway, self.settings = gateway, gateway.settings
-        self.write, self.left = write, most
+        self.write, self.remaining_bytes = write, max_bytes
         self.lines: list[str] = []
-        self.flushed = 0.0
-        self.open: dict[int, Request] = {}  # what may still be refused
-        for c in self.settings.classes:
-            self.note(
-                gateway.turn.now, "class", c.name, c.aim, c.deadline, c.worth, c.late_share, c.repeats.value
+        self.flushed_at = 0.0
+        self.open_requests: dict[int, Request] = {}  # those that may still be refused
+        for class_settings in self.settings.classes:
+            self.write_line(
+                gateway.turn.now,
+                "class",
+                class_settings.name,
+                class_settings.aim,
+                class_settings.deadline,
+                class_settings.worth,
+                class_settings.late_share,
+                class_settings.repeats.value,
             )
-        for p in self.settings.plans:
-            self.note(
+        for plan in self.settings.plans:
+            self.write_line(
                 gateway.turn.now,
                 "plan",
-                p.name,
-                p.worth_factor,
-                p.rate,
-                p.burst,
-                p.ceiling_rate,
-                p.ceiling_depth,
+                plan.name,
+                plan.worth_factor,
+                plan.rate,
+                plan.burst,
+                plan.ceiling_rate,
+                plan.ceiling_depth,
             )
 
     def handle(self, event: Event, now: float) -> list[Action]:
+        """Passes an event to the gateway; logs it and the resulting actions."""
         actions = self.gateway.handle(event, now)
-        if self.left > 0:
-            self.told(event, now)
+        if self.remaining_bytes > 0:
+            self.write_event(event, now)
             for action in actions:
-                self.said(action, now)
-            if len(self.lines) > KEPT or self.lines and now - self.flushed > KEPT_FOR:
+                self.write_action(action, now)
+            if (
+                len(self.lines) > MAX_BUFFERED_LINES
+                or self.lines
+                and now - self.flushed_at > MAX_BUFFER_TIME_S
+            ):
                 self.flush(now)
         return actions
 
-    def note(self, now: float, *words: object) -> None:
-        self.lines.append("\t".join((f"{now:.4f}", *map(str, words))))
+    def write_line(self, now: float, *fields: object) -> None:
+        """Buffers a line."""
+        self.lines.append("\t".join((f"{now:.4f}", *map(str, fields))))
 
     def flush(self, now: float) -> None:
+        """Writes the buffered lines."""
         text = ("\n".join(self.lines) + "\n").encode()
-        self.lines, self.flushed = [], now
-        self.left -= len(text)
-        self.write(text if self.left > 0 else b"%.4f\tfull\n" % now)
+        self.lines, self.flushed_at = [], now
+        self.remaining_bytes -= len(text)
+        self.write(text if self.remaining_bytes > 0 else b"%.4f\tfull\n" % now)
 
-    def told(self, event: Event, now: float) -> None:
+    def write_event(self, event: Event, now: float) -> None:
+        """Logs an event."""
         if isinstance(event, Request):
-            self.open[event.id] = event
-            self.note(
+            self.open_requests[event.id] = event
+            self.write_line(
                 now,
                 "request",
                 event.id,
@@ -96,8 +113,8 @@
             )
         elif isinstance(event, AttemptEnded):
             if event.over:
-                self.open.pop(event.request, None)
-            self.note(
+                self.open_requests.pop(event.request, None)
+            self.write_line(
                 now,
                 "ended",
                 event.request,
@@ -107,17 +124,18 @@
                 f"{event.elapsed:.4f}",
             )
         elif isinstance(event, CounterResult) and event.outcome is not Outcome.SERVED:
-            self.note(now, "uncounted", event.outcome.name, f"{event.elapsed:.4f}")
+            self.write_line(now, "uncounted", event.outcome.name, f"{event.elapsed:.4f}")
         elif isinstance(event, BackendList):
-            serving = sum(len(f.order) for f in self.gateway.backends.fleets.values())
-            self.note(now, "list", event.kind.name, len(event.backends), serving)
+            serving = sum(len(fleet.order) for fleet in self.gateway.backends.fleets.values())
+            self.write_line(now, "list", event.kind.name, len(event.backends), serving)
 
-    def said(self, action: Action, now: float) -> None:
+    def write_action(self, action: Action, now: float) -> None:
+        """Logs an action."""
         if isinstance(action, Send):
             server = self.gateway.servers.get(action.backend)
             if server is not None:
                 started = server.backend.started
-                self.note(
+                self.write_line(
                     now,
                     "send",
                     action.request,
@@ -128,20 +146,27 @@
                     f"{server.limit:.1f}",
                 )
         elif isinstance(action, Refuse):
-            request = self.open.pop(action.request, None)
-            self.note(now, "refuse", action.request, self.reason(request) if request else "-", *self.state())
+            request = self.open_requests.pop(action.request, None)
+            self.write_line(
+                now,
+                "refuse",
+                action.request,
+                self.refusal_reason(request) if request else "-",
+                *self.fleet_state(),
+            )
         elif isinstance(action, Fail):
-            self.open.pop(action.request, None)
-            self.note(now, "fail", action.request)
+            self.open_requests.pop(action.request, None)
+            self.write_line(now, "fail", action.request)
         elif isinstance(action, Cancel):
-            self.note(now, "cancel", action.request, action.attempt)
+            self.write_line(now, "cancel", action.request, action.attempt)
 
-    def state(self) -> tuple[str, ...]:
+    def fleet_state(self) -> tuple[str, ...]:
+        """Requests in flight, limit and share of requests passed, of all backends."""
         fleet = self.gateway.fleet("")
         return f"{fleet.flight}", f"{fleet.limit:.1f}", f"{fleet.passed:.2f}"
 
-    def reason(self, request: Request) -> str:
-        """What stood against a request that is refused, by its throttle as it is now."""
+    def refusal_reason(self, request: Request) -> str:
+        """Why a request is refused, judging by its throttle's present state."""
         throttle = self.gateway.throttles.get(request.customer)
         if throttle is None:
             return "unknown"
@@ -151,10 +176,13 @@
 
 
 async def serve() -> None:
-    told = read_configuration(dict(os.environ))
+    """Runs the traced gateway."""
+    configuration = read_configuration(dict(os.environ))
     clock = start_clock()
-    traced = Traced(Gateway(told.settings, told.seed, clock()), lambda text: os.write(2, text))
-    await Program(told, clock, traced, counts=True).run()
+    traced = TracedGateway(
+        Gateway(configuration.settings, configuration.seed, clock()), lambda text: os.write(2, text)
+    )
+    await Program(configuration, clock, traced, counts=True).run()
 
 
 if __name__ == "__main__":
