--- a/embersill/lab/commands.py
+++ b/embersill/lab/commands.py
@@ -1,4 +1,4 @@
-"""The lab's commands without sockets: schedules, fences and stories of its worlds, and the search."""
+"""Lab commands without sockets: random schedules, fences, stories of schedules, and exhaustive search."""
 
 from __future__ import annotations
 
@@ -23,75 +23,82 @@
 from embersill.world.schedules import read_kept, write_kept
 from embersill.world.swarm import Coverage
 
-ROUND = 200  # seeds between looks at what has been met, with --steer
-FOCUS = 4  # kinds of message that the next round aims at
+SEEDS_PER_ROUND = 200  # with --steer: seeds between two evaluations of the coverage
+FOCUS_KINDS = 4  # message kinds that the next round aims at
 
 
-def one(work: tuple[str, int, tuple[str, ...], bool]) -> tuple[int, str, dict[str, float], list[Any]]:
-    """A seed's schedule: its number, the rule it breaks if any, its figures, the pairs that it met."""
-    world, seed, focus, covers = work
-    coverage = Coverage() if covers else None
+def run_schedule(
+    task: tuple[str, int, tuple[str, ...], bool],
+) -> tuple[int, str, dict[str, float], list[Any]]:
+    """Runs a seed's schedule; returns the seed, the violated rule if any, figures, and covered pairs."""
+    world, seed, focus, with_coverage = task
+    coverage = Coverage() if with_coverage else None
     try:
         schedule = part_of(world, "generate").generate(seed, focus)
         figures = part_of(world, "world").play(schedule, coverage=coverage)
-        broken = ""
+        violation = ""
     except Broken as error:
-        figures, broken = {}, str(error)
-    return seed, broken, figures, list(coverage.pairs.items()) if coverage is not None else []
+        figures, violation = {}, str(error)
+    return seed, violation, figures, list(coverage.pairs.items()) if coverage is not None else []
 
 
-def keep(folder: Path, world: str, seed: int, focus: tuple[str, ...]) -> str:
-    """Cuts a failing schedule down and writes it to a file; returns its story."""
+def save_shortened(folder: Path, world: str, seed: int, focus: tuple[str, ...]) -> str:
+    """Shortens a failing schedule and writes it to a file; returns its story."""
     schedule = part_of(world, "generate").generate(seed, focus)
     shorten = part_of(world, "shorten")
     broken = shorten.breaks(schedule)
-    assert broken is not None, "a schedule that broke a rule breaks none"
-    kept, _ = shorten.shorten(schedule, broken)
+    assert broken is not None, "a failing schedule did not fail when run again"
+    saved, _ = shorten.shorten(schedule, broken)
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / f"{seed}.json").write_bytes(write_kept(kept))
-    return str(kept.story)
+    (folder / f"{seed}.json").write_bytes(write_kept(saved))
+    return str(saved.story)
 
 
 def schedules(options: argparse.Namespace) -> int:
-    """Plays schedules on all cores; each one that breaks a rule is told with the seed that replays it."""
+    """Runs schedules on all cores; prints each violation with the seed that reproduces it."""
     first = options.first if options.seed is None else options.seed
     seeds = options.seeds if options.seed is None else 1
-    told: dict[str, Any] = {"schedules": 0, "broken": 0, "tries": 0, "events": 0}
-    lowest, began, spent = float("inf"), time.monotonic(), 0.0
+    totals: dict[str, Any] = {"schedules": 0, "broken": 0, "tries": 0, "events": 0}
+    lowest, began, duration_s = float("inf"), time.monotonic(), 0.0
     coverage, focus = Coverage(), tuple[str, ...]()
-    covers = options.coverage or options.steer
+    with_coverage = options.coverage or options.steer
     with multiprocessing.Pool(min(os.cpu_count() or 1, seeds)) as pool:
-        for start in range(first, first + seeds, ROUND):
-            end = min(start + ROUND, first + seeds)
-            work = [(options.world, seed, focus, covers) for seed in range(start, end)]
-            for seed, broken, figures, pairs in pool.imap(one, work, chunksize=4):
-                told["schedules"] += 1
+        for start in range(first, first + seeds, SEEDS_PER_ROUND):
+            end = min(start + SEEDS_PER_ROUND, first + seeds)
+            tasks = [(options.world, seed, focus, with_coverage) for seed in range(start, end)]
+            for seed, violation, figures, pairs in pool.imap(run_schedule, tasks, chunksize=4):
+                totals["schedules"] += 1
                 coverage.add(pairs)
-                if broken:
-                    told["broken"] += 1
-                    print(f"seed {seed}: {broken}", flush=True)
+                if violation:
+                    totals["broken"] += 1
+                    print(f"seed {seed}: {violation}", flush=True)
                     if options.keep:
-                        print(keep(Path(options.keep), options.world, seed, focus), flush=True)
+                        print(save_shortened(Path(options.keep), options.world, seed, focus), flush=True)
                 else:
-                    told["tries"] += figures["tries"]
-                    told["events"] += figures["events"]
+                    totals["tries"] += figures["tries"]
+                    totals["events"] += figures["events"]
                     lowest = min(lowest, figures["lowest"])
-            if told["schedules"] % 1000 == 0:
-                print(f"{told['schedules']} schedules, {told['broken']} broken", flush=True)
-            focus = tuple(coverage.rare(FOCUS)) if options.steer else ()
-        spent = time.monotonic() - began
-    if covers:
+            if totals["schedules"] % 1000 == 0:
+                print(f"{totals['schedules']} schedules, {totals['broken']} broken", flush=True)
+            focus = tuple(coverage.rare(FOCUS_KINDS)) if options.steer else ()
+        duration_s = time.monotonic() - began
+    if with_coverage:
         print(coverage.table())
     print(
         json.dumps(
-            {**told, "ceiling_lowest": lowest, "seconds": round(spent, 1), "pairs_met": len(coverage.pairs)}
+            {
+                **totals,
+                "ceiling_lowest": lowest,
+                "seconds": round(duration_s, 1),
+                "pairs_met": len(coverage.pairs),
+            }
         )
     )
-    return 1 if told["broken"] else 0
+    return 1 if totals["broken"] else 0
 
 
 def fences(options: argparse.Namespace) -> int:
-    """Takes out one fence after the other and tells how many seeds it took to find."""
+    """Removes one fence after another and prints how many seeds it took to detect that."""
     by_name = part_of(options.world, "fences").BY_NAME
     unknown = [name for name in options.only if name not in by_name]
     if unknown:
@@ -102,86 +109,93 @@
         options.first, options.seeds, os.cpu_count() or 1, options.only or None, options.world
     ):
         results.append(result)
-        how = (
+        outcome = (
             f"seed no. {result['played']}: {result['text']}"
             if result["found"]
             else f"NOT FOUND in {result['played']} seeds"
         )
-        print(f"{result['fence']:<20} {by_name[result['fence']].guards}\n{'':<20} {how}", flush=True)
-    found = [result for result in results if result["found"]]
+        print(f"{result['fence']:<20} {by_name[result['fence']].guards}\n{'':<20} {outcome}", flush=True)
+    detected = [result for result in results if result["found"]]
     print(
         json.dumps(
             {
                 "fences": len(results),
-                "fences_found": len(found),
+                "fences_found": len(detected),
                 "median_seeds_to_find": statistics.median(result["played"] for result in results),
                 "most_seeds_to_find": max(result["played"] for result in results),
             }
         )
     )
-    return 0 if len(found) == len(results) else 1
+    return 0 if len(detected) == len(results) else 1
 
 
-def tell(options: argparse.Namespace) -> int:
-    """The story of a schedule in a file, played anew."""
+def show_story(options: argparse.Namespace) -> int:
+    """Runs a schedule from a file again and prints its story."""
     try:
-        kept = read_kept(Path(options.file).read_bytes())
+        saved = read_kept(Path(options.file).read_bytes())
     except (OSError, msgspec.DecodeError) as error:
         print(f"{options.file}: {error}", file=sys.stderr)
         return 2
-    for step in kept.schedule.steps:
+    for step in saved.schedule.steps:
         print(step.told())
-    print(part_of(options.world, "shorten").story(kept.schedule))
+    print(part_of(options.world, "shorten").story(saved.schedule))
     return 0
 
 
 def search_small(options: argparse.Namespace) -> int:
-    """All interleavings of two forwarders and two planners, or of three members, up to a depth."""
-    find = search if options.world == "levels" else part_of(options.world, "search").search
-    told = find(options.depth, options.most_states, os.cpu_count() or 1)
-    print(json.dumps(told))
-    return 1 if told["broken"] else 0
+    """Searches all interleavings of two forwarders and two planners, or three members, up to a depth."""
+    search_function = search if options.world == "levels" else part_of(options.world, "search").search
+    result = search_function(options.depth, options.most_states, os.cpu_count() or 1)
+    print(json.dumps(result))
+    return 1 if result["broken"] else 0
 
 
 COMMANDS: dict[str, Callable[[argparse.Namespace], int]] = {
     "mutants": wide.command,
     "schedules": schedules,
     "fences": fences,
-    "story": tell,
+    "story": show_story,
     "search": search_small,
 }
 
 
 def world_argument(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--world", choices=WORLDS, default="levels", help="what is played")
+    """Adds the option that selects the simulated world."""
+    parser.add_argument("--world", choices=WORLDS, default="levels", help="what is simulated")
 
 
-def add_to(commands: Any) -> None:
-    """The commands' arguments."""
-    parser = commands.add_parser("schedules", help="seeded schedules, without sockets")
+def add_to(subparsers: Any) -> None:
+    """Adds the commands and their options."""
+    parser = subparsers.add_parser("schedules", help="seeded schedules, without sockets")
     parser.set_defaults(what="schedules")
     world_argument(parser)
-    parser.add_argument("--seeds", type=int, default=1000, help="how many")
+    parser.add_argument("--seeds", type=int, default=1000, help="number of seeds")
     parser.add_argument("--first", type=int, default=0, help="the first seed")
-    parser.add_argument("--seed", type=int, default=None, help="only this one")
-    parser.add_argument("--coverage", action="store_true", help="print which message met which state")
+    parser.add_argument("--seed", type=int, default=None, help="run only this seed")
+    parser.add_argument(
+        "--coverage", action="store_true", help="print which messages arrived in which states"
+    )
     parser.add_argument(
-        "--steer", action="store_true", help="aim each round of seeds at what the rounds before met least"
+        "--steer", action="store_true", help="aim each round of seeds at what earlier rounds covered least"
     )
-    parser.add_argument("--keep", metavar="DIR", default="", help="cut what fails down, and write it there")
-    parser = commands.add_parser("fences", help="take fences out, and see whether schedules find it")
+    parser.add_argument(
+        "--keep", metavar="DIR", default="", help="shorten failing schedules and write them there"
+    )
+    parser = subparsers.add_parser("fences", help="remove fences, and check that schedules detect it")
     parser.set_defaults(what="fences")
     world_argument(parser)
-    parser.add_argument("--seeds", type=int, default=500, help="at most, for each")
+    parser.add_argument("--seeds", type=int, default=500, help="maximum for each fence")
     parser.add_argument("--first", type=int, default=7_000_000, help="the first seed")
     parser.add_argument("--only", nargs="+", default=[], metavar="NAME")
-    parser = commands.add_parser("story", help="what happens in a schedule that was kept")
+    parser = subparsers.add_parser("story", help="print what happens in a saved schedule")
     parser.set_defaults(what="story")
     world_argument(parser)
     parser.add_argument("file")
-    wide.add_to(commands)
-    parser = commands.add_parser("search", help="every interleaving in the small, up to a depth")
+    wide.add_to(subparsers)
+    parser = subparsers.add_parser("search", help="search all interleavings of a small system up to a depth")
     parser.set_defaults(what="search")
-    parser.add_argument("--world", choices=("levels", "council"), default="levels", help="what is searched")
+    parser.add_argument(
+        "--world", choices=("levels", "council"), default="levels", help="the system to search"
+    )
     parser.add_argument("--depth", type=int, default=8)
     parser.add_argument("--most-states", type=int, default=2_000_000)
--- a/embersill/lab/hunt.py
+++ b/embersill/lab/hunt.py
@@ -1,6 +1,6 @@
-"""Plays schedules with one fence taken out until one breaks a rule. A process of its own for each fence.
+"""Runs schedules with one fence removed until one violates a rule, in a separate process for each fence.
 
-Nothing of the product is imported before the fence is out: `embersill/world/fences.py` says why.
+Nothing of the product is imported before the fence is removed; `embersill/world/fences.py` explains why.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def hunt(fence: str, first: int, seeds: int, keep: str = "", world: str = "levels") -> dict[str, Any]:
-    """What the schedules of some seeds find in this process without a fence; "" takes none out."""
+    """Runs the schedules of some seeds in this process without a fence; "" removes none."""
     if fence:
         take_out(part_of(world, "fences").BY_NAME[fence])
     generate = part_of(world, "generate").generate
@@ -28,44 +28,46 @@
 
     for played, seed in enumerate(range(first, first + seeds), 1):
         schedule = generate(seed)
-        broken = breaks(schedule)
-        if broken is not None:
-            told: dict[str, Any] = {
+        violation = breaks(schedule)
+        if violation is not None:
+            result: dict[str, Any] = {
                 "fence": fence,
                 "found": True,
                 "played": played,
                 "seed": seed,
-                "rule": broken.rule,
-                "text": str(broken),
+                "rule": violation.rule,
+                "text": str(violation),
                 "steps": len(schedule.steps),
             }
             if keep:
-                kept, runs = shorten(schedule, broken, fence)
-                Path(keep).write_bytes(write_kept(kept))
-                told |= {"shrunk_to": len(kept.schedule.steps), "runs": runs}
-            return told
+                saved, runs = shorten(schedule, violation, fence)
+                Path(keep).write_bytes(write_kept(saved))
+                result |= {"shrunk_to": len(saved.schedule.steps), "runs": runs}
+            return result
     return {"fence": fence, "found": False, "played": seeds}
 
 
-def hunt_apart(fence: str, first: int, seeds: int, keep: str = "", world: str = "levels") -> dict[str, Any]:
-    """The same in a new process."""
+def hunt_in_subprocess(
+    fence: str, first: int, seeds: int, keep: str = "", world: str = "levels"
+) -> dict[str, Any]:
+    """As `hunt`, in a new process."""
     command = [sys.executable, "-m", "embersill.lab.hunt", fence, str(first), str(seeds), keep, world]
-    ran = subprocess.run(command, capture_output=True, text=True, check=False)
-    if ran.returncode:
-        raise RuntimeError(f"{fence}: {ran.stderr.strip()[-2000:]}")
-    loaded: dict[str, Any] = json.loads(ran.stdout)
-    return loaded
+    completed = subprocess.run(command, capture_output=True, text=True, check=False)
+    if completed.returncode:
+        raise RuntimeError(f"{fence}: {completed.stderr.strip()[-2000:]}")
+    result: dict[str, Any] = json.loads(completed.stdout)
+    return result
 
 
 def hunt_all(
     first: int, seeds: int, processes: int, names: list[str] | None = None, world: str = "levels"
 ) -> Iterator[dict[str, Any]]:
-    """All fences of a world, some at a time; results come as they are there."""
+    """Hunts all fences of a world, `processes` at a time; yields results as they finish."""
     chosen = names or [fence.name for fence in part_of(world, "fences").FENCES]
     with ThreadPoolExecutor(processes) as pool:
-        running = [pool.submit(hunt_apart, name, first, seeds, "", world) for name in chosen]
-        for done in as_completed(running):
-            yield done.result()
+        running = [pool.submit(hunt_in_subprocess, name, first, seeds, "", world) for name in chosen]
+        for finished in as_completed(running):
+            yield finished.result()
 
 
 if __name__ == "__main__":
@@ -75,5 +77,7 @@
     parser.add_argument("seeds", type=int)
     parser.add_argument("keep", nargs="?", default="")
     parser.add_argument("world", nargs="?", default="levels")
-    given = parser.parse_args()
-    print(json.dumps(hunt(given.fence, given.first, given.seeds, given.keep, given.world)))
+    arguments = parser.parse_args()
+    print(
+        json.dumps(hunt(arguments.fence, arguments.first, arguments.seeds, arguments.keep, arguments.world))
+    )
--- a/embersill/lab/shortening.py
+++ b/embersill/lab/shortening.py
@@ -1,4 +1,4 @@
-"""Cutting a failing schedule down, the same in every world."""
+"""Shortening of failing schedules, common to all simulated worlds."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 
 
 def breaks_in(play: Callable[[Schedule], Any], schedule: Schedule) -> Broken | None:
-    """The rule that a schedule breaks as it is played, if it breaks one."""
+    """Runs a schedule; the violation it ends with, or None."""
     try:
         play(schedule)
-    except Broken as broken:
-        return broken
+    except Broken as violation:
+        return violation
     return None
 
 
 def shrinker_of(play: Callable[[Schedule], Any], broken: Broken, most_runs: int) -> Shrinker:
-    """One that keeps what breaks the same rule."""
+    """A shrinker that keeps schedules which violate the same rule."""
 
-    def fails(tried: Schedule) -> bool:
-        found = breaks_in(play, tried)
-        return found is not None and found.rule == broken.rule
+    def fails(candidate: Schedule) -> bool:
+        violation = breaks_in(play, candidate)
+        return violation is not None and violation.rule == broken.rule
 
     return Shrinker(fails, most_runs)
 
 
 def end_of(run: Callable[[], Any]) -> str:
-    """A run's last line in a story: the rule that it breaks, or that it breaks none."""
+    """The last line of a story: the violated rule, or that no rule was violated."""
     try:
         run()
-    except Broken as broken:
-        return str(broken)
+    except Broken as violation:
+        return str(violation)
     return "no rule is broken"
 
 
 def troubles_of(trace: Trace, end: str) -> str:
-    """A run's troubles as they came, a line each, and its end."""
+    """The faults of a run in order, one a line, and its end."""
     lines = [
         f"{record.at:7.3f} s  {record.what} {record.who}".rstrip()
         + (f" for {record.seconds:g} s" if record.seconds else "")
@@ -53,25 +53,25 @@
 
 
 class Shortening:
-    """`breaks`, `shorten` and `story` of a world: a module with `World` and `play`."""
+    """The functions `breaks`, `shorten` and `story` for a world, a module with `World` and `play`."""
 
     def __init__(self, world: ModuleType) -> None:
         self.world = world
 
     def breaks(self, schedule: Schedule) -> Broken | None:
-        """The rule that a schedule breaks, if it breaks one."""
+        """The violation that a schedule ends with, or None."""
         return breaks_in(self.world.play, schedule)
 
     def shorten(
         self, schedule: Schedule, broken: Broken, fence: str = "", most_runs: int = 200
     ) -> tuple[Kept, int]:
-        """The shortest schedule found that breaks the same rule, with its story, and in how many runs."""
+        """The shortest schedule found that violates the same rule, with its story, and the number of runs."""
         shrinker = shrinker_of(self.world.play, broken, most_runs)
         short = shrinker.shrink(schedule, broken.at)
         return Kept(short, broken.rule, fence, self.story(short)), shrinker.runs
 
     def story(self, schedule: Schedule) -> str:
-        """The troubles of a schedule as they came, and its end."""
+        """The faults of a schedule in order, and its end."""
         trace = Trace()
         world = self.world.World(schedule, trace=trace)
         return troubles_of(trace, end_of(world.run))
--- a/tests/council/test_schedules.py
+++ b/tests/council/test_schedules.py
@@ -9,7 +9,7 @@
 from embersill.lab.council.search import Bounds, search
 from embersill.lab.council.shorten import breaks, shorten
 from embersill.lab.council.world import World, play
-from embersill.lab.hunt import hunt_apart
+from embersill.lab.hunt import hunt_in_subprocess
 from embersill.world.fences import source_of
 from embersill.world.oracles import Broken
 from embersill.world.schedules import Schedule, read_kept, write_kept
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("name", FOUND_SOON)
 def test_a_fence_that_is_taken_out_is_found(name: str) -> None:
-    told = hunt_apart(name, 7_000_000, 40, "", "council")
+    told = hunt_in_subprocess(name, 7_000_000, 40, "", "council")
     assert told["found"], told
 
 
