--- a/embersill/lab/__init__.py
+++ b/embersill/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins and local deployments that a person can run: `python -m embersill.lab`. Loopback only."""
+"""Simulations, experiments and local deployments to run by hand: `python -m embersill.lab`. Loopback only."""
--- a/embersill/lab/__main__.py
+++ b/embersill/lab/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m embersill.lab`: a small deployment on loopback with live figures, and what needs no sockets."""
+"""`python -m embersill.lab`: a small deployment on loopback with live figures; commands without sockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from embersill.rig.deployment import Deployment, Shape, play
 from embersill.lab.fuzzing import command as fuzzing
 
-REFRESH = 0.5  # seconds between looks at the figures
+REFRESH_INTERVAL_S = 0.5  # of the displayed figures
 RULES = (
     "answers_none",
     "answers_two",
@@ -32,13 +32,13 @@
 )
 
 
-def table(deployment: Deployment, began: float, before: dict[str, float]) -> Table:
-    """What clients got so far, what rules were broken, and who leads how much."""
+def status_table(deployment: Deployment, began: float, before: dict[str, float]) -> Table:
+    """A table of the processes, the clients' results so far, and violated rules."""
     books = deployment.books
-    figures, passed = books.figures(), time.monotonic() - began
-    shown = Table(title=f"embersill lab, {passed:.0f} s", title_justify="left")
+    figures, elapsed_s = books.figures(), time.monotonic() - began
+    table = Table(title=f"embersill lab, {elapsed_s:.0f} s", title_justify="left")
     for column in ("process", "role", "state", "cpu s"):
-        shown.add_column(column, justify="right" if column == "cpu s" else "left")
+        table.add_column(column, justify="right" if column == "cpu s" else "left")
     for member in deployment.members.values():
         state = "running" if member.running else "down"
         status = member.status
@@ -47,24 +47,25 @@
         elif member.role == "forwarder" and status:
             held = ", ".join(f"{n or 'nobody'} {c}" for n, c in sorted(status["holders"].items()))
             state += f", obeys {held}; decided here {status['local']}"
-        shown.add_row(member.name, member.role, state, f"{member.spent + member.cpu():.1f}")
-    rate = (figures["tries"] - before.get("tries", 0.0)) / max(passed - before.get("passed", 0.0), 0.1)
-    before.update(tries=figures["tries"], passed=passed)
-    broken = {rule: int(figures[rule]) for rule in RULES if figures[rule]}
-    shown.caption = (
+        table.add_row(member.name, member.role, state, f"{member.spent + member.cpu():.1f}")
+    rate = (figures["tries"] - before.get("tries", 0.0)) / max(elapsed_s - before.get("passed", 0.0), 0.1)
+    before.update(tries=figures["tries"], passed=elapsed_s)
+    violations = {rule: int(figures[rule]) for rule in RULES if figures[rule]}
+    table.caption = (
         f"{rate:.0f} tries/s; {figures['tries']:.0f} asked, {figures['served']:.0f} served, "
         f"{figures['refused']:.0f} refused, {figures['failed']:.0f} failed; "
-        f"median {figures['median_ms']} ms, p99 {figures['p99_ms']} ms; rules broken: {broken or 'none'}"
+        f"median {figures['median_ms']} ms, p99 {figures['p99_ms']} ms; rules broken: {violations or 'none'}"
     )
-    shown.caption_justify = "left"
-    return shown
+    table.caption_justify = "left"
+    return table
 
 
 async def run_deployment(options: argparse.Namespace) -> dict[str, Any]:
-    fronts = options.gateways or options.forwarders
+    """Runs a deployment as processes and displays its figures; returns the final figures."""
+    front_count = options.gateways or options.forwarders
     deployment = Deployment(
         Shape(
-            fronts=fronts,
+            fronts=front_count,
             planners=0 if options.gateways else options.planners,
             backends=options.backends,
             rate=options.rate,
@@ -72,7 +73,7 @@
             customers=options.customers,
         )
     )
-    playing = asyncio.create_task(
+    run_task = asyncio.create_task(
         play(
             deployment,
             options.seconds,
@@ -84,27 +85,30 @@
     began, before = time.monotonic(), dict[str, float]()
     console = Console(stderr=not sys.stdout.isatty())
     with Live(console=console, auto_refresh=False, transient=False) as live:
-        while not playing.done():
-            await asyncio.wait([playing], timeout=REFRESH)
+        while not run_task.done():
+            await asyncio.wait([run_task], timeout=REFRESH_INTERVAL_S)
             if console.is_terminal and deployment.members:
-                live.update(table(deployment, began, before), refresh=True)
+                live.update(status_table(deployment, began, before), refresh=True)
     if not console.is_terminal:
-        console.print(table(deployment, began, before))
+        console.print(status_table(deployment, began, before))
     for line in deployment.logs():
         print(line, file=sys.stderr)
-    return await playing
+    return await run_task
 
 
 def read_arguments() -> argparse.Namespace:
+    """Parses the command line."""
     parser = argparse.ArgumentParser(prog="python -m embersill.lab", description=__doc__)
     parser.set_defaults(what="run")
-    parser.add_argument("--seconds", type=float, default=20.0, help="how long traffic goes on")
+    parser.add_argument("--seconds", type=float, default=20.0, help="duration of traffic")
     parser.add_argument("--forwarders", type=int, default=5)
     parser.add_argument("--planners", type=int, default=2)
-    parser.add_argument("--gateways", type=int, default=0, help="one level of so many gateways instead")
+    parser.add_argument(
+        "--gateways", type=int, default=0, help="one level with this many gateways instead of two levels"
+    )
     parser.add_argument("--backends", type=int, default=6)
     parser.add_argument("--customers", type=int, default=60)
-    parser.add_argument("--rate", type=float, default=200.0, help="tries a second")
+    parser.add_argument("--rate", type=float, default=200.0, help="attempts a second")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
         "--trouble-every",
@@ -118,7 +122,7 @@
         type=float,
         default=2.0,
         metavar="S",
-        help="drain a backend, or bring it back, every S seconds; 0: never",
+        help="drain or restore a backend every S seconds; 0: never",
     )
     parser.add_argument(
         "--restart-front-every",
@@ -127,21 +131,22 @@
         metavar="S",
         help="kill and restart a front machine every S seconds; 0: never",
     )
-    others = parser.add_subparsers(title="other commands")
-    commands.add_to(others)
-    fuzzing.add_to(others)
-    faults.add_to(others)
-    totals.add_to(others)
-    control_command.add_to(others)
-    sites.add_to(others)
-    days.add_to(others)
-    plots.add_to(others)
-    trying.add_to(others)
-    soak_command.add_to(others)
+    subparsers = parser.add_subparsers(title="other commands")
+    commands.add_to(subparsers)
+    fuzzing.add_to(subparsers)
+    faults.add_to(subparsers)
+    totals.add_to(subparsers)
+    control_command.add_to(subparsers)
+    sites.add_to(subparsers)
+    days.add_to(subparsers)
+    plots.add_to(subparsers)
+    trying.add_to(subparsers)
+    soak_command.add_to(subparsers)
     return parser.parse_args()
 
 
 def main() -> int:
+    """Runs the chosen command; returns its exit status."""
     options = read_arguments()
     if options.what == "fuzz":
         return fuzzing.fuzz(options)
@@ -163,9 +168,9 @@
         return soak_command.main(options)
     if options.what == "town":
         return trying.main(options)
-    told = uvloop.run(run_deployment(options))
-    print(json.dumps(told))
-    return 1 if told["breaches"] else 0
+    result = uvloop.run(run_deployment(options))
+    print(json.dumps(result))
+    return 1 if result["breaches"] else 0
 
 
 if __name__ == "__main__":
--- a/embersill/lab/faults.py
+++ b/embersill/lab/faults.py
@@ -1,4 +1,4 @@
-"""`python -m embersill.lab faults FILE`: a scenario on processes, with what is cut and who owns what."""
+"""`python -m embersill.lab faults FILE`: runs a fault scenario on processes and displays its state."""
 
 from __future__ import annotations
 
@@ -21,77 +21,82 @@
 from embersill.rig.playing import RULES, Play, kept_text, owned, shape_of
 from embersill.rig.scenarios import BadScenario, Scenario, read_scenario
 
-REFRESH = 0.25  # seconds between looks
+REFRESH_INTERVAL_S = 0.25  # of the displayed state
 
 
-def table(play: Play, began: float) -> Table:
+def status_table(play: Play, began: float) -> Table:
+    """A table of the processes, owned offices, active faults, and violated rules."""
     deployment = play.deployment
     figures = deployment.books.figures()
     title = f"{play.scenario.name or 'scenario'}, {time.monotonic() - began:.0f} s"
-    shown = Table(title=title, title_justify="left")
+    table = Table(title=title, title_justify="left")
     for column in ("process", "role", "state"):
-        shown.add_column(column)
+        table.add_column(column)
     for member in list(deployment.members.values()):
         state = "down" if not member.running else "stopped" if member.stopped else "running"
         if member.role == "planner" and member.status:
             state += f", leads {member.status['leads']} parts ({member.status['whole']} whole)"
-        shown.add_row(member.name, member.role, state)
+        table.add_row(member.name, member.role, state)
     for office, holder in sorted(owned(deployment).items()):
-        shown.add_row(office, "office", holder)
+        table.add_row(office, "office", holder)
     for fault in play.on:
-        shown.add_row("", "fault", fault.told())
-    broken = {rule: int(figures[rule]) for rule in RULES if figures[rule]}
+        table.add_row("", "fault", fault.told())
+    violations = {rule: int(figures[rule]) for rule in RULES if figures[rule]}
     asked, served, refused, failed = (int(figures[k]) for k in ("tries", "served", "refused", "failed"))
-    shown.caption = (
+    table.caption = (
         f"{asked} asked, {served} served, {refused} refused, {failed} failed; "
-        f"rules broken: {broken or 'none'}"
+        f"rules broken: {violations or 'none'}"
     )
-    shown.caption_justify = "left"
-    return shown
+    table.caption_justify = "left"
+    return table
 
 
 async def run(scenario: Scenario) -> tuple[Play, dict[str, Any]]:
+    """Runs a scenario and displays its state; returns the run and its final figures."""
     play = Play(scenario, Deployment(shape_of(scenario)))
-    playing = asyncio.create_task(play.run())
+    run_task = asyncio.create_task(play.run())
     began, console = time.monotonic(), Console(stderr=True)
     with Live(console=console, auto_refresh=False, transient=False) as live:
-        while not playing.done():
-            await asyncio.wait([playing], timeout=REFRESH)
+        while not run_task.done():
+            await asyncio.wait([run_task], timeout=REFRESH_INTERVAL_S)
             if console.is_terminal:
-                live.update(table(play, began), refresh=True)
+                live.update(status_table(play, began), refresh=True)
     if not console.is_terminal:
-        console.print(table(play, began))
+        console.print(status_table(play, began))
     for line in play.deployment.logs():
         print(line, file=sys.stderr)
-    return play, await playing
+    return play, await run_task
 
 
 def command(options: argparse.Namespace) -> int:
-    """Exit code 0: no rule is broken; 1: one is, and the file to play again is named; 2: no scenario."""
+    """Exit status 0: no rule violated; 1: a violation, with the file that replays it; 2: invalid scenario."""
     try:
         scenario = read_scenario(Path(options.file).read_text(encoding="utf-8"))
         if options.seed is not None:
             scenario = msgspec.structs.replace(scenario, seed=options.seed)
-        play, told = uvloop.run(run(scenario))
+        play, result = uvloop.run(run(scenario))
     except (OSError, UnicodeDecodeError, BadScenario) as error:
         print(f"{options.file}: {error}", file=sys.stderr)
         return 2
-    failed = bool(told["breaches"] or told["bad_ends"])
+    failed = bool(result["breaches"] or result["bad_ends"])
     if failed or options.keep:
-        kept = Path(options.keep or f"found/{Path(options.file).stem}-{scenario.seed}.toml")
-        kept.parent.mkdir(parents=True, exist_ok=True)
-        kept.write_text(kept_text(scenario, play.faults))
-        told["kept"] = str(kept)
-    print(json.dumps(told))
+        saved_path = Path(options.keep or f"found/{Path(options.file).stem}-{scenario.seed}.toml")
+        saved_path.parent.mkdir(parents=True, exist_ok=True)
+        saved_path.write_text(kept_text(scenario, play.faults))
+        result["kept"] = str(saved_path)
+    print(json.dumps(result))
     return 1 if failed else 0
 
 
-def add_to(commands: Any) -> None:
-    parser = commands.add_parser("faults", help="plays a scenario of faults between processes, from a file")
+def add_to(subparsers: Any) -> None:
+    """Adds the command and its options."""
+    parser = subparsers.add_parser("faults", help="run a scenario of faults between processes, from a file")
     parser.set_defaults(what="faults")
-    parser.add_argument("file", help="TOML; embersill/rig/scenarios.py says what may stand in it")
-    parser.add_argument("--seed", type=int, default=None, help="in place of the file's")
-    parser.add_argument("--keep", default="", metavar="FILE", help="write what was played, failing or not")
+    parser.add_argument("file", help="TOML file; embersill/rig/scenarios.py documents the format")
+    parser.add_argument("--seed", type=int, default=None, help="overrides the seed in the file")
+    parser.add_argument(
+        "--keep", default="", metavar="FILE", help="write the run scenario to a file, failing or not"
+    )
 
 
 COMMANDS: dict[str, Callable[[argparse.Namespace], int]] = {"faults": command}
