--- a/embersill/lab/edge/soak_command.py
+++ b/embersill/lab/edge/soak_command.py
@@ -1,4 +1,4 @@
-"""`python -m embersill.lab soak`: seeded runs of the whole gateway as processes, and what they broke."""
+"""`python -m embersill.lab soak`: seeded runs of the whole gateway as processes, checked against rules."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from embersill.rig.soak.schedule import Schedule, generate
 from embersill.rig.soak.shrink import shrink
 
-SHOWN = 8  # findings of a run that are printed
+MAX_PRINTED_FINDINGS = 8  # per run
 
 
 class Result(msgspec.Struct):
-    """One run."""
+    """The result of one run."""
 
     schedule: Schedule
     record: Record
@@ -33,45 +33,49 @@
 
 
 async def run(schedule: Schedule, environ: dict[str, str]) -> Result:
-    """Plays a schedule in a folder that is gone afterwards."""
+    """Runs a schedule in a temporary folder."""
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
         play = Play(schedule, Path(folder), environ)
         record = await play.play()
         return Result(schedule, record, judge(record), play.logs())
 
 
-async def run_all(schedules: list[Schedule], jobs: int, environ: dict[str, str], keep: Path) -> list[Result]:
-    """Plays schedules, so many at a time; what breaks a rule is kept in a folder."""
-    room, results = asyncio.Semaphore(jobs), list[Result]()
+async def run_all(
+    schedules: list[Schedule], jobs: int, environ: dict[str, str], output_folder: Path
+) -> list[Result]:
+    """Runs schedules, `jobs` at a time; runs with findings are written to a folder."""
+    slots, results = asyncio.Semaphore(jobs), list[Result]()
 
-    async def one(schedule: Schedule) -> None:
-        async with room:
+    async def run_one(schedule: Schedule) -> None:
+        async with slots:
             result = await run(schedule, environ)
         results.append(result)
-        tell(result)
+        print_result(result)
         if result.findings:
-            write(result, keep)
+            write_files(result, output_folder)
 
-    await asyncio.gather(*(one(schedule) for schedule in schedules))
+    await asyncio.gather(*(run_one(schedule) for schedule in schedules))
     return results
 
 
-def tell(result: Result) -> None:
-    """One line for a run, and some for what it broke."""
+def print_result(result: Result) -> None:
+    """Prints one line for a run, and its first findings."""
     record = result.record
-    left = sum(one.gone for one in record.tries)
+    abandoned = sum(attempt.gone for attempt in record.tries)
     print(
-        f"seed {result.schedule.seed}: {len(record.tries)} requests, {left} whose clients left, "
-        f"{len(record.struck)} troubles, {len(record.exits)} exits: {len(result.findings)} findings",
+        f"seed {result.schedule.seed}: {len(record.tries)} requests, {abandoned} whose clients left, "
+        f"{len(record.struck)} faults, {len(record.exits)} exits: {len(result.findings)} findings",
         flush=True,
     )
-    for found in result.findings[:SHOWN]:
-        print(f"  {found.at:8.3f} s  g{found.gateway} {found.rule.value} {found.attempt} {found.text}")
+    for finding in result.findings[:MAX_PRINTED_FINDINGS]:
+        print(
+            f"  {finding.at:8.3f} s  g{finding.gateway} {finding.rule.value} {finding.attempt} {finding.text}"
+        )
 
 
-def write(result: Result, keep: Path) -> None:
-    """Keeps the schedule of a run, what was seen, what was found, and the logs, in files."""
-    folder = keep / f"soak-{result.schedule.seed}"
+def write_files(result: Result, output_folder: Path) -> None:
+    """Writes the schedule, record, findings, time line and logs of a run to files."""
+    folder = output_folder / f"soak-{result.schedule.seed}"
     folder.mkdir(parents=True, exist_ok=True)
     for name, part in (
         ("schedule", result.schedule),
@@ -84,63 +88,82 @@
 
 
 def timeline(result: Result) -> list[str]:
-    """All that was seen of the requests that broke a rule, and all troubles, by time."""
-    named = {found.attempt for found in result.findings}
-    lines: list[tuple[float, str]] = [(found.at, f"FOUND {found.rule.value} {found.attempt} {found.text}")
-                                      for found in result.findings]  # fmt: skip
-    for struck in result.record.struck:
-        lines.append((struck.began, f"g{struck.gateway} {struck.kind.value} until {struck.ended:.3f}"))
-    for one in result.record.tries:
-        if one.attempt in named:
-            lines.append((one.sent_at, f"client {one.client} sends {one.attempt} to g{one.gateway}"))
+    """All events of the requests with findings, and all faults, by time."""
+    attempts_with_findings = {finding.attempt for finding in result.findings}
+    lines: list[tuple[float, str]] = [
+        (finding.at, f"FOUND {finding.rule.value} {finding.attempt} {finding.text}")
+        for finding in result.findings
+    ]
+    for fault in result.record.struck:
+        lines.append((fault.began, f"g{fault.gateway} {fault.kind.value} until {fault.ended:.3f}"))
+    for attempt in result.record.tries:
+        if attempt.attempt in attempts_with_findings:
+            lines.append(
+                (attempt.sent_at, f"client {attempt.client} sends {attempt.attempt} to g{attempt.gateway}")
+            )
             lines += [
-                (a.at, f"client {one.client} is told {a.status} for {one.attempt}") for a in one.answers
+                (answer.at, f"client {attempt.client} receives {answer.status} for {attempt.attempt}")
+                for answer in attempt.answers
             ]
             lines += [
-                (at, f"{what} {one.attempt}")
-                for at, what in ((one.left_at, "left"), (one.cut_at, "cut"))
-                if at
+                (time, f"{event} {attempt.attempt}")
+                for time, event in ((attempt.left_at, "left"), (attempt.cut_at, "cut"))
+                if time
             ]
-    for ran in result.record.runs:
-        if ran.attempt in named:
-            lines.append((ran.arrived, f"{ran.backend} ({ran.kind.value}) gets {ran.attempt}"))
-            lines.append((ran.ended, f"{ran.backend} ends {ran.attempt}: {ran.end.value}"))
-    lines += [(ended.at, f"g{ended.gateway} ended with {ended.code}") for ended in result.record.exits]
-    return [f"{at:9.3f}  {text}" for at, text in sorted(lines)]
+    for backend_run in result.record.runs:
+        if backend_run.attempt in attempts_with_findings:
+            lines.append(
+                (
+                    backend_run.arrived,
+                    f"{backend_run.backend} ({backend_run.kind.value}) gets {backend_run.attempt}",
+                )
+            )
+            lines.append(
+                (
+                    backend_run.ended,
+                    f"{backend_run.backend} ends {backend_run.attempt}: {backend_run.end.value}",
+                )
+            )
+    lines += [
+        (process_exit.at, f"g{process_exit.gateway} ended with {process_exit.code}")
+        for process_exit in result.record.exits
+    ]
+    return [f"{time:9.3f}  {text}" for time, text in sorted(lines)]
 
 
 def summary(results: list[Result]) -> dict[str, int]:
-    """Figures over all runs."""
+    """Totals over all runs."""
     counts = Counter(found.rule for result in results for found in result.findings)
     return {
         "seeds": len(results),
         "bad": sum(bool(result.findings) for result in results),
         **{rule.value: counts[rule] for rule in Rule},
         "requests": sum(len(result.record.tries) for result in results),
-        "left": sum(one.gone for result in results for one in result.record.tries),
+        "left": sum(attempt.gone for result in results for attempt in result.record.tries),
         "processes_most": max((result.record.processes_most for result in results), default=0),
     }
 
 
-def smaller(result: Result, environ: dict[str, str], keep: Path) -> None:
-    """Cuts the schedule of a run down, and keeps it."""
-    rules = {found.rule for found in result.findings}
+def shrink_schedule(result: Result, environ: dict[str, str], output_folder: Path) -> None:
+    """Shrinks the schedule of a run to a smaller failing one and writes it to a file."""
+    rules = {finding.rule for finding in result.findings}
 
     def still_breaks(schedule: Schedule) -> bool:
-        again = asyncio.run(run(schedule, environ))
-        return any(found.rule in rules for found in again.findings)
+        rerun = asyncio.run(run(schedule, environ))
+        return any(finding.rule in rules for finding in rerun.findings)
 
-    found = shrink(result.schedule, still_breaks)
-    path = keep / f"soak-{result.schedule.seed}" / "smaller.json"
-    path.write_bytes(msgspec.json.format(msgspec.json.encode(found)))
+    shrunk = shrink(result.schedule, still_breaks)
+    path = output_folder / f"soak-{result.schedule.seed}" / "smaller.json"
+    path.write_bytes(msgspec.json.format(msgspec.json.encode(shrunk)))
     print(
-        f"seed {found.seed} cut down to {len(found.actions)} actions, {len(found.troubles)} troubles: {path}"
+        f"seed {shrunk.seed} shrunk to {len(shrunk.actions)} actions, {len(shrunk.troubles)} faults: {path}"
     )
 
 
 def main(options: argparse.Namespace) -> int:
-    """Plays what was asked for; 1 if a run broke a rule."""
-    signal.signal(signal.SIGTERM, signal.default_int_handler)  # its processes end with it, as on control-C
+    """Runs the schedules; 1 if a run has findings."""
+    # so that the child processes end with this one, as on Ctrl-C
+    signal.signal(signal.SIGTERM, signal.default_int_handler)
     with tempfile.TemporaryDirectory(prefix="soak-fence-") as copy:
         environ = cut_copy(options.fence, Path(copy)) if options.fence else {}
         if options.replay:
@@ -155,23 +178,23 @@
         results = asyncio.run(run_all(schedules, options.jobs, environ, options.keep))
         bad = [result for result in results if result.findings]
         if bad and options.shrink:
-            smaller(bad[0], environ, options.keep)
+            shrink_schedule(bad[0], environ, options.keep)
     print(json.dumps(summary(results)))
     return 1 if bad else 0
 
 
 def add_to(subparsers: Any) -> None:
-    """The command's options."""
-    parser = subparsers.add_parser("soak", help="play seeded runs of the whole gateway as processes")
+    """Adds the command and its options."""
+    parser = subparsers.add_parser("soak", help="seeded runs of the whole gateway as processes")
     parser.set_defaults(what="soak")
-    parser.add_argument("--seeds", type=int, default=5, help="how many runs, by seeds one after the other")
+    parser.add_argument("--seeds", type=int, default=5, help="number of runs, with consecutive seeds")
     parser.add_argument("--first", type=int, default=1, help="the first seed")
-    parser.add_argument("--seed", type=int, help="this one alone")
-    parser.add_argument("--seconds", type=float, default=30.0, help="of traffic, each")
-    parser.add_argument("--gateways", type=int, default=5, help="processes of a run")
-    parser.add_argument("--clients", type=int, default=40, help="of a run")
-    parser.add_argument("--jobs", type=int, default=1, help="runs beside one another")
-    parser.add_argument("--fence", choices=sorted(FENCES), help="without these lines of the product")
-    parser.add_argument("--keep", type=Path, default=Path("found"), help="folder for what broke a rule")
-    parser.add_argument("--replay", help="a schedule.json or smaller.json that was kept")
-    parser.add_argument("--shrink", action="store_true", help="cut the first bad schedule down")
+    parser.add_argument("--seed", type=int, help="run only this seed")
+    parser.add_argument("--seconds", type=float, default=30.0, help="duration of traffic in each run")
+    parser.add_argument("--gateways", type=int, default=5, help="gateway processes in each run")
+    parser.add_argument("--clients", type=int, default=40, help="clients in each run")
+    parser.add_argument("--jobs", type=int, default=1, help="concurrent runs")
+    parser.add_argument("--fence", choices=sorted(FENCES), help="remove this safeguard of the product")
+    parser.add_argument("--keep", type=Path, default=Path("found"), help="folder for runs with findings")
+    parser.add_argument("--replay", help="run a saved schedule.json or smaller.json")
+    parser.add_argument("--shrink", action="store_true", help="shrink the first failing schedule")
