--- a/embersill/council/__init__.py
+++ b/embersill/council/__init__.py
@@ -1,5 +1,5 @@
-"""What the planners keep in common: a small register, offices held by lease, and the duties of their holders.
+"""The state shared by planners: a replicated register, offices held by lease, and the work of their holders.
 
-See docs/design/offices.md. Off by default; nothing of it is imported where the operator file has no
-[council].
+See docs/design/offices.md. Off by default; nothing of it is imported unless the operator file has a [council]
+table.
 """
--- a/embersill/council/chair.py
+++ b/embersill/council/chair.py
@@ -21,7 +21,7 @@
 from embersill.council.journal import Damaged, Folder, Journal
 from embersill.council.links import MemberConnection, MemberServer, council_digest
 from embersill.council.messages import Answer, Question, Reply
-from embersill.council.probes import PROBE_WITHIN
+from embersill.council.probes import PROBE_TIMEOUT_S
 from embersill.council.register import Register
 from embersill.council.seat import CouncilCore
 from embersill.council.settings import Council
@@ -204,7 +204,7 @@
         self.log_vote_changes()
         for backend in core.probes_due(now):
             self.start_task(self.probe(backend))
-        if core.advice.out_until or core.advice.out:  # otherwise nothing can change
+        if core.advice.excluded_until or core.advice.excluded:  # otherwise nothing can change
             for backend, out in core.advice.changes({name: True for name in self.backend_addresses()}, now):
                 self.leave_out(backend, out)
         exporter = core.exporter
@@ -259,10 +259,10 @@
         address, prober = self.backend_addresses().get(backend), self.core.prober
         assert prober is not None
         if address is None:
-            return prober.gone(backend)
+            return prober.forget(backend)
         healthy = False
         try:
-            async with asyncio.timeout(PROBE_WITHIN):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*address)
                 path = prober.settings.path
                 if path:
@@ -274,7 +274,7 @@
                 writer.close()
         except (OSError, TimeoutError, ValueError):
             pass
-        return prober.probed(backend, healthy)
+        return prober.on_probe_result(backend, healthy)
 
     # called by the planner
 
@@ -287,7 +287,7 @@
         """Notes how an attempt at a backend ended."""
         if outcome is Outcome.SERVED or outcome in FAILURES:
             unreachable = outcome is Outcome.NO_CONNECTION
-            self.core.suspicions.ended(backend, outcome is Outcome.SERVED, self.clock(), unreachable)
+            self.core.suspicions.note_outcome(backend, outcome is Outcome.SERVED, self.clock(), unreachable)
 
     def status(self) -> dict[str, object]:
         """Figures for operators; docs/operate/offices.md explains each of them."""
--- a/embersill/council/fences.py
+++ b/embersill/council/fences.py
@@ -1,7 +1,7 @@
-"""Fences at whoever an office acts upon: the highest number goes, and whoever comes late is refused. No I/O.
+"""Fencing at the receivers of an office's actions: actions under an outdated number are refused. No I/O.
 
-The helper of all receivers: `Fence.check` before anything is done. It knows what a receiver has taken so far
-and, where the receiver is a member of the council, what the register says of the office.
+Every receiver calls `Fence.check` before it acts. The fence knows what the receiver has accepted so far and,
+if the receiver is a member of the council, the office's holder according to the register.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from embersill.council.messages import Act
 
 
-Known = Callable[[str], tuple[int, str]]  # an office's number and holder, as the register showed them last
+OfficeLookup = Callable[[str], tuple[int, str]]  # an office's number and holder, as last seen in the register
 
 
-class Why(Enum):
-    """Why an act is refused; TAKEN if it is not."""
+class FenceResult(Enum):
+    """Why an action is refused; TAKEN if it is accepted."""
 
     TAKEN = ""
     OLD = "the office was given up, or another holds it by now"
@@ -27,43 +27,45 @@
 
 
 class Fence:
-    """What one receiver has taken of each office. `offices` bounds what it remembers."""
+    """The actions that one receiver has accepted, by office. `offices`: those that it accepts actions of."""
 
     def __init__(self, offices: frozenset[str]) -> None:
         self.offices = offices
         self.highest: dict[str, tuple[int, int]] = {}  # number and sequence, by office
-        self.owners: dict[str, str] = {}  # who acted under the highest number
-        self.counts = {why.name.lower(): 0 for why in Why}
+        self.owners: dict[str, str] = {}  # the sender under the highest number
+        self.counts = {result.name.lower(): 0 for result in FenceResult}
 
-    def check(self, act: Act, sender: str, known: Known) -> Why:
-        """Takes an act, or says why not.
+    def check(self, act: Act, sender: str, lookup: OfficeLookup) -> FenceResult:
+        """Accepts an action, or returns why it is refused.
 
-        A number that the register has not shown here yet is UNKNOWN: whoever checks has to read the office,
-        and the sender to come again. So a figure from nowhere moves nothing.
+        A number that this member has not seen in the register yet is UNKNOWN: the receiver has to read the
+        office, and the sender to repeat the action. So a made-up number has no effect.
         """
-        why = self.judge(act, sender, known)
-        self.counts[why.name.lower()] += 1
-        if why is Why.TAKEN:
+        result = self.evaluate(act, sender, lookup)
+        self.counts[result.name.lower()] += 1
+        if result is FenceResult.TAKEN:
             self.highest[act.office] = act.number, act.sequence
             self.owners[act.office] = sender
-        return why
+        return result
 
-    def judge(self, act: Act, sender: str, known: Known) -> Why:
+    def evaluate(self, act: Act, sender: str, lookup: OfficeLookup) -> FenceResult:
+        """The result for an action, without accepting it."""
         if act.office not in self.offices:
-            return Why.NO_OFFICE
+            return FenceResult.NO_OFFICE
         number, sequence = self.highest.get(act.office, (0, 0))
-        seen, holder = known(act.office)
-        if act.number < max(number, seen):
-            return Why.OLD
-        if act.number > seen:
-            return Why.UNKNOWN
+        known_number, holder = lookup(act.office)
+        if act.number < max(number, known_number):
+            return FenceResult.OLD
+        if act.number > known_number:
+            return FenceResult.UNKNOWN
         if not holder:
-            return Why.OLD  # it was given up
+            return FenceResult.OLD  # it was released
         if holder != sender or act.number == number and self.owners.get(act.office) != sender:
-            return Why.STRANGER
+            return FenceResult.STRANGER
         if act.number == number and act.sequence <= sequence:
-            return Why.REPEATED
-        return Why.TAKEN
+            return FenceResult.REPEATED
+        return FenceResult.TAKEN
 
     def refused(self) -> int:
+        """How many actions were refused."""
         return sum(count for name, count in self.counts.items() if name != "taken")
--- a/embersill/council/probes.py
+++ b/embersill/council/probes.py
@@ -1,11 +1,12 @@
-"""Probes of suspected backends for the whole fleet, and what planners make of the verdicts. No I/O.
-
-Each planner alone finds a bad backend out by requests that fail, and finds out that it is back by more of
-them: what all do adds up. Here planners tell the owner of the office `probes` whom they suspect; it probes
-within a budget that is the fleet's, and publishes verdicts with their age. They are advice: a planner leaves
-a backend out while it hears that it can't be used, for `FRESH` at most, and never more than a part of all it
-knows (`MOST_OUT`): where nearly all look bad it is the owner that is ill, or the probe. With no owner, or
-none that is heard, each goes on by its own experience as before.
+"""Fleet-wide health probes of suspected backends, and how planners use the verdicts. No I/O.
+
+On its own, each planner detects a bad backend by failing requests, and its recovery by more of them, and that
+adds up over all planners. Instead, planners report suspected backends to the owner of the office `probes`. It
+probes them within a budget for the whole fleet, and publishes verdicts with their age. Verdicts are advice: a
+planner excludes a backend while verdicts say that it is unusable, for at most `VERDICT_TTL_S` after the last
+one, and never more than a share of all backends it knows (`MAX_EXCLUDED_SHARE`): if nearly all look bad, the
+owner or the probe is at fault. Without an owner, or without contact to it, each planner goes by its own
+experience as before.
 """
 
 from __future__ import annotations
@@ -17,156 +18,176 @@
 import msgspec
 
 OFFICE = "probes"
-FAILURES = 3  # of the last attempts at a planner, in a row, that make a backend suspected
-SUSPECTED_FOR = 10.0  # seconds for which that is told after the last failure
-PROBE_WITHIN = 0.5  # seconds for a probe to be answered
-TO_CONDEMN = 2  # failed probes in a row until a backend is said to be unusable
-TO_ACQUIT = 2  # answered ones until it is said to be usable again
-FORGET = 60.0  # seconds after which one that is fine and no longer suspected is forgotten
-FRESH = 3.0  # seconds for which a verdict holds without a newer one
-MOST_OUT = 1 / 3  # of all backends that a planner leaves out on such advice
-PUBLISH_EVERY = 0.5  # seconds
-MOST_BACKENDS = 1024  # that are suspected, or have verdicts
+SUSPECT_AFTER_FAILURES = 3  # failed attempts of one planner in a row
+SUSPICION_S = 10.0  # after the last failure, for which a suspicion is reported
+PROBE_TIMEOUT_S = 0.5
+FAILURES_TO_CONDEMN = 2  # failed probes in a row until a backend's verdict is unusable
+SUCCESSES_TO_ACQUIT = 2  # successful probes in a row until it is usable again
+FORGET_AFTER_S = 60.0  # after the last suspicion, for a usable backend
+VERDICT_TTL_S = 3.0  # for which a verdict is valid without a newer one
+MAX_EXCLUDED_SHARE = 1 / 3  # of all backends, that a planner excludes by verdicts
+PUBLISH_INTERVAL_S = 0.5
+MAX_BACKENDS = 1024  # suspected, or with verdicts
 
 
 class ProbeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """[council.probes]."""
+    """The [council.probes] table."""
 
-    per_second: float = 4.0  # of the whole fleet, however many processes and backends there are
-    path: str = ""  # asked for with GET, any answer below 500 will do; empty: a connection is enough
+    per_second: float = 4.0  # for the whole fleet, regardless of the numbers of processes and backends
+    path: str = ""  # requested with GET, any status below 500 is a success; empty: a connection suffices
 
 
 class Suspicions:
-    """What one planner tells the owner."""
+    """The backends that one planner suspects."""
 
     def __init__(self) -> None:
-        self.failed: OrderedDict[str, tuple[int, float]] = OrderedDict()  # in a row, and when last
+        self.failed: OrderedDict[str, tuple[int, float]] = (
+            OrderedDict()
+        )  # failures in a row, and the last one's time
 
-    def ended(self, backend: str, well: bool, now: float, gone: bool = False) -> None:
-        """An attempt at a backend has ended, well or by the backend's own fault.
+    def note_outcome(self, backend: str, healthy: bool, now: float, unreachable: bool = False) -> None:
+        """Notes that an attempt at a backend has succeeded, or failed through the backend's fault.
 
-        `gone`: nobody answers there, which needs no second failure to be suspected.
+        `unreachable`: no connection was possible, which makes the backend suspected at once.
         """
-        if well:
+        if healthy:
             self.failed.pop(backend, None)
             return
         count, _ = self.failed.pop(backend, (0, 0.0))
-        self.failed[backend] = FAILURES if gone else count + 1, now
-        if len(self.failed) > MOST_BACKENDS:
+        self.failed[backend] = SUSPECT_AFTER_FAILURES if unreachable else count + 1, now
+        if len(self.failed) > MAX_BACKENDS:
             self.failed.popitem(last=False)
 
     def suspected(self, now: float) -> list[str]:
-        return [backend for backend, (count, last) in self.failed.items()
-                if count >= FAILURES and now - last <= SUSPECTED_FOR]
+        """The backends to report as suspected."""
+        return [
+            backend
+            for backend, (count, last) in self.failed.items()
+            if count >= SUSPECT_AFTER_FAILURES and now - last <= SUSPICION_S
+        ]
 
 
 @dataclass(slots=True)
-class Case:
-    """One backend that is watched by the owner."""
+class BackendState:
+    """One backend that the owner probes."""
 
     suspected_at: float
     probed_at: float = float("-inf")
-    turn: int = 0  # the number of its last probe
-    bad: int = 0  # probes that failed, in a row
-    good: int = 0
-    out: bool = False  # the verdict: it can't be used
-    asked: bool = False  # a probe is under way
+    probe_number: int = 0  # of its last probe
+    failures: int = 0  # failed probes in a row
+    successes: int = 0  # successful probes in a row
+    unusable: bool = False  # the verdict
+    in_flight: bool = False  # a probe is pending
 
 
 class Prober:
-    """The owner's part. Whoever has the sockets makes the probes of `due` and brings back what came."""
+    """The owner's part. The caller makes the probes that `due` returns, and passes in their results."""
 
     def __init__(self, settings: ProbeSettings) -> None:
         self.settings = settings
-        self.cases: dict[str, Case] = {}
+        self.backends: dict[str, BackendState] = {}
         self.tokens, self.filled_at = 1.0, 0.0
         self.published_at = float("-inf")
         self.counts = {"probes": 0, "condemned": 0, "acquitted": 0}
 
     def reset(self) -> None:
-        """Another owns it: verdicts are its own to find."""
-        self.cases.clear()
+        """Forgets all backends: a new owner reaches its own verdicts."""
+        self.backends.clear()
 
     def suspect(self, backends: Iterable[str], now: float) -> None:
+        """Takes a planner's report of suspected backends."""
         for backend in backends:
-            case = self.cases.get(backend)
-            if case is not None:
-                case.suspected_at = now
-            elif len(self.cases) < MOST_BACKENDS:
-                self.cases[backend] = Case(now)
+            state = self.backends.get(backend)
+            if state is not None:
+                state.suspected_at = now
+            elif len(self.backends) < MAX_BACKENDS:
+                self.backends[backend] = BackendState(now)
 
     def due(self, now: float) -> list[str]:
-        """Whom to probe now, the longest unprobed first: as many as the fleet's budget has."""
-        burst = max(1.0, self.settings.per_second * PUBLISH_EVERY)
+        """The backends to probe now, longest unprobed first, within the fleet's budget."""
+        burst = max(1.0, self.settings.per_second * PUBLISH_INTERVAL_S)
         self.tokens = min(burst, self.tokens + self.settings.per_second * max(now - self.filled_at, 0.0))
         self.filled_at = now
-        for name in [n for n, c in self.cases.items()
-                     if not c.out and not c.asked and now - c.suspected_at > FORGET]:
-            del self.cases[name]
-        waiting = sorted((c.turn, n) for n, c in self.cases.items() if not c.asked and (
-            c.out or c.bad or now - c.suspected_at <= SUSPECTED_FOR))
+        for name in [
+            n
+            for n, c in self.backends.items()
+            if not c.unusable and not c.in_flight and now - c.suspected_at > FORGET_AFTER_S
+        ]:
+            del self.backends[name]
+        waiting = sorted(
+            (c.probe_number, n)
+            for n, c in self.backends.items()
+            if not c.in_flight and (c.unusable or c.failures or now - c.suspected_at <= SUSPICION_S)
+        )
         found: list[str] = []
         for _, name in waiting:
             if self.tokens < 1.0:
                 break
             self.tokens -= 1.0
             self.counts["probes"] += 1
-            case = self.cases[name]
-            case.asked, case.probed_at, case.turn = True, now, self.counts["probes"]
+            state = self.backends[name]
+            state.in_flight, state.probed_at, state.probe_number = True, now, self.counts["probes"]
             found.append(name)
         return found
 
-    def probed(self, backend: str, well: bool) -> None:
-        case = self.cases.get(backend)
-        if case is None:
+    def on_probe_result(self, backend: str, healthy: bool) -> None:
+        """Processes the result of a probe."""
+        state = self.backends.get(backend)
+        if state is None:
             return
-        case.asked = False
-        case.bad, case.good = (0, case.good + 1) if well else (case.bad + 1, 0)
-        if case.bad >= TO_CONDEMN and not case.out:
-            case.out = True
+        state.in_flight = False
+        state.failures, state.successes = (0, state.successes + 1) if healthy else (state.failures + 1, 0)
+        if state.failures >= FAILURES_TO_CONDEMN and not state.unusable:
+            state.unusable = True
             self.counts["condemned"] += 1
-        elif case.good >= TO_ACQUIT and case.out:
-            case.out = False
+        elif state.successes >= SUCCESSES_TO_ACQUIT and state.unusable:
+            state.unusable = False
             self.counts["acquitted"] += 1
 
-    def gone(self, backend: str) -> None:
-        """Discovery no longer names it."""
-        self.cases.pop(backend, None)
+    def forget(self, backend: str) -> None:
+        """Forgets a backend that discovery no longer lists."""
+        self.backends.pop(backend, None)
 
     def verdicts(self, now: float) -> list[tuple[str, bool, float]] | None:
-        """What to publish now; None while it is not time."""
-        if now - self.published_at < PUBLISH_EVERY:
+        """The verdicts to publish now; None if it is not time yet."""
+        if now - self.published_at < PUBLISH_INTERVAL_S:
             return None
         self.published_at = now
-        return [(name, not case.out, max(now - case.probed_at, 0.0))
-                for name, case in self.cases.items() if case.probed_at > float("-inf")]
+        return [
+            (name, not state.unusable, max(now - state.probed_at, 0.0))
+            for name, state in self.backends.items()
+            if state.probed_at > float("-inf")
+        ]
 
 
 class Advice:
-    """What one planner makes of the verdicts that it takes."""
+    """The backends that one planner excludes because of verdicts."""
 
     def __init__(self) -> None:
-        self.out_until: dict[str, float] = {}
-        self.out: set[str] = set()  # left out now
+        self.excluded_until: dict[str, float] = {}
+        self.excluded: set[str] = set()  # now
         self.counts = {"left_out": 0, "too_many": 0}
 
-    def take(self, verdicts: Iterable[tuple[str, bool, float]], now: float) -> None:
+    def update(self, verdicts: Iterable[tuple[str, bool, float]], now: float) -> None:
+        """Takes published verdicts: backend, whether it is usable, age."""
         for backend, usable, age in verdicts:
             if usable:
-                self.out_until.pop(backend, None)
-            elif age < FRESH and (backend in self.out_until or len(self.out_until) < MOST_BACKENDS):
-                self.out_until[backend] = now + FRESH - age
+                self.excluded_until.pop(backend, None)
+            elif age < VERDICT_TTL_S and (
+                backend in self.excluded_until or len(self.excluded_until) < MAX_BACKENDS
+            ):
+                self.excluded_until[backend] = now + VERDICT_TTL_S - age
 
     def changes(self, known: Mapping[str, bool], now: float) -> list[tuple[str, bool]]:
-        """What is to be left out (True) and what not any more; `known`: all backends that could serve."""
-        for backend in [b for b, until in self.out_until.items() if now >= until]:
-            del self.out_until[backend]
-        wanted = {backend for backend in self.out_until if known.get(backend)}
-        if len(wanted) > MOST_OUT * len(known):
+        """The backends to exclude (True) and to include again (False); `known`: all available backends."""
+        for backend in [b for b, until in self.excluded_until.items() if now >= until]:
+            del self.excluded_until[backend]
+        wanted = {backend for backend in self.excluded_until if known.get(backend)}
+        if len(wanted) > MAX_EXCLUDED_SHARE * len(known):
             self.counts["too_many"] += 1
             wanted = set()
-        changes = [(backend, True) for backend in sorted(wanted - self.out)]
-        changes += [(backend, False) for backend in sorted(self.out - wanted)]
-        self.counts["left_out"] += len(wanted - self.out)
-        self.out = wanted
+        changes = [(backend, True) for backend in sorted(wanted - self.excluded)]
+        changes += [(backend, False) for backend in sorted(self.excluded - wanted)]
+        self.counts["left_out"] += len(wanted - self.excluded)
+        self.excluded = wanted
         return changes
--- a/embersill/council/seat.py
+++ b/embersill/council/seat.py
@@ -11,7 +11,7 @@
 
 from embersill.council.export import OFFICE as EXPORT
 from embersill.council.export import Exporter
-from embersill.council.fences import Fence, Why
+from embersill.council.fences import Fence, FenceResult
 from embersill.council.member import Member
 from embersill.council.messages import (
     Answer,
@@ -108,12 +108,12 @@
                 return OfficeReply(origin, boots, "the probes are not owned here")
             self.prober.suspect(request.backends, self.now)
             return OfficeReply(origin, boots, "")
-        why = self.fence.check(request.act, sender, self.known_owner)
-        if why is Why.TAKEN:
-            self.advice.take(request.verdicts, self.now)
-        elif why is Why.UNKNOWN:
+        result = self.fence.check(request.act, sender, self.known_owner)
+        if result is FenceResult.TAKEN:
+            self.advice.update(request.verdicts, self.now)
+        elif result is FenceResult.UNKNOWN:
             self.offices[request.act.office].refresh(self.now)  # its owner changed, and this member missed it
-        return OfficeReply(origin, boots, why.value)
+        return OfficeReply(origin, boots, result.value)
 
     def known_owner(self, office: str) -> tuple[int, str]:
         """The number and holder of an office as last seen in the register."""
@@ -217,5 +217,9 @@
         if self.exporter is not None and self.tally is not None:
             status["export"] = {**self.exporter.status(), **self.tally.status()}
         if self.prober is not None:
-            status["probes"] = {**self.prober.counts, **self.advice.counts, "out": sorted(self.advice.out)}
+            status["probes"] = {
+                **self.prober.counts,
+                **self.advice.counts,
+                "out": sorted(self.advice.excluded),
+            }
         return status
--- a/embersill/lab/council/fences.py
+++ b/embersill/lab/council/fences.py
@@ -262,7 +262,7 @@
         "old-act",
         FENCES_OF,
         "a member takes the act of an old owner",
-        "if act.number < max(number, seen):",
+        "if act.number < max(number, known_number):",
         "if False:",
         (
             (
@@ -276,7 +276,7 @@
         "unknown-act",
         FENCES_OF,
         "a member takes an act under a number that nobody has held",
-        "if act.number > seen:",
+        "if act.number > known_number:",
         "if False:",
     ),
     Fence(
@@ -290,7 +290,7 @@
         "given-up",
         FENCES_OF,
         "a member takes an act under a number that was given up",
-        "        if not holder:\n            return Why.OLD  # it was given up\n"
+        "        if not holder:\n            return FenceResult.OLD  # it was released\n"
         "        if holder != sender or",
         "        if holder and holder != sender or",
     ),
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -147,7 +147,9 @@
         self.world.look()
         assert core.prober is not None
         for name in core.probes_due(now):
-            self.after(0.05 * self.chance.random(), core.prober.probed, name, name not in self.world.bad)
+            self.after(
+                0.05 * self.chance.random(), core.prober.on_probe_result, name, name not in self.world.bad
+            )
         core.advice.changes({f"b{n}": True for n in range(12)}, now)
         self.export()
         self.save_use()
@@ -210,7 +212,7 @@
         self.tally.add(customer, units, self.clock())
         self.world.books.used(self.tally.name, units)
         backend = f"b{self.chance.randrange(12)}"
-        self.core.suspicions.ended(backend, backend not in self.world.bad, self.clock())
+        self.core.suspicions.note_outcome(backend, backend not in self.world.bad, self.clock())
 
     def client(self) -> None:
         self.after(CLIENT_EVERY * (0.5 + self.chance.random()), self.client)
--- a/tests/council/test_cost.py
+++ b/tests/council/test_cost.py
@@ -19,7 +19,7 @@
     for planner in bench.planners.values():
         if council:
             planner.on_use = lambda customer, units: tally.add(customer, units, bench.now)
-            planner.on_outcome = lambda backend, outcome: seen.ended(backend, True, bench.now)
+            planner.on_outcome = lambda backend, outcome: seen.note_outcome(backend, True, bench.now)
     count = [0]
 
     def profile(frame: FrameType, event: str, argument: object) -> None:
--- a/tests/council/test_offices.py
+++ b/tests/council/test_offices.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from embersill.council.fences import Fence, Why
+from embersill.council.fences import Fence, FenceResult
 from embersill.council.messages import Act, Entry
 from embersill.council.offices import (
     OfficeRecord,
@@ -211,32 +211,32 @@
 def test_a_fence_takes_each_act_once_and_in_order() -> None:
     fence = Fence(frozenset({"probes"}))
     known = KNOWN.__getitem__
-    assert fence.check(Act("probes", 3, 5), "m1", known) is Why.TAKEN
-    assert fence.check(Act("probes", 3, 5), "m1", known) is Why.REPEATED
-    assert fence.check(Act("probes", 3, 4), "m1", known) is Why.REPEATED
-    assert fence.check(Act("probes", 3, 6), "m1", known) is Why.TAKEN
+    assert fence.check(Act("probes", 3, 5), "m1", known) is FenceResult.TAKEN
+    assert fence.check(Act("probes", 3, 5), "m1", known) is FenceResult.REPEATED
+    assert fence.check(Act("probes", 3, 4), "m1", known) is FenceResult.REPEATED
+    assert fence.check(Act("probes", 3, 6), "m1", known) is FenceResult.TAKEN
     assert fence.refused() == 2
 
 
 @pytest.mark.parametrize(
     ("act", "sender", "known", "why"),
     [
-        (Act("probes", 2, 9), "m1", (3, "m1"), Why.OLD),
-        (Act("probes", 3, 1), "m1", (3, ""), Why.OLD),
-        (Act("probes", 4, 1), "m1", (3, "m1"), Why.UNKNOWN),
-        (Act("probes", 1 << 60, 1), "m1", (3, "m1"), Why.UNKNOWN),
-        (Act("probes", 3, 1), "m2", (3, "m1"), Why.STRANGER),
-        (Act("other", 3, 1), "m1", (3, "m1"), Why.NO_OFFICE),
+        (Act("probes", 2, 9), "m1", (3, "m1"), FenceResult.OLD),
+        (Act("probes", 3, 1), "m1", (3, ""), FenceResult.OLD),
+        (Act("probes", 4, 1), "m1", (3, "m1"), FenceResult.UNKNOWN),
+        (Act("probes", 1 << 60, 1), "m1", (3, "m1"), FenceResult.UNKNOWN),
+        (Act("probes", 3, 1), "m2", (3, "m1"), FenceResult.STRANGER),
+        (Act("other", 3, 1), "m1", (3, "m1"), FenceResult.NO_OFFICE),
     ],
 )
-def test_a_fence_says_why(act: Act, sender: str, known: tuple[int, str], why: Why) -> None:
+def test_a_fence_says_why(act: Act, sender: str, known: tuple[int, str], why: FenceResult) -> None:
     fence = Fence(frozenset({"probes"}))
     assert fence.check(act, sender, lambda office: known) is why
     # and whatever it was, it is in nobody's way
-    assert fence.check(Act("probes", 3, 1), "m1", lambda office: (3, "m1")) is Why.TAKEN
+    assert fence.check(Act("probes", 3, 1), "m1", lambda office: (3, "m1")) is FenceResult.TAKEN
 
 
 def test_a_fence_that_took_a_higher_number_takes_no_lower_one_whatever_the_register_shows() -> None:
     fence = Fence(frozenset({"probes"}))
-    assert fence.check(Act("probes", 5, 1), "m2", lambda office: (5, "m2")) is Why.TAKEN
-    assert fence.check(Act("probes", 4, 9), "m1", lambda office: (4, "m1")) is Why.OLD
+    assert fence.check(Act("probes", 5, 1), "m2", lambda office: (5, "m2")) is FenceResult.TAKEN
+    assert fence.check(Act("probes", 4, 9), "m1", lambda office: (4, "m1")) is FenceResult.OLD
--- a/tests/council/test_probes.py
+++ b/tests/council/test_probes.py
@@ -5,10 +5,10 @@
 import pytest
 
 from embersill.council.probes import (
-    FRESH,
-    MOST_BACKENDS,
-    PUBLISH_EVERY,
-    SUSPECTED_FOR,
+    VERDICT_TTL_S,
+    MAX_BACKENDS,
+    PUBLISH_INTERVAL_S,
+    SUSPICION_S,
     Advice,
     Prober,
     ProbeSettings,
@@ -19,16 +19,16 @@
 def test_a_backend_is_suspected_after_failures_in_a_row_and_not_for_ever() -> None:
     seen = Suspicions()
     for well in (False, False, True, False, False):
-        seen.ended("b", well, 1.0)
+        seen.note_outcome("b", well, 1.0)
     assert not seen.suspected(1.0)
-    seen.ended("b", False, 2.0)
+    seen.note_outcome("b", False, 2.0)
     assert seen.suspected(2.0) == ["b"]
-    assert not seen.suspected(2.1 + SUSPECTED_FOR)
-    seen.ended("gone", False, 3.0, gone=True)
+    assert not seen.suspected(2.1 + SUSPICION_S)
+    seen.note_outcome("gone", False, 3.0, unreachable=True)
     assert seen.suspected(3.0) == ["b", "gone"]
-    for n in range(MOST_BACKENDS + 5):
-        seen.ended(f"b{n}", False, 3.0)
-    assert len(seen.failed) == MOST_BACKENDS
+    for n in range(MAX_BACKENDS + 5):
+        seen.note_outcome(f"b{n}", False, 3.0)
+    assert len(seen.failed) == MAX_BACKENDS
 
 
 @pytest.mark.parametrize("suspects", [1, 10, 400])
@@ -40,7 +40,7 @@
         prober.suspect([f"b{n}" for n in range(suspects)], now)
         for name in prober.due(now):
             probes += 1
-            prober.probed(name, False)
+            prober.on_probe_result(name, False)
     assert probes <= 5.0 * 10 + 3
     assert probes >= min(suspects, 40)
 
@@ -52,7 +52,7 @@
     for step in range(1, 60):
         for name in prober.due(step * 0.02):
             order.append(name)
-            prober.probed(name, False)
+            prober.on_probe_result(name, False)
     assert {order.count(name) for name in "abc"} <= {len(order) // 3, len(order) // 3 + 1}
 
 
@@ -61,8 +61,8 @@
     prober.suspect(["b"], 0.0)
     verdicts = []
     for well in (False, True, False, False, True, False, True, True):
-        prober.probed("b", well)
-        verdicts.append(prober.cases["b"].out)
+        prober.on_probe_result("b", well)
+        verdicts.append(prober.backends["b"].unusable)
     assert verdicts == [False, False, False, True, True, True, True, False]
     assert prober.counts["condemned"] == prober.counts["acquitted"] == 1
 
@@ -71,45 +71,45 @@
     prober = Prober(ProbeSettings())
     prober.suspect(["b"], 0.0)
     for _ in range(2):
-        prober.probed("b", False)
+        prober.on_probe_result("b", False)
     assert prober.due(1000.0) == ["b"]
     assert prober.due(1000.5) == []  # one at a time
     for _ in range(2):
-        prober.probed("b", True)
-    assert prober.due(2000.0) == [] and "b" not in prober.cases
+        prober.on_probe_result("b", True)
+    assert prober.due(2000.0) == [] and "b" not in prober.backends
 
 
 def test_verdicts_are_published_now_and_then_with_their_age() -> None:
     prober = Prober(ProbeSettings())
     prober.suspect(["b"], 1.0)
     assert prober.due(1.0) == ["b"]
-    prober.probed("b", False)
+    prober.on_probe_result("b", False)
     verdicts = prober.verdicts(1.2)
     assert verdicts is not None and verdicts[0][:2] == ("b", True)
     assert verdicts[0][2] == pytest.approx(0.2)
-    assert prober.verdicts(1.2 + PUBLISH_EVERY / 2) is None
+    assert prober.verdicts(1.2 + PUBLISH_INTERVAL_S / 2) is None
 
 
 def test_advice_holds_while_it_is_fresh() -> None:
     advice, known = Advice(), {f"b{n}": True for n in range(6)}
-    advice.take([("b1", False, 1.0), ("b2", True, 0.0), ("b3", False, FRESH)], 10.0)
+    advice.update([("b1", False, 1.0), ("b2", True, 0.0), ("b3", False, VERDICT_TTL_S)], 10.0)
     assert advice.changes(known, 10.0) == [("b1", True)]
     assert advice.changes(known, 10.5) == []
-    assert advice.changes(known, 10.0 + FRESH) == [("b1", False)]
+    assert advice.changes(known, 10.0 + VERDICT_TTL_S) == [("b1", False)]
 
 
 def test_advice_to_leave_out_more_than_a_part_is_not_followed() -> None:
     advice, known = Advice(), {f"b{n}": True for n in range(6)}
-    advice.take([(f"b{n}", False, 0.0) for n in range(2)], 10.0)
+    advice.update([(f"b{n}", False, 0.0) for n in range(2)], 10.0)
     assert len(advice.changes(known, 10.0)) == 2
-    advice.take([(f"b{n}", False, 0.0) for n in range(6)], 11.0)
+    advice.update([(f"b{n}", False, 0.0) for n in range(6)], 11.0)
     assert sorted(advice.changes(known, 11.0)) == [("b0", False), ("b1", False)]
     assert advice.counts["too_many"] == 1
-    advice.take([(f"b{n}", True, 0.0) for n in range(2, 6)], 12.0)
+    advice.update([(f"b{n}", True, 0.0) for n in range(2, 6)], 12.0)
     assert sorted(advice.changes(known, 12.0)) == [("b0", True), ("b1", True)]
 
 
 def test_advice_on_backends_that_are_not_there_counts_for_nothing() -> None:
     advice = Advice()
-    advice.take([("gone", False, 0.0)], 1.0)
+    advice.update([("gone", False, 0.0)], 1.0)
     assert advice.changes({"b0": True, "b1": True, "b2": True}, 1.0) == []
