--- a/tests/council/helpers.py
+++ b/tests/council/helpers.py
@@ -1,4 +1,4 @@
-"""Members side by side on a network that a test directs, message by message."""
+"""Members of one council in one process, on a network that a test controls message by message."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Bench:
-    """`n` members that have founded their register. `settle` has messages go round; `drop` loses some."""
+    """`n` members with a fresh register. `settle` delivers messages; `drop` decides which are lost."""
 
     def __init__(self, n: int = 3, terms: CouncilTerms = TERMS) -> None:
         self.names = [f"m{k}" for k in range(n)]
@@ -35,13 +35,13 @@
         self.members[name] = member
         return member
 
-    def pass_on(self) -> bool:
-        """One round of questions and their answers; False if nothing was said."""
-        said = False
+    def deliver_round(self) -> bool:
+        """Delivers the pending requests and their answers; False if there were none."""
+        sent_any = False
         for name, member in list(self.members.items()):
             out, member.outbox = member.outbox, []
             for to, number, ask in out:
-                said = True
+                sent_any = True
                 receiver = self.members.get(to)
                 if receiver is None or self.drop(name, to, ask):
                     continue
@@ -49,14 +49,14 @@
                 receiver.register.mark_durable(receiver.register.mark)
                 if not self.drop(to, name, answer) and self.members.get(name) is member:
                     member.on_answer(number, answer, self.now)
-        return said
+        return sent_any
 
     def settle(self, seconds: float = 0.0) -> None:
-        """Lets all that is said come to its end, and so much time go by."""
+        """Delivers messages until none are left, and advances time by `seconds`."""
         end = self.now + seconds
         while True:
             for _ in range(200):
-                if not self.pass_on():
+                if not self.deliver_round():
                     break
             if self.now >= end:
                 return
@@ -65,7 +65,7 @@
                 member.tick(self.now)
 
     def write(self, name: str, key: str, text: str | None, wanted: str | None = "") -> list[Result]:
-        """Begins a write; `wanted`: only if that is what stands there (the empty text: whatever does)."""
+        """Begins a write; `wanted`: only if that is the present value (the empty text: unconditionally)."""
         results: list[Result] = []
 
         def change(entry: Entry | None) -> bytes | None:
@@ -81,17 +81,17 @@
         return results
 
     def cut(self, *pairs: tuple[str, str]) -> None:
-        """Nothing goes from the first to the second of each pair any more."""
+        """Drops all messages from the first to the second of each pair from now on."""
         gone = set(pairs)
         self.drop = lambda sender, to, message: (sender, to) in gone
 
-    def alone(self, name: str) -> None:
+    def isolate(self, name: str) -> None:
         others = [other for other in self.names if other != name]
         self.cut(*((name, other) for other in others), *((other, name) for other in others))
 
 
 def value(results: list[Result]) -> str | None:
-    """What a read or write that is done found or wrote."""
+    """The value that a successful read found or a successful write wrote."""
     assert results and results[0].how is How.DONE, results
     entry = results[0].entry
     return None if entry is None else entry.data.decode()
--- a/tests/council/test_export.py
+++ b/tests/council/test_export.py
@@ -240,7 +240,7 @@
             late.append(call)
         elif call is not None:
             owner.exporter.on_answer(call, owner.booked(call), owner.bench.now)
-        owner.bench.pass_on()
+        owner.bench.deliver_round()
         owner.bench.now += 0.02
     if booked:
         for call in late:
--- a/tests/council/test_member.py
+++ b/tests/council/test_member.py
@@ -1,4 +1,4 @@
-"""Reads and writes of the register, and members that come and go, one message at a time."""
+"""Reads and writes of the register, restarts and recovery of members, one message at a time."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
     Accept,
     Accepted,
     Answer,
-    Request,
     Ballot,
+    CellReply,
     Entry,
     Hello,
     Join,
+    JoinReply,
     Life,
     NotReady,
     Origin,
     Prepare,
+    Question,
     Refused,
-    JoinReply,
+    Request,
     Superseded,
-    CellReply,
-    encode_frame,
     decode_question,
     decode_reply,
+    encode_frame,
 )
-from embersill.council.messages import Question as Asked
 from embersill.council.register import Register
-from embersill.council.terms import MAX_VALUE_BYTES, MAX_KEYS
+from embersill.council.terms import MAX_KEYS, MAX_VALUE_BYTES
 from embersill.tiers.messages import BadFrame
 from tests.council.helpers import Bench, value
 
 
-def test_what_one_writes_another_reads() -> None:
+def test_a_member_reads_what_another_wrote() -> None:
     bench = Bench()
     written = bench.write("m0", "k", "a")
     bench.settle()
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("members", [1, 2, 3, 5])
-def test_any_number_of_members_keeps_a_register(members: int) -> None:
+def test_a_register_works_with_any_number_of_members(members: int) -> None:
     bench = Bench(members)
     for n, name in enumerate(bench.names):
         written = bench.write(name, "k", f"v{n}")
@@ -55,7 +55,7 @@
         assert value(written) == f"v{n}"
 
 
-def test_a_change_that_does_not_want_what_it_finds_writes_nothing() -> None:
+def test_a_change_that_declines_the_value_found_writes_nothing() -> None:
     bench = Bench()
     bench.write("m0", "k", "a")
     bench.settle()
@@ -82,21 +82,21 @@
     assert value(again) == "b" and seen == ["Accept"] * 3
 
 
-def test_a_refusal_by_what_was_promised_ahead_is_made_sure_of() -> None:
+def test_a_refusal_based_on_advance_promises_is_confirmed_by_a_majority() -> None:
     bench = Bench()
     bench.write("m0", "k", "a")
     bench.settle()
     bench.write("m1", "k", "b")
     bench.settle(0.5)
-    refused = bench.write("m0", "k", "c", wanted="a")  # m0's own last word is "a", which is over
+    refused = bench.write("m0", "k", "c", wanted="a")  # the last entry m0 wrote itself is "a", since replaced
     bench.settle(0.5)
     assert refused[0].how is How.REFUSED and refused[0].entry is not None
     assert refused[0].entry.data == b"b"
 
 
-def test_a_member_alone_can_neither_read_nor_write() -> None:
+def test_an_isolated_member_can_neither_read_nor_write() -> None:
     bench = Bench()
-    bench.alone("m0")
+    bench.isolate("m0")
     read, written = bench.read("m0", "k"), bench.write("m0", "k", "a")
     bench.settle(3.0)
     assert read[0].how is How.FAILED and written[0].how is How.FAILED
@@ -105,7 +105,7 @@
     assert value(others) == "b"
 
 
-def test_a_write_of_which_only_a_minority_heard_is_unknown_and_then_finished_by_a_read() -> None:
+def test_a_write_accepted_by_a_minority_ends_unknown_and_a_read_completes_it() -> None:
     bench = Bench()
     bench.write("m0", "k", "a")
     bench.settle()
@@ -113,7 +113,7 @@
     written = bench.write("m0", "k", "b")
     bench.settle(2.5)
     assert written[0].how is How.UNKNOWN
-    bench.cut(("m1", "m0"), ("m0", "m1"))  # the majority is now m0, which has it, and m2
+    bench.cut(("m1", "m0"), ("m0", "m1"))  # m2 reaches a majority with m0, which has the entry
     read = bench.read("m2", "k")
     bench.settle(1.0)
     first = value(read)
@@ -124,21 +124,21 @@
         assert value(again) == first == "b"
 
 
-def test_a_quick_read_does_not_tell_what_only_one_has() -> None:
+def test_a_peek_does_not_return_an_entry_accepted_by_one_member_only() -> None:
     bench = Bench()
     bench.write("m0", "k", "a")
     bench.settle()
     bench.drop = lambda sender, to, message: isinstance(message, Accept) and to != "m0"
     bench.write("m0", "k", "b")
-    bench.pass_on()
+    bench.deliver_round()
     bench.members["m0"].operations.clear()
-    bench.cut(("m0", "m1"), ("m0", "m2"))  # its answers don't come; nor is it asked
+    bench.cut(("m0", "m1"), ("m0", "m2"))  # m0's answers are lost
     read = bench.read("m1", "k")
     bench.settle(1.0)
     assert value(read) == "a"
 
 
-def test_two_who_write_at_once_both_come_to_an_end_and_one_at_least_is_sure_of_its_own() -> None:
+def test_two_concurrent_writes_both_end_and_at_least_one_is_done() -> None:
     bench = Bench()
     both = [bench.write(name, "k", name) for name in ("m0", "m1")]
     bench.settle(2.0)
@@ -149,7 +149,7 @@
     assert value(read) in ("m0", "m1")
 
 
-def test_an_entry_that_comes_twice_is_accepted_twice_and_written_once() -> None:
+def test_a_duplicate_accept_is_answered_again_and_recorded_once() -> None:
     register = Register("m0", ["m0"])
     register.load([])
     register.begin_life("n")
@@ -164,7 +164,7 @@
     assert isinstance(register.handle(lower), Refused)
 
 
-def test_numbers_from_nowhere_and_keys_beyond_the_bound_are_refused() -> None:
+def test_implausible_ballots_and_keys_beyond_the_limit_are_refused() -> None:
     register = Register("m0", ["m0"])
     register.load([])
     register.begin_life("n")
@@ -181,7 +181,7 @@
     return [msgspec.msgpack.encode(bench.members[name].register.snapshot())]
 
 
-def test_a_member_that_comes_back_with_its_memory_votes_again() -> None:
+def test_a_member_that_restarts_with_its_state_votes_again() -> None:
     bench = Bench()
     bench.write("m0", "k", "a")
     bench.settle()
@@ -189,13 +189,13 @@
     assert not member.register.votes and member.register.life.boot == 2
     bench.settle(1.0)
     assert member.register.votes
-    bench.alone("m2")
+    bench.isolate("m2")
     read = bench.read("m1", "k")
     bench.settle(0.5)
     assert value(read) == "a"
 
 
-def test_all_that_come_back_at_once_go_on() -> None:
+def test_the_register_survives_a_restart_of_all_members_at_once() -> None:
     bench = Bench()
     bench.write("m0", "k", "a")
     bench.settle()
@@ -208,27 +208,27 @@
     assert value(read) == "a"
 
 
-def test_a_member_without_its_memory_learns_from_a_majority_of_the_others() -> None:
+def test_a_member_without_its_state_recovers_it_from_a_majority_of_the_others() -> None:
     bench = Bench()
     bench.write("m0", "k", "a")
     bench.settle()
-    bench.alone("m2")  # it does not hear the write
+    bench.isolate("m2")  # it misses the write
     bench.write("m0", "k", "b")
     bench.settle(0.5)
     bench.cut(("m0", "m2"), ("m2", "m0"))
     member = bench.start("m0", None)  # m0 and m1 had "b"; m0 has lost it, and m2 has "a"
     bench.settle(2.0)
-    assert not member.register.votes  # with m1 alone it can't know what else it had promised
+    assert not member.register.votes  # m1 alone cannot know what m0 had promised to others
     bench.drop = lambda *a: False
     bench.settle(2.0)
     assert member.register.votes and member.register.life.boot > 1
-    bench.alone("m1")
+    bench.isolate("m1")
     read = bench.read("m2", "k")
     bench.settle(1.0)
     assert value(read) == "b"
 
 
-def test_a_memory_of_which_others_saw_more_is_learned_anew() -> None:
+def test_an_outdated_state_is_recovered_from_the_others() -> None:
     bench = Bench()
     old = records_of(bench, "m0")
     bench.write("m1", "k", "a")
@@ -239,8 +239,9 @@
     assert member.register.cells["k"].entry is not None
 
 
-def test_a_life_that_was_counted_in_a_majority_does_not_count_once_it_is_over() -> None:
-    # m0 promises to m1 and loses its memory; m1's majority would be m0's old life and m2, who knows the new
+def test_an_answer_of_a_life_that_is_over_no_longer_counts_towards_a_majority() -> None:
+    # m0 promises to m1 and loses its state; m1's majority would be m0's old life and
+    # m2, which knows the new one
     bench = Bench()
     promises: list[str] = []
 
@@ -256,7 +257,7 @@
     bench.write("m1", "k", "a")
     operation = next(iter(m1.operations.values()))
     bench.drop = lambda sender, to, message: hold(sender, to, message) or sender == to == "m1"
-    bench.pass_on()
+    bench.deliver_round()
     assert set(operation.replies) == {"m0"}
     life = Life(7, "x")
     m2 = bench.members["m2"].register
@@ -268,20 +269,20 @@
 
 def test_the_older_of_two_processes_with_one_name_retires() -> None:
     bench = Bench()
-    told: list[Life] = []
+    retired: list[Life] = []
     first = bench.members["m0"]
-    first.on_retired = told.append
+    first.on_retired = retired.append
     bench.start("m0", records_of(bench, "m0"))
     bench.settle(1.0)
     answer = bench.members["m1"].register.handle(Hello(first.register.origin))
     first.on_answer(0, answer, bench.now)
-    assert isinstance(answer, Superseded) and first.register.retired and told
+    assert isinstance(answer, Superseded) and first.register.retired and retired
     results = []
     first.read("k", lambda result, now: results.append(result), bench.now)
     assert results[0].how is How.FAILED
 
 
-def test_nobody_learns_from_one_who_has_no_vote() -> None:
+def test_a_member_without_a_vote_sends_no_state() -> None:
     register = Register("m0", ["m0", "m1"])
     register.load([])
     register.begin_life("n")
@@ -291,22 +292,22 @@
     assert isinstance(register.handle(Join(Origin("m1", Life(2, "n"), 0))), JoinReply)
 
 
-def test_a_record_that_is_none_is_refused() -> None:
+def test_an_undecodable_record_is_refused() -> None:
     with pytest.raises(ValueError, match="undecodable journal record"):
         Register("m0", ["m0"]).load([b"\xc1"])
 
 
 @pytest.mark.parametrize("frame", [b"", b"\xc1", b"\x93\xa1q\x01\x01", bytes(50)])
-def test_frames_that_are_none_are_refused(frame: bytes) -> None:
+def test_undecodable_frames_are_refused(frame: bytes) -> None:
     with pytest.raises(BadFrame):
         decode_question(frame)
     with pytest.raises(BadFrame):
         decode_reply(frame)
 
 
-def test_a_value_over_the_bound_is_refused_by_whoever_reads_it() -> None:
+def test_a_value_over_the_limit_is_refused_by_its_receiver() -> None:
     origin = Origin("m0", Life(1, "n"), 0)
     entry = Entry(1, "w", b"x" * (MAX_VALUE_BYTES + 1))
-    frame = encode_frame(Asked(1, Accept(origin, "k", Ballot(1, "m0", 1), entry, Ballot(2, "m0", 1))))
+    frame = encode_frame(Question(1, Accept(origin, "k", Ballot(1, "m0", 1), entry, Ballot(2, "m0", 1))))
     with pytest.raises(BadFrame):
         decode_question(frame)
--- a/tests/council/test_offices.py
+++ b/tests/council/test_offices.py
@@ -1,4 +1,4 @@
-"""Offices: one owner at a time, numbers that grow, and acts that are refused once it is over."""
+"""Leases on offices: one owner at a time, growing numbers, and actions that are refused after expiry."""
 
 from __future__ import annotations
 
@@ -20,176 +20,178 @@
 from tests.council.helpers import TERMS, Bench
 
 
-class Posts(Bench):
-    """Members that stand for one office."""
+class LeaseBench(Bench):
+    """Members that are candidates for one office."""
 
     def __init__(
         self, n: int = 3, terms: CouncilTerms = TERMS, prefer: tuple[str, ...] = ("m0", "m1", "m2")
     ) -> None:
         super().__init__(n, terms)
-        self.posts = {
+        self.leases = {
             name: OfficeLease("work", member, terms, self.now, prefer=prefer)
             for name, member in self.members.items()
         }
         for name, member in self.members.items():
             member.register.on_accepted = self.seen(name)
         self.stopped = set(self.names[1:])
-        self.most = 0
-        self.go(0.2)  # the first one takes it
+        self.max_owners = 0
+        self.run(0.2)  # the first member takes the office
         self.stopped.clear()
 
     def seen(self, name: str) -> Callable[[str, Entry], None]:
         def observe(key: str, entry: Entry) -> None:
             if key == "office/work":
-                self.posts[name].observe(entry, self.now, confirmed=False)
+                self.leases[name].observe(entry, self.now, confirmed=False)
 
         return observe
 
-    def go(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end:
-            for name, post in self.posts.items():
+            for name, lease in self.leases.items():
                 if name not in self.stopped:
-                    post.tick(self.now)
+                    lease.tick(self.now)
             self.settle(0.01)
-            self.most = max(self.most, sum(post.held(self.now) for post in self.posts.values()))
+            self.max_owners = max(
+                self.max_owners, sum(lease.held(self.now) for lease in self.leases.values())
+            )
 
     def owners(self) -> list[str]:
-        return [name for name, post in self.posts.items() if post.held(self.now)]
+        return [name for name, lease in self.leases.items() if lease.held(self.now)]
 
 
-def test_the_first_in_the_order_takes_it_and_keeps_it() -> None:
-    bench = Posts()
-    bench.go(1.0)
-    assert bench.owners() == ["m0"] and bench.most == 1
-    number = bench.posts["m0"].known_number()
-    bench.go(5.0)
-    assert bench.owners() == ["m0"] and bench.posts["m0"].counts["taken"] == 1
+def test_the_first_candidate_takes_the_office_and_keeps_it() -> None:
+    bench = LeaseBench()
+    bench.run(1.0)
+    assert bench.owners() == ["m0"] and bench.max_owners == 1
+    number = bench.leases["m0"].known_number()
+    bench.run(5.0)
+    assert bench.owners() == ["m0"] and bench.leases["m0"].counts["taken"] == 1
     assert all(
-        post.known_number() == number and post.holder(bench.now) == "m0" for post in bench.posts.values()
+        lease.known_number() == number and lease.holder(bench.now) == "m0" for lease in bench.leases.values()
     )
 
 
-def test_an_owner_that_stands_still_is_followed_once_its_lease_is_over_and_not_before() -> None:
-    bench = Posts()
-    bench.go(1.0)
-    post = bench.posts["m0"]
+def test_a_stalled_owner_is_replaced_after_its_lease_and_not_before() -> None:
+    bench = LeaseBench()
+    bench.run(1.0)
+    lease = bench.leases["m0"]
     bench.stopped.add("m0")
-    began, until = bench.now, post.lease.expires_at if post.lease is not None else 0.0
-    while not bench.posts["m1"].held(bench.now):
-        bench.go(0.01)
-    assert until <= bench.now <= began + TERMS.lease + 0.2
-    assert bench.most == 1
+    started_at, expires_at = bench.now, lease.lease.expires_at if lease.lease is not None else 0.0
+    while not bench.leases["m1"].held(bench.now):
+        bench.run(0.01)
+    assert expires_at <= bench.now <= started_at + TERMS.lease + 0.2
+    assert bench.max_owners == 1
     with pytest.raises(NotHeld):
-        post.act(bench.now)
-    assert bench.posts["m1"].known_number() == 2
+        lease.act(bench.now)
+    assert bench.leases["m1"].known_number() == 2
     bench.stopped.clear()
-    bench.go(0.2)
-    assert bench.owners() == ["m1"] and post.counts["lost"] == 1
+    bench.run(0.2)
+    assert bench.owners() == ["m1"] and lease.counts["lost"] == 1
 
 
-def test_an_owner_that_is_cut_off_stops_by_itself_before_another_begins() -> None:
-    bench = Posts()
-    bench.go(1.0)
-    bench.alone("m0")
+def test_an_isolated_owner_stops_before_another_member_begins() -> None:
+    bench = LeaseBench()
+    bench.run(1.0)
+    bench.isolate("m0")
     gap = 0
     for _ in range(120):
-        bench.go(0.01)
+        bench.run(0.01)
         gap += not bench.owners()
-    assert bench.owners() == ["m1"] and bench.most == 1
+    assert bench.owners() == ["m1"] and bench.max_owners == 1
     assert 0 < gap * 0.01 < 0.25
     bench.drop = lambda *a: False
-    bench.go(1.0)
+    bench.run(1.0)
     assert bench.owners() == ["m1"]
 
 
-def test_where_each_hears_only_its_neighbours_it_stands_with_one() -> None:
-    bench = Posts()
+def test_the_office_stays_with_one_member_where_each_reaches_only_its_neighbours() -> None:
+    bench = LeaseBench()
     bench.cut(("m0", "m2"), ("m2", "m0"))
-    bench.go(10.0)
-    assert len(bench.owners()) == 1 and bench.most == 1
-    assert sum(post.counts["taken"] for post in bench.posts.values()) <= 2
+    bench.run(10.0)
+    assert len(bench.owners()) == 1 and bench.max_owners == 1
+    assert sum(lease.counts["taken"] for lease in bench.leases.values()) <= 2
 
 
-def test_one_that_hears_nobody_disturbs_nobody() -> None:
-    bench = Posts()
-    bench.go(1.0)
+def test_a_member_that_receives_nothing_disturbs_nobody() -> None:
+    bench = LeaseBench()
+    bench.run(1.0)
     bench.cut(("m0", "m2"), ("m1", "m2"))  # m2 is heard and hears nothing
     rounds = bench.members["m0"].counts["lost"]
-    bench.go(5.0)
+    bench.run(5.0)
     assert bench.owners() == ["m0"] and bench.members["m0"].counts["lost"] == rounds
-    assert bench.posts["m0"].counts["taken"] == 1
+    assert bench.leases["m0"].counts["taken"] == 1
 
 
-def test_it_is_given_up_in_order_and_taken_at_once() -> None:
-    bench = Posts()
-    bench.go(1.0)
-    bench.posts["m0"].leave(bench.now)
-    began = bench.now
+def test_a_released_office_is_taken_at_once() -> None:
+    bench = LeaseBench()
+    bench.run(1.0)
+    bench.leases["m0"].leave(bench.now)
+    started_at = bench.now
     while not bench.owners():
-        bench.go(0.01)
-    assert bench.owners() == ["m1"] and bench.now - began < TERMS.lease / 2 and bench.most == 1
-    bench.go(2.0)
+        bench.run(0.01)
+    assert bench.owners() == ["m1"] and bench.now - started_at < TERMS.lease / 2 and bench.max_owners == 1
+    bench.run(2.0)
     assert bench.owners() == ["m1"]
 
 
-def test_who_goes_before_gets_it_back_once_it_was_well_for_long() -> None:
-    bench = Posts(terms=CouncilTerms(settle_back=3.0))
-    bench.go(1.0)
-    bench.alone("m0")
-    bench.go(1.5)
+def test_a_preferred_member_gets_the_office_back_after_settle_back() -> None:
+    bench = LeaseBench(terms=CouncilTerms(settle_back=3.0))
+    bench.run(1.0)
+    bench.isolate("m0")
+    bench.run(1.5)
     assert bench.owners() == ["m1"]
     bench.drop = lambda *a: False
-    bench.go(2.0)
+    bench.run(2.0)
     assert bench.owners() == ["m1"]  # not yet
-    bench.go(3.0)
-    assert bench.owners() == ["m0"] and bench.most == 1 and bench.posts["m1"].counts["given"] == 1
+    bench.run(3.0)
+    assert bench.owners() == ["m0"] and bench.max_owners == 1 and bench.leases["m1"].counts["given"] == 1
 
 
-def test_one_that_resigns_does_not_take_it_again_for_a_while() -> None:
-    bench = Posts()
-    bench.go(1.0)
-    bench.posts["m0"].resign(bench.now, 3.0)
-    bench.go(1.0)
+def test_a_member_that_resigned_does_not_take_the_office_for_a_while() -> None:
+    bench = LeaseBench()
+    bench.run(1.0)
+    bench.leases["m0"].resign(bench.now, 3.0)
+    bench.run(1.0)
     assert bench.owners() == ["m1"]
-    bench.alone("m1")
-    bench.go(1.0)
+    bench.isolate("m1")
+    bench.run(1.0)
     assert bench.owners() == ["m2"]
 
 
-def test_acts_are_numbered_and_say_until_when_they_may_be_written() -> None:
-    bench = Posts()
-    bench.go(1.0)
-    post = bench.posts["m0"]
-    first, second = post.act(bench.now), post.act(bench.now)
+def test_permits_are_numbered_and_carry_their_deadline() -> None:
+    bench = LeaseBench()
+    bench.run(1.0)
+    lease = bench.leases["m0"]
+    first, second = lease.act(bench.now), lease.act(bench.now)
     assert (first.act.number, first.act.sequence, second.act.sequence) == (1, 1, 2)
     assert bench.now < first.write_by <= bench.now + TERMS.usable
     with pytest.raises(NotHeld):
-        post.act(first.write_by)
+        lease.act(first.write_by)
 
 
-def test_what_one_member_accepted_and_no_majority_did_begins_the_wait_anew() -> None:
-    bench = Posts()
-    bench.go(1.0)
-    post = bench.posts["m1"]
-    assert post.observed is not None
-    before, free = post.observed, post.may_take_at()
+def test_an_entry_accepted_by_a_single_member_restarts_the_wait() -> None:
+    bench = LeaseBench()
+    bench.run(1.0)
+    lease = bench.leases["m1"]
+    assert lease.observed is not None
+    before, may_take_at = lease.observed, lease.may_take_at()
     bench.now += 0.3
     other = Entry(
         before.version, "another write", encode_office(OfficeRecord("m2", 1, before.record.number, 0))
     )
-    post.observe(other, bench.now, confirmed=False)
-    assert post.may_take_at() >= free + 0.25 and post.observed.writer == "another write"
+    lease.observe(other, bench.now, confirmed=False)
+    assert lease.may_take_at() >= may_take_at + 0.25 and lease.observed.writer == "another write"
     older = Entry(before.version - 1, "late", encode_office(OfficeRecord("", 0, 1, 0)))
-    post.observe(older, bench.now + 0.1, confirmed=False)
-    assert post.observed.writer == "another write"
+    lease.observe(older, bench.now + 0.1, confirmed=False)
+    assert lease.observed.writer == "another write"
 
 
-def test_what_can_t_be_read_is_nobody_s() -> None:
+def test_an_undecodable_office_has_no_holder() -> None:
     assert read_office(Entry(3, "w", b"\xc1")).holder == "" and read_office(None).number == 0
 
 
-def test_the_order_is_the_same_for_all_and_spreads_offices() -> None:
+def test_the_candidate_order_is_the_same_for_all_members_and_spreads_offices() -> None:
     names = [f"m{n}" for n in range(5)]
     assert candidate_order("a", names) == candidate_order("a", reversed(names))
     assert (
@@ -199,7 +201,7 @@
     assert firsts == set(names)
 
 
-def test_terms_that_do_not_fit_are_refused() -> None:
+def test_inconsistent_terms_are_refused() -> None:
     check_council_terms(CouncilTerms())
     with pytest.raises(ValueError, match="hello_every"):
         check_council_terms(CouncilTerms(hello_every=0.0))
@@ -208,7 +210,7 @@
 KNOWN = {"probes": (3, "m1")}
 
 
-def test_a_fence_takes_each_act_once_and_in_order() -> None:
+def test_a_fence_accepts_each_action_once_and_in_order() -> None:
     fence = Fence(frozenset({"probes"}))
     known = KNOWN.__getitem__
     assert fence.check(Act("probes", 3, 5), "m1", known) is FenceResult.TAKEN
@@ -219,7 +221,7 @@
 
 
 @pytest.mark.parametrize(
-    ("act", "sender", "known", "why"),
+    ("act", "sender", "known", "result"),
     [
         (Act("probes", 2, 9), "m1", (3, "m1"), FenceResult.OLD),
         (Act("probes", 3, 1), "m1", (3, ""), FenceResult.OLD),
@@ -229,14 +231,16 @@
         (Act("other", 3, 1), "m1", (3, "m1"), FenceResult.NO_OFFICE),
     ],
 )
-def test_a_fence_says_why(act: Act, sender: str, known: tuple[int, str], why: FenceResult) -> None:
+def test_a_fence_returns_the_reason_of_a_refusal(
+    act: Act, sender: str, known: tuple[int, str], result: FenceResult
+) -> None:
     fence = Fence(frozenset({"probes"}))
-    assert fence.check(act, sender, lambda office: known) is why
-    # and whatever it was, it is in nobody's way
+    assert fence.check(act, sender, lambda office: known) is result
+    # a refused action never blocks a valid one
     assert fence.check(Act("probes", 3, 1), "m1", lambda office: (3, "m1")) is FenceResult.TAKEN
 
 
-def test_a_fence_that_took_a_higher_number_takes_no_lower_one_whatever_the_register_shows() -> None:
+def test_a_fence_accepts_no_lower_number_than_before_whatever_the_register_shows() -> None:
     fence = Fence(frozenset({"probes"}))
     assert fence.check(Act("probes", 5, 1), "m2", lambda office: (5, "m2")) is FenceResult.TAKEN
     assert fence.check(Act("probes", 4, 9), "m1", lambda office: (4, "m1")) is FenceResult.OLD
