--- a/tests/council/test_cost.py
+++ b/tests/council/test_cost.py
@@ -1,4 +1,4 @@
-"""What a request costs more with a council: nothing at a forwarder, three calls at a planner."""
+"""The extra cost of a request with a council: nothing at a forwarder, three calls at a planner."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def calls(council: bool) -> tuple[int, float]:
-    """Python calls of so many requests through forwarders and planners, and the units that were noted."""
-    bench, tally, seen = Bench(), Tally(60.0), Suspicions()
+    """The Python calls that the requests take at forwarders and planners, and the units that were counted."""
+    bench, tally, suspicions = Bench(), Tally(60.0), Suspicions()
     bench.link_all()
     for planner in bench.planners.values():
         if council:
             planner.on_use = lambda customer, units: tally.add(customer, units, bench.now)
-            planner.on_outcome = lambda backend, outcome: seen.note_outcome(backend, True, bench.now)
+            planner.on_outcome = lambda backend, outcome: suspicions.note_outcome(backend, True, bench.now)
     count = [0]
 
     def profile(frame: FrameType, event: str, argument: object) -> None:
@@ -38,9 +38,9 @@
     return count[0], tally.units["noted"]
 
 
-def test_a_request_costs_three_calls_more_at_its_planner_and_each_unit_is_noted() -> None:
+def test_a_request_costs_three_more_calls_at_its_planner_and_each_unit_is_counted() -> None:
     (plain, none), (more, noted) = calls(False), calls(True)
     assert none == 0.0 and noted == float(REQUESTS)
-    # the tally's two and what hears of the outcome; lambdas of this test are not counted
+    # two in the tally and one for the outcome; lambdas of this test are not counted
     assert more - plain == 3 * REQUESTS, (plain, more)
     assert plain / REQUESTS > 50
--- a/tests/council/test_export.py
+++ b/tests/council/test_export.py
@@ -1,4 +1,4 @@
-"""Use: noted, kept, offered, booked once, wherever its owner dies."""
+"""Usage is counted, stored, offered and booked exactly once, wherever the export's owner dies."""
 
 from __future__ import annotations
 
@@ -27,139 +27,139 @@
 from tests.council.test_journal import world_files
 
 
-def tally(name: str = "s") -> Tally:
-    made = Tally(10.0)
-    made.begin_stream(name)
-    made.records.clear()
-    return made
+def new_tally(name: str = "s") -> Tally:
+    tally = Tally(10.0)
+    tally.begin_stream(name)
+    tally.records.clear()
+    return tally
 
 
-def closed(made: Tally, now: float = 100.0) -> None:
-    made.take_notes()  # as if it was written
-    made.tick(now)
-    made.durable_batch = made.closed
+def close_batch(tally: Tally, now: float = 100.0) -> None:
+    tally.take_notes()  # as if they were written
+    tally.tick(now)
+    tally.durable_batch = tally.closed
 
 
 # planners
 
 
-def test_use_is_gathered_by_customer_and_period_and_taken_back() -> None:
-    made = tally()
+def test_usage_is_accumulated_by_customer_and_period_and_can_be_taken_back() -> None:
+    tally = new_tally()
     for units, wall in ((2.0, 1.0), (3.0, 9.0), (1.0, 11.0), (-3.0, 9.5)):
-        made.add("c", units, wall)
-    made.add("d", 5.0, 1.0)
-    made.add("d", -5.0, 1.0)
-    assert made.take_notes() is not None
-    made.tick(100.0)
-    assert made.batches[1] == [("c", 0, 2.0), ("c", 1, 1.0)] and not made.sums
+        tally.add("c", units, wall)
+    tally.add("d", 5.0, 1.0)
+    tally.add("d", -5.0, 1.0)
+    assert tally.take_notes() is not None
+    tally.tick(100.0)
+    assert tally.batches[1] == [("c", 0, 2.0), ("c", 1, 1.0)] and not tally.sums
 
 
 def test_a_batch_is_offered_once_it_is_on_disk_and_until_it_is_confirmed() -> None:
-    made = tally()
-    made.add("c", 2.0, 1.0)
-    made.take_notes()
-    made.tick(100.0)
-    assert not made.offers(8)
-    made.durable_batch = made.closed
-    assert made.offers(8) == made.offers(8) == [(1, [("c", 0, 2.0)])]
-    made.confirm(1)
-    assert not made.offers(8) and made.status()["unreported"] == 0.0
-    made.confirm(1)
-    assert len(made.records) == 2  # closed and done, each once
-
-
-def test_batches_are_bounded_and_use_is_gathered_on_meanwhile() -> None:
-    made = tally()
+    tally = new_tally()
+    tally.add("c", 2.0, 1.0)
+    tally.take_notes()
+    tally.tick(100.0)
+    assert not tally.offers(8)
+    tally.durable_batch = tally.closed
+    assert tally.offers(8) == tally.offers(8) == [(1, [("c", 0, 2.0)])]
+    tally.confirm(1)
+    assert not tally.offers(8) and tally.status()["unreported"] == 0.0
+    tally.confirm(1)
+    assert len(tally.records) == 2  # one batch and one confirmation
+
+
+def test_batches_are_bounded_and_usage_accumulates_meanwhile() -> None:
+    tally = new_tally()
     for n in range(MAX_BATCHES + 20):
-        made.add("c", 1.0, 1.0)
-        closed(made, n * BATCH_INTERVAL_S)
-    assert len(made.batches) == MAX_BATCHES and made.sums == {("c", 0): 20.0}
+        tally.add("c", 1.0, 1.0)
+        close_batch(tally, n * BATCH_INTERVAL_S)
+    assert len(tally.batches) == MAX_BATCHES and tally.sums == {("c", 0): 20.0}
     for n in range(MAX_ENTRIES + 10):
-        made.add(f"c{n}", 1.0, 1.0)
-    made.confirm(MAX_BATCHES)
-    closed(made, 1e6)
-    assert [len(entries) for entries in made.batches.values()] == [MAX_ENTRIES, 11]
+        tally.add(f"c{n}", 1.0, 1.0)
+    tally.confirm(MAX_BATCHES)
+    close_batch(tally, 1e6)
+    assert [len(entries) for entries in tally.batches.values()] == [MAX_ENTRIES, 11]
 
 
-def test_a_book_holds_all_of_it_over_a_kill() -> None:
+def test_a_usage_journal_survives_a_kill_of_the_process() -> None:
     files = world_files()
-    book = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
-    book.open("s")
-    book.tally.add("c", 2.0, 1.0)
-    assert book.write_notes()
-    book.tally.tick(100.0)
-    assert book.sync_batches() and book.tally.offers(8)
-    book.tally.add("c", 3.0, 1.0)
-    assert book.write_notes()
-    again = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
-    again.open("another")
-    assert again.tally.name == "s" and again.tally.offers(8) == [(1, [("c", 0, 2.0)])]
-    assert again.tally.sums == {("c", 0): 3.0}
-
-
-def test_a_power_failure_loses_what_was_not_synced_and_no_more() -> None:
+    usage = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
+    usage.open("s")
+    usage.tally.add("c", 2.0, 1.0)
+    assert usage.write_notes()
+    usage.tally.tick(100.0)
+    assert usage.sync_batches() and usage.tally.offers(8)
+    usage.tally.add("c", 3.0, 1.0)
+    assert usage.write_notes()
+    restarted = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
+    restarted.open("another")
+    assert restarted.tally.name == "s" and restarted.tally.offers(8) == [(1, [("c", 0, 2.0)])]
+    assert restarted.tally.sums == {("c", 0): 3.0}
+
+
+def test_a_power_failure_loses_only_unsynced_usage() -> None:
     for seed in range(120):
         files = world_files(seed)
-        book = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
-        book.open("s")
+        usage = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
+        usage.open("s")
         chance, synced, noted = random.Random(seed), 0.0, 0.0
         for n in range(chance.randint(2, 20)):
-            book.tally.add(f"c{n % 3}", 1.0, 1.0)
+            usage.tally.add(f"c{n % 3}", 1.0, 1.0)
             noted += 1.0
-            assert book.write_notes()
+            assert usage.write_notes()
             if chance.random() < 0.3:
-                book.tally.tick(n * BATCH_INTERVAL_S)
-                if book.tally.records and book.sync_batches():
+                usage.tally.tick(n * BATCH_INTERVAL_S)
+                if usage.tally.records and usage.sync_batches():
                     synced = noted
         files.disk.crash()
-        again = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
-        again.open("another")
-        left = sum(again.tally.sums.values()) + sum(
-            u for entries in again.tally.batches.values() for _, _, u in entries
+        restarted = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
+        restarted.open("another")
+        left = sum(restarted.tally.sums.values()) + sum(
+            u for entries in restarted.tally.batches.values() for _, _, u in entries
         )
-        assert synced <= left <= noted and again.tally.durable_batch >= book.tally.durable_batch
+        assert synced <= left <= noted and restarted.tally.durable_batch >= usage.tally.durable_batch
 
 
-def test_a_full_disk_keeps_the_use_in_memory_and_writes_it_once_there_is_room() -> None:
+def test_usage_stays_in_memory_on_a_full_disk_and_is_written_once_there_is_room() -> None:
     files = world_files()
-    book = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
-    book.open("s")
+    usage = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
+    usage.open("s")
     files.disk.fails = OSError(28, "no space left on the disk")
-    book.tally.add("c", 2.0, 1.0)
-    assert not book.write_notes() and "space" in book.disk_error
+    usage.tally.add("c", 2.0, 1.0)
+    assert not usage.write_notes() and "space" in usage.disk_error
     files.disk.fails = None
-    assert book.write_notes() and not book.disk_error
-    again = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
-    again.open("another")
-    assert again.tally.sums == {("c", 0): 2.0}
+    assert usage.write_notes() and not usage.disk_error
+    restarted = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
+    restarted.open("another")
+    assert restarted.tally.sums == {("c", 0): 2.0}
 
 
-def test_a_copied_book_begins_a_stream_of_its_own() -> None:
+def test_a_copied_usage_journal_begins_a_new_stream() -> None:
     files = world_files()
-    book = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
-    book.open("s")
+    usage = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
+    usage.open("s")
     files.put_back(files.copied())
-    again = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
-    again.open("another")
-    assert again.tally.name == "another" and "copy" in again.disk_error
+    restarted = UsageJournal(Journal(files, "use", "use", "m0"), Tally(10.0))
+    restarted.open("another")
+    assert restarted.tally.name == "another" and "copy" in restarted.disk_error
 
 
-def test_a_book_that_was_put_back_in_place_gives_up_its_numbers() -> None:
-    made = tally()
-    made.add("c", 2.0, 1.0)
-    closed(made)
-    made.confirm(7)  # the owner has booked more of this stream than there is here
-    assert made.name == "s'" and made.closed == 0 and not made.batches
-    made.add("c", 1.0, 1.0)
-    closed(made, 200.0)
-    assert made.offers(8)[0][0] == 1
+def test_a_restored_usage_journal_begins_a_new_stream() -> None:
+    tally = new_tally()
+    tally.add("c", 2.0, 1.0)
+    close_batch(tally)
+    tally.confirm(7)  # more of this stream is booked than is stored here
+    assert tally.name == "s'" and tally.closed == 0 and not tally.batches
+    tally.add("c", 1.0, 1.0)
+    close_batch(tally, 200.0)
+    assert tally.offers(8)[0][0] == 1
 
 
 # the owner
 
 
 class Owner:
-    """An exporter that holds its office, a register of three, and billing."""
+    """An exporter that holds its office, with a register of three members and billing."""
 
     def __init__(self) -> None:
         self.bench = Bench()
@@ -168,7 +168,7 @@
         self.exporter = self.next()
 
     def next(self) -> Exporter:
-        """A new owner, with nothing but the register to know of the old one."""
+        """A new owner, which knows of the old one only by the register."""
         self.number += 1
         member = self.bench.members["m0"]
         for operation in list(member.operations.values()):
@@ -212,9 +212,9 @@
         ]
 
 
-def test_what_is_offered_is_booked_in_order_and_confirmed() -> None:
+def test_offered_batches_are_booked_in_order_and_confirmed() -> None:
     owner = Owner()
-    assert owner.exporter.offer("s", 1, [("c", 0, 1.0)]) is None  # nothing is known yet
+    assert owner.exporter.offer("s", 1, [("c", 0, 1.0)]) is None  # the owner has not claimed yet
     owner.go(0.5)
     for number in (3, 1, 2):
         assert owner.exporter.offer("s", number, [("c", 0, 1.0)]) == 0
@@ -222,13 +222,15 @@
     assert owner.batches() == [("s", 1), ("s", 2), ("s", 3)]
     assert owner.exporter.offer("s", 4, []) == 3 and owner.exporter.offer("t", 2, []) == 0
     owner.go()
-    assert owner.batches()[3:] == [("s", 4)]  # t's first is missing
+    assert owner.batches()[3:] == [("s", 4)]  # t's first batch is missing
 
 
 @pytest.mark.parametrize("booked", [True, False])
 @pytest.mark.parametrize("point", range(24))
-def test_the_owner_dies_at_every_point_of_an_append(point: int, booked: bool) -> None:
-    """`point`: after so many steps of the machine; `booked`: its last call still comes to billing, late."""
+def test_an_owner_that_dies_at_any_point_of_an_append_leaves_each_batch_booked_once(
+    point: int, booked: bool
+) -> None:
+    """`point`: steps before its death; `booked`: its last call still reaches billing, late."""
     owner = Owner()
     late: list[BillingCall] = []
     for step in range(point):
@@ -257,7 +259,7 @@
     assert owner.exporter.state.confirmed == {"s": 2} and owner.exporter.step is Step.READY
 
 
-def test_an_append_without_an_answer_is_sent_again_the_same_and_booked_once() -> None:
+def test_an_append_without_an_answer_is_repeated_unchanged_and_booked_once() -> None:
     owner = Owner()
     owner.go(0.5)
     owner.exporter.offer("s", 1, [("c", 0, 1.0)])
@@ -275,7 +277,7 @@
     assert owner.exporter.counts["again"] >= 3
 
 
-def test_an_owner_whom_billing_does_not_answer_lets_another_try() -> None:
+def test_an_owner_without_answers_from_billing_resigns() -> None:
     owner = Owner()
     while not owner.exporter.counts["resigned"] and owner.bench.now < 120.0:
         owner.exporter.tick(owner.bench.now)
@@ -288,7 +290,7 @@
     assert owner.bench.now >= 102.0 + RESIGN_AFTER_S
 
 
-def test_a_billing_that_lost_its_log_halts_the_export_and_says_so() -> None:
+def test_a_billing_that_lost_its_log_halts_the_export() -> None:
     owner = Owner()
     owner.go(0.5)
     for number in range(1, 4):
@@ -300,7 +302,7 @@
     assert owner.exporter.step is Step.HALTED and "billing is at 0" in owner.exporter.reason
 
 
-def test_a_council_that_lost_everything_takes_billing_s_own_word() -> None:
+def test_a_council_that_lost_its_state_adopts_billing_s_record() -> None:
     owner = Owner()
     owner.go(0.5)
     owner.exporter.offer("s", 1, [("c", 0, 1.0)])
@@ -328,7 +330,7 @@
     assert len(decode_state(read[0].entry).confirmed) >= MAX_STREAMS
 
 
-def test_billing_refuses_old_numbers_far_ones_and_two_with_one() -> None:
+def test_billing_refuses_old_numbers_implausible_ones_and_two_holders_of_one() -> None:
     billing = StandInBilling()
 
     def claim(number: int, holder: str) -> int:
@@ -346,7 +348,7 @@
     assert billing.handle("PUT", "/usage/owner", {}, b"", 0.0)[0] == 400
 
 
-def test_what_billing_tells_beside_is_checked() -> None:
+def test_metadata_from_billing_is_validated() -> None:
     assert meta_from({"meta": {"s": 1}}) == {"s": 1}
     assert (
         meta_from({}) is None and meta_from({"meta": {"s": "x"}}) is None and meta_from({"meta": 3}) is None
--- a/tests/council/test_journal.py
+++ b/tests/council/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal on disks that tear, lose and copy."""
+"""The journal on disks that tear writes, lose unsynced data, or are copied."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return Journal(files, "j", "test", owner)
 
 
-def test_what_was_written_is_there_again() -> None:
+def test_written_records_are_read_back() -> None:
     files = world_files()
     first = journal(files)
     assert first.open() is None
@@ -47,7 +47,7 @@
     assert Journal(Folder(tmp_path / "state"), "j", "test", "m0").open() == [b"x", b"y"]
 
 
-def test_a_copy_in_a_real_folder_is_no_memory(tmp_path: Path) -> None:
+def test_a_copy_in_a_real_folder_is_not_trusted(tmp_path: Path) -> None:
     folder = Folder(tmp_path / "one")
     Journal(folder, "j", "test", "m0").rewrite([b"a"])
     (tmp_path / "two").mkdir()
@@ -56,19 +56,19 @@
         Journal(Folder(tmp_path / "two"), "j", "test", "m0").open()
 
 
-def test_crashes_lose_nothing_that_was_synced_and_keep_the_order() -> None:
+def test_crashes_lose_no_synced_record_and_keep_their_order() -> None:
     torn = 0
     for seed in range(300):
         files, chance = world_files(seed), random.Random(f"j {seed}")
-        kept = journal(files)
-        kept.rewrite([])
+        stored = journal(files)
+        stored.rewrite([])
         done: list[bytes] = []
         for n in range(chance.randint(1, 12)):
             record = bytes([n]) * chance.randint(1, 900)
             if chance.random() < 0.2:
-                kept.rewrite([*done, record])
+                stored.rewrite([*done, record])
             else:
-                kept.write([record])
+                stored.write([record])
             done.append(record)
         late = b"z" * chance.randint(1, 3000)
         files.append("j", b"".join([MAGIC, len(late).to_bytes(4, "big"), b"1234", late]))  # never synced
@@ -78,15 +78,15 @@
     assert torn > 30
 
 
-def test_a_crash_while_it_is_written_anew_leaves_one_of_the_two() -> None:
+def test_a_crash_during_a_rewrite_leaves_the_old_records_or_the_new() -> None:
     class Stops(Exception):
         pass
 
     found = set()
     for seed in range(60):
         files = world_files(seed)
-        kept = journal(files)
-        kept.rewrite([b"old"])
+        stored = journal(files)
+        stored.rewrite([b"old"])
         steps = iter(range(seed % 4))
 
         def step(steps: Iterator[int] = steps) -> None:
@@ -104,7 +104,7 @@
             with ExitStack() as stack:
                 for name in ("append", "sync", "rename"):
                     stack.enter_context(patch.object(files, name, stepped(getattr(files, name), step)))
-                kept.rewrite([b"new"])
+                stored.rewrite([b"new"])
         except Stops:
             pass
         files.disk.crash()
@@ -114,24 +114,24 @@
     assert found == {b"old", b"new"}
 
 
-def test_a_broken_frame_with_a_good_one_behind_it_is_damage() -> None:
+def test_a_broken_frame_before_a_valid_one_is_damage() -> None:
     files = world_files()
-    kept = journal(files)
-    kept.rewrite([])
-    kept.write([b"first" * 20])
+    stored = journal(files)
+    stored.rewrite([])
+    stored.write([b"first" * 20])
     place = len(files.read("j") or b"") - 5
-    kept.write([b"second"])
+    stored.write([b"second"])
     files.disk.write("j", place, b"?")
     with pytest.raises(Damaged, match="broken at byte"):
         journal(files).open()
-    assert journal(files).open(prefix=True) == []  # where frames are not synced one by one that is a torn end
+    assert journal(files).open(prefix=True) == []  # of frames without a sync each, it is a torn end
 
 
 @pytest.mark.parametrize(
     ("content", "reason"),
     [(b"no journal at all, but some text", "no first frame"), (MAGIC + bytes(40) + b"x", "no first frame")],
 )
-def test_other_files_are_no_journals(content: bytes, reason: str) -> None:
+def test_files_that_are_not_journals_are_refused(content: bytes, reason: str) -> None:
     files = world_files()
     files.create("j")
     files.append("j", content)
@@ -146,25 +146,25 @@
         journal(files).open()
 
 
-def test_an_empty_file_is_a_new_one() -> None:
+def test_an_empty_file_counts_as_a_new_journal() -> None:
     files = world_files()
     files.create("j")
     assert journal(files).open() is None
 
 
-def test_a_full_disk_says_so_and_the_old_content_stays() -> None:
+def test_a_full_disk_raises_and_leaves_the_old_content() -> None:
     files = world_files(capacity=4000)
-    kept = journal(files)
-    kept.rewrite([b"a" * 1000])
+    stored = journal(files)
+    stored.rewrite([b"a" * 1000])
     with pytest.raises(OSError, match="space"):
-        kept.rewrite([b"b" * 4000])
+        stored.rewrite([b"b" * 4000])
     assert journal(files).open() == [b"a" * 1000]
 
 
-def test_it_says_when_it_has_grown() -> None:
+def test_a_grown_journal_needs_compaction() -> None:
     files = world_files()
-    kept = journal(files)
-    kept.rewrite([])
-    while not kept.needs_compaction:
-        kept.write([b"r" * 100_000])
-    assert 1 << 20 < kept.size < (1 << 20) + 200_000
+    stored = journal(files)
+    stored.rewrite([])
+    while not stored.needs_compaction:
+        stored.write([b"r" * 100_000])
+    assert 1 << 20 < stored.size < (1 << 20) + 200_000
--- a/tests/council/test_probes.py
+++ b/tests/council/test_probes.py
@@ -1,4 +1,4 @@
-"""Probes for the fleet: the budget, the verdicts, and what planners make of them."""
+"""Fleet-wide probes: the budget, the verdicts, and how planners use them."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 )
 
 
-def test_a_backend_is_suspected_after_failures_in_a_row_and_not_for_ever() -> None:
-    seen = Suspicions()
-    for well in (False, False, True, False, False):
-        seen.note_outcome("b", well, 1.0)
-    assert not seen.suspected(1.0)
-    seen.note_outcome("b", False, 2.0)
-    assert seen.suspected(2.0) == ["b"]
-    assert not seen.suspected(2.1 + SUSPICION_S)
-    seen.note_outcome("gone", False, 3.0, unreachable=True)
-    assert seen.suspected(3.0) == ["b", "gone"]
+def test_a_backend_is_suspected_for_a_time_after_failures_in_a_row() -> None:
+    suspicions = Suspicions()
+    for healthy in (False, False, True, False, False):
+        suspicions.note_outcome("b", healthy, 1.0)
+    assert not suspicions.suspected(1.0)
+    suspicions.note_outcome("b", False, 2.0)
+    assert suspicions.suspected(2.0) == ["b"]
+    assert not suspicions.suspected(2.1 + SUSPICION_S)
+    suspicions.note_outcome("gone", False, 3.0, unreachable=True)
+    assert suspicions.suspected(3.0) == ["b", "gone"]
     for n in range(MAX_BACKENDS + 5):
-        seen.note_outcome(f"b{n}", False, 3.0)
-    assert len(seen.failed) == MAX_BACKENDS
+        suspicions.note_outcome(f"b{n}", False, 3.0)
+    assert len(suspicions.failed) == MAX_BACKENDS
 
 
 @pytest.mark.parametrize("suspects", [1, 10, 400])
-def test_the_budget_is_the_fleet_s_however_many_are_suspected(suspects: int) -> None:
+def test_the_probe_budget_does_not_depend_on_the_number_of_suspects(suspects: int) -> None:
     prober = Prober(ProbeSettings(per_second=5.0))
     probes = 0
     for step in range(500):
@@ -45,7 +45,7 @@
     assert probes >= min(suspects, 40)
 
 
-def test_none_is_probed_before_others_that_wait_longer() -> None:
+def test_backends_are_probed_in_turn() -> None:
     prober = Prober(ProbeSettings(per_second=100.0))
     prober.suspect(["a", "b", "c"], 0.0)
     order: list[str] = []
@@ -56,18 +56,18 @@
     assert {order.count(name) for name in "abc"} <= {len(order) // 3, len(order) // 3 + 1}
 
 
-def test_two_failures_condemn_and_two_answers_acquit() -> None:
+def test_two_failures_make_a_backend_unusable_and_two_successes_usable() -> None:
     prober = Prober(ProbeSettings())
     prober.suspect(["b"], 0.0)
     verdicts = []
-    for well in (False, True, False, False, True, False, True, True):
-        prober.on_probe_result("b", well)
+    for healthy in (False, True, False, False, True, False, True, True):
+        prober.on_probe_result("b", healthy)
         verdicts.append(prober.backends["b"].unusable)
     assert verdicts == [False, False, False, True, True, True, True, False]
     assert prober.counts["condemned"] == prober.counts["acquitted"] == 1
 
 
-def test_a_condemned_backend_is_probed_on_though_nobody_suspects_it_any_more() -> None:
+def test_an_unusable_backend_is_probed_on_without_suspicion() -> None:
     prober = Prober(ProbeSettings())
     prober.suspect(["b"], 0.0)
     for _ in range(2):
@@ -79,7 +79,7 @@
     assert prober.due(2000.0) == [] and "b" not in prober.backends
 
 
-def test_verdicts_are_published_now_and_then_with_their_age() -> None:
+def test_verdicts_are_published_at_intervals_with_their_age() -> None:
     prober = Prober(ProbeSettings())
     prober.suspect(["b"], 1.0)
     assert prober.due(1.0) == ["b"]
@@ -90,7 +90,7 @@
     assert prober.verdicts(1.2 + PUBLISH_INTERVAL_S / 2) is None
 
 
-def test_advice_holds_while_it_is_fresh() -> None:
+def test_a_verdict_holds_for_its_time_to_live() -> None:
     advice, known = Advice(), {f"b{n}": True for n in range(6)}
     advice.update([("b1", False, 1.0), ("b2", True, 0.0), ("b3", False, VERDICT_TTL_S)], 10.0)
     assert advice.changes(known, 10.0) == [("b1", True)]
@@ -98,7 +98,7 @@
     assert advice.changes(known, 10.0 + VERDICT_TTL_S) == [("b1", False)]
 
 
-def test_advice_to_leave_out_more_than_a_part_is_not_followed() -> None:
+def test_verdicts_that_exclude_more_than_a_share_are_not_followed() -> None:
     advice, known = Advice(), {f"b{n}": True for n in range(6)}
     advice.update([(f"b{n}", False, 0.0) for n in range(2)], 10.0)
     assert len(advice.changes(known, 10.0)) == 2
@@ -109,7 +109,7 @@
     assert sorted(advice.changes(known, 12.0)) == [("b0", True), ("b1", True)]
 
 
-def test_advice_on_backends_that_are_not_there_counts_for_nothing() -> None:
+def test_verdicts_on_unknown_backends_are_ignored() -> None:
     advice = Advice()
     advice.update([("gone", False, 0.0)], 1.0)
     assert advice.changes({"b0": True, "b1": True, "b2": True}, 1.0) == []
--- a/tests/council/test_settings.py
+++ b/tests/council/test_settings.py
@@ -1,4 +1,4 @@
-"""[council] of the operator file: what stands in the example, and what is refused."""
+"""The [council] table of the operator file: its example, and what is refused."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 ).replace("\n#\n", "\n")
 
 
-def test_the_example_is_the_defaults(tmp_path: pathlib.Path) -> None:
+def test_the_example_shows_the_defaults(tmp_path: pathlib.Path) -> None:
     council = read_operator(write_operator_file(tmp_path, PLANNER + COUNCIL)).council
     assert council is not None and council.terms == CouncilTerms() and council.probes == ProbeSettings()
     assert council.state == tmp_path / "council" and council.prefer == {"export": ["p2"]}
@@ -49,7 +49,7 @@
         ('export = ["p2"]', 'export = ["p3"]', "council.prefer.export"),
     ],
 )
-def test_what_is_wrong_is_refused_with_its_key(
+def test_invalid_settings_are_refused_with_their_key(
     tmp_path: pathlib.Path, old: str, new: str, reason: str
 ) -> None:
     assert old in COUNCIL
@@ -57,6 +57,6 @@
         read_operator(write_operator_file(tmp_path, PLANNER + COUNCIL.replace(old, new, 1)))
 
 
-def test_it_is_for_planners(tmp_path: pathlib.Path) -> None:
+def test_only_planners_can_be_members(tmp_path: pathlib.Path) -> None:
     with pytest.raises(BadConfiguration, match="a forwarder cannot be a member"):
         read_operator(write_operator_file(tmp_path, EXAMPLE + COUNCIL))
