--- a/embersill/lab/levels/__init__.py
+++ b/embersill/lab/levels/__init__.py
@@ -1,1 +1,1 @@
-"""The two levels in the world to test in: real cores, on a kernel, under schedules."""
+"""Simulation of the two-level gateway: the real forwarder and planner cores on the simulation kernel."""
--- a/embersill/lab/levels/wide.py
+++ b/embersill/lab/levels/wide.py
@@ -15,7 +15,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from embersill.world.fences import source_of, replace_source
+from embersill.world.fences import replace_source, source_of
 from embersill.world.mutants import Mutant, mutants, mutated
 
 MODULES = (
--- a/embersill/lab/levels/world.py
+++ b/embersill/lab/levels/world.py
@@ -1,4 +1,4 @@
-"""Plays a schedule on forwarders and planners, and judges it by the rules at every step."""
+"""Simulates forwarders and planners under a schedule and checks the rules at every step."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from embersill.interface import Backend, Settings, Status
 from embersill.lab.levels.nodes import ForwarderNode, Member, PlannerNode, backend_of
-from embersill.lab.levels.paths import Pathed, PathedForwarder, PathedPlanner
+from embersill.lab.levels.paths import MultipathForwarderNode, MultipathNode, MultipathPlannerNode
 from embersill.rig.settings import RULE_WORDS, lab_settings
 from embersill.tiers.messages import AnyMessage
 from embersill.tiers.parts import part_of
@@ -24,10 +24,10 @@
 from embersill.world.swarm import Coverage
 from embersill.world.trace import Trace
 
-SLACK_TIME = 0.45  # seconds between a grant's charge and its writing, at most: what fills meanwhile is slack
-LOOK_EVERY = 0.05  # seconds between looks at who holds what
-HEAL_WITHIN = 9.0  # seconds after the last fault in which all must have come back to its place
-SETTLED_AFTER = 1.0  # and those before which nobody looks whether it has
+MAX_CHARGE_TO_WRITE_S = 0.45  # from a grant's charge to its writing: what refills meanwhile is slack
+SHARE_CHECK_INTERVAL_S = 0.05
+RECOVERY_TIMEOUT_S = 9.0  # after the last fault: by then everything must be back in its normal place
+RECOVERY_CHECK_DELAY_S = 1.0  # after the last fault: recovery is not checked before
 MOMENTS = {
     (phase, kind): f"{phase} {kind.__name__}" for phase in ("sent", "got") for kind in get_args(AnyMessage)
 }
@@ -35,14 +35,14 @@
 
 
 class World:
-    """One run of one schedule. Its shape's words, all with a default:
+    """One run of a schedule. The keys of its shape, all with a default:
 
-    forwarders, planners, parts, backends: how many; seconds: for which traffic and faults go on; ceiling:
-    units a second and at once of plan pro; memory: seconds for which a keyed repeat is dropped; capacity:
-    requests a second that a warm backend does; bequest, beat_every: seconds, as in `Terms`;
-    coded: frames go as bytes;
+    forwarders, planners, parts, backends: their numbers; seconds: duration of traffic and faults; ceiling:
+    units per second and burst of plan pro; memory: seconds for which a repeated key is recognized; capacity:
+    requests per second of a warm backend; bequest, beat_every: seconds, as in `Terms`;
+    coded: frames are sent as bytes;
     weather: see `LinkConditions`;
-    drift: by which clocks run apart.
+    drift: maximum difference between the rates of two clocks.
     """
 
     def __init__(
@@ -73,45 +73,49 @@
             f"b{n}": Backend(f"b{n}", "z", "k", n % 2, Status.SERVING, 1.0, None)
             for n in range(shape.get("backends", 4))
         }
-        self.pinned: dict[int, Step] = {}  # aimed steps by their place in the schedule, as they came
-        self.lending: set[tuple[str, int]] = (
-            set()
-        )  # (forwarder, part): its Lend is on its way, no ask is heard
-        self.down: set[str] = set()  # backends that no connection reaches
+        self.pinned: dict[int, Step] = {}  # executed aimed steps, by their index in the schedule
+        # (forwarder, part) whose Lend is in flight: the planner can't decide requests for it yet
+        self.loans_in_flight: set[tuple[str, int]] = set()
+        self.unreachable: set[str] = set()  # backends that accept no connections
         self.forwarder_names = [f"f{n}" for n in range(shape.get("forwarders", 3))]
-        planner: type[PlannerNode] = PathedPlanner if shape.get("helpers") else PlannerNode
-        forwarder: type[ForwarderNode] = PathedForwarder if shape.get("helpers") else ForwarderNode
+        planner: type[PlannerNode] = MultipathPlannerNode if shape.get("helpers") else PlannerNode
+        forwarder: type[ForwarderNode] = MultipathForwarderNode if shape.get("helpers") else ForwarderNode
         self.planners = [planner(self, f"p{n}") for n in range(shape.get("planners", 2))]
         self.forwarders = [forwarder(self, name) for name in self.forwarder_names]
         self.members: dict[str, Member] = {m.name: m for m in (*self.planners, *self.forwarders)}
-        self.detailed = coverage is not None or self.trace.keep or any(s.on for s in schedule.steps)
+        self.reports_messages = coverage is not None or self.trace.keep or any(s.on for s in schedule.steps)
 
     # moments and coverage
 
     def sent(self, sender: Member, receiver: Member, messages: Sequence[AnyMessage]) -> None:
-        self.said("sent", sender, receiver, messages)
+        """Reports sent messages."""
+        self.log_messages("sent", sender, receiver, messages)
 
     def got(self, sender: Member, receiver: Member, messages: Sequence[AnyMessage]) -> None:
-        self.said("got", sender, receiver, messages)
+        """Reports received messages before they are processed, and counts coverage."""
+        self.log_messages("got", sender, receiver, messages)
         if self.coverage is not None and messages:
             state = self.state_of(receiver, sender)
             for message in messages:
                 self.coverage.record(type(message).__name__, state)
 
-    def said(self, phase: str, sender: Member, receiver: Member, messages: Sequence[AnyMessage]) -> None:
-        watched = self.kernel.watchers
+    def log_messages(
+        self, phase: str, sender: Member, receiver: Member, messages: Sequence[AnyMessage]
+    ) -> None:
+        """Adds messages to the trace and reports their moments to the kernel."""
+        watchers = self.kernel.watchers
         for message in messages:
             moment = MOMENTS[phase, type(message)]
             if self.trace.keep:
                 kind = type(message).__name__
                 self.trace.add(MessageLogged(self.kernel.now, phase, kind, sender.name, receiver.name))
-            if moment in watched:
+            if moment in watchers:
                 self.kernel.moment(
                     moment, sender=sender.name, receiver=receiver.name, backend=backend_of(message)
                 )
 
-    def state_of(self, node: Member, other: Member) -> str:
-        """A word for how things stand at a node, for the coverage of pairs."""
+    def state_of(self, node: Member, peer: Member) -> str:
+        """Names the state of a node towards a peer, for the coverage of pairs."""
         if isinstance(node, PlannerNode):
             core = node.core
             led = [part for part in core.parts if part.lenders]
@@ -123,7 +127,7 @@
                 return "gathering"
             return "whole" if all(part.whole for part in led) else "partial"
         assert isinstance(node, ForwarderNode)
-        link = node.core.links[other.name]
+        link = node.core.links[peer.name]
         if not link.up or link.silent:
             return "down" if not link.up else "silent"
         if any(part.recalled for part in node.core.parts):
@@ -132,24 +136,25 @@
             return "left"
         return "obeys" if any(part.holder is link for part in node.core.parts) else "beside"
 
-    # what the rules look at
+    # state that the rules check
 
     def obeyed(self) -> set[tuple[str, int]]:
-        """Lives of planners by part: those of which anything that they grant can be executed."""
+        """Returns (planner life, part) for which some forwarder would execute grants."""
         found: set[tuple[str, int]] = set()
         for node in self.forwarders:
             if node.alive:
                 for part in node.core.parts:
                     holder = part.holder
-                    if holder is not None and (node.name, part.number) not in self.lending:
+                    if holder is not None and (node.name, part.number) not in self.loans_in_flight:
                         found.add((holder.incarnation, part.number))
         return found
 
     def usable(self, planner: PlannerNode, part: int) -> list[str]:
+        """Returns the forwarders whose share of a part a planner would spend now."""
         return usable_at(planner.core, part, planner.clock())
 
-    def look(self) -> None:
-        """Notes who uses which share, of parts of which not all is in one hand."""
+    def record_shares(self) -> None:
+        """Records the users of shares, for parts whose shares have more than one user altogether."""
         obeyed = self.obeyed()
         lives = [(planner, f"{planner.name}.{planner.life}") for planner in self.planners if planner.alive]
         for number in range(self.parts):
@@ -162,7 +167,7 @@
                 and node.core.parts[number].free_at() <= node.clock()
             ]
             if len(leading) + len(free) < 2:
-                continue  # whoever it is uses each share once
+                continue  # a single user can't use a share twice
             users: dict[str, list[str]] = {}
             for planner, life in leading:
                 for name in self.usable(planner, number):
@@ -170,15 +175,16 @@
             for node in free:
                 users.setdefault(node.name, []).append(f"{node.name}.{node.life}")
             if users:
-                told = tuple((lender, tuple(by)) for lender, by in users.items())
-                self.trace.add(SharesHeld(self.kernel.now, number, told))
+                shares = tuple((lender, tuple(names)) for lender, names in users.items())
+                self.trace.add(SharesHeld(self.kernel.now, number, shares))
 
-    def look_again(self) -> None:
-        self.look()
-        self.kernel.at(self.kernel.now + LOOK_EVERY, self.look_again)
+    def check_shares(self) -> None:
+        """Records the users of shares at regular intervals."""
+        self.record_shares()
+        self.kernel.at(self.kernel.now + SHARE_CHECK_INTERVAL_S, self.check_shares)
 
-    def look_at(self, customer: str) -> None:
-        """Notes what each process takes to be left of a customer's ceiling."""
+    def record_credits(self, customer: str) -> None:
+        """Records what each process believes to be left of a customer's ceiling."""
         plan = self.plans[plan_of(customer)]
         if plan.ceiling_rate <= 0:
             return
@@ -196,9 +202,9 @@
         for node in self.forwarders:
             if not node.alive:
                 continue
-            throttle, kept = node.core.local.throttles.get(customer), node.core.reserves.get(customer)
-            left = kept.units if kept is not None else 0.0
-            # what is decided there is allotted anew each time: what is lent counts for what waits, if it does
+            throttle, reserve = node.core.local.throttles.get(customer), node.core.reserves.get(customer)
+            left = reserve.units if reserve is not None else 0.0
+            # local decisions get a new allotment each time, so a lent share counts only while requests wait
             if throttle is not None and (node.core.parts[number].holder is None or throttle.queue):
                 left = max(left, throttle.filled((throttle.cap, throttle.stamp), node.clock()))
             beliefs.append((f"{node.name}.{node.life}", left))
@@ -206,22 +212,24 @@
 
     # steps
 
-    def set_up(self, place: int, step: Step) -> None:
+    def schedule_step(self, index: int, step: Step) -> None:
+        """Schedules a step at its time, or at the moment that it is aimed at."""
         if not step.on:
             self.kernel.at(step.at, self.play, step)
             return
-        left = [step.nth]
+        remaining = [step.nth]
 
-        def met(part: dict[str, str]) -> None:
-            if self.kernel.now >= step.at and left[0] > 0 and not self.network.calm:
-                left[0] -= 1
-                if left[0] == 0:
-                    pinned = self.pinned[place] = pin(step, part, self.kernel.now)
+        def on_moment(participants: dict[str, str]) -> None:
+            if self.kernel.now >= step.at and remaining[0] > 0 and not self.network.calm:
+                remaining[0] -= 1
+                if remaining[0] == 0:
+                    pinned = self.pinned[index] = pin(step, participants, self.kernel.now)
                     self.play(pinned)
 
-        self.kernel.watch(step.on, met)
+        self.kernel.watch(step.on, on_moment)
 
     def play(self, step: Step) -> None:
+        """Executes a step by the method play_<what>."""
         who, to = step.who, step.to
         if step.what != "ask" and self.network.calm:
             return
@@ -229,238 +237,265 @@
             self.trace.add(Fault(self.kernel.now, step.what, f"{who} {to}" if to else who, step.seconds))
         handler = getattr(self, f"play_{step.what}", None)
         if handler is None:
-            raise ValueError(f"no step {step.what!r}")
+            raise ValueError(f"unknown kind of step: {step.what!r}")
         handler(step, who, to)
 
     def play_ask(self, step: Step, who: str, to: str) -> None:
+        """A client sends a request to a forwarder."""
         node = self.members[who]
         assert isinstance(node, ForwarderNode)
         if not node.is_running or node.retiring:
             return
         self.counts["tries"] += 1
-        a = step.args
-        node.take(
-            self.counts["tries"], a["klass"], a["plan"], a["customer"], a["units"], a["budget"], a["fates"]
+        args = step.args
+        node.receive_request(
+            self.counts["tries"],
+            args["klass"],
+            args["plan"],
+            args["customer"],
+            args["units"],
+            args["budget"],
+            args["fates"],
         )
 
     def play_pause(self, step: Step, who: str, to: str) -> None:
+        """A process is paused while its clock runs on."""
         if who in self.members and self.members[who].alive:
             self.members[who].reads_first = bool(step.args.get("reads_first"))
             self.members[who].pause(step.seconds)
 
     def play_stand(self, step: Step, who: str, to: str) -> None:
-        """A suspended machine: its clock stands still with it."""
+        """A machine is suspended: its clock stops as well."""
         if who in self.members and self.members[who].alive:
             self.members[who].pause(step.seconds)
             self.members[who].clocks.suspend(step.seconds)
 
     def play_hold(self, step: Step, who: str, to: str) -> None:
+        """Messages in one direction are delayed."""
         self.network.hold_for(who, to, step.seconds)
 
     def play_cut(self, step: Step, who: str, to: str) -> None:
+        """A link is cut in one direction or both."""
         self.network.cut_for(who, to, step.seconds)
         if step.args.get("both"):
             self.network.cut_for(to, who, step.seconds)
 
     def play_kill(self, step: Step, who: str, to: str) -> None:
-        # at once, but not from within what it is just doing
+        """A process is killed and started again later."""
+        # now, but not from within a call of the process itself
         self.kernel.at(self.kernel.now, self.kill, who, step.seconds, bool(step.args.get("quiet")))
 
     def kill(self, who: str, seconds: float, quiet: bool) -> None:
+        """Kills a process and starts it again after so many seconds."""
         node = self.members.get(who)
         if node is not None and node.alive:
             node.kill(quiet)
             self.kernel.at(self.kernel.now + seconds, node.start)
 
     def play_break(self, step: Step, who: str, to: str) -> None:
-        """A link ends; without `reset` only the end at `who` sees it."""
+        """A connection is closed; without `reset` only the end at `who` notices."""
         self.kernel.at(self.kernel.now, self.end_link, who, to, bool(step.args.get("reset", True)))
 
     def end_link(self, who: str, to: str, reset: bool) -> None:
-        one, other = self.members.get(who), self.members.get(to)
-        if one is None or other is None or not one.alive:
+        """Closes the connections between two processes at the first one's end."""
+        node, peer = self.members.get(who), self.members.get(to)
+        if node is None or peer is None or not node.alive:
             return
-        streams: Iterable[Stream] = getattr(one, "wires", ())
-        if isinstance(one, Pathed):
-            streams = one.paths
-        elif isinstance(one, ForwarderNode):
-            streams = one.wires.values()
-        for stream in [s for s in streams if s.peers[one] is other]:
-            stream.close(one, reset)
+        streams: Iterable[Stream] = getattr(node, "wires", ())
+        if isinstance(node, MultipathNode):
+            streams = node.paths
+        elif isinstance(node, ForwarderNode):
+            streams = node.wires.values()
+        for stream in [s for s in streams if s.peers[node] is peer]:
+            stream.close(node, reset)
 
     def play_leave(self, step: Step, who: str, to: str) -> None:
+        """A planner stops in an orderly way and is started again later."""
         self.kernel.at(self.kernel.now, self.leave, who, step.seconds)
 
     def leave(self, who: str, seconds: float) -> None:
+        """Begins the orderly stop of a planner."""
         node = self.members.get(who)
         if not isinstance(node, PlannerNode) or not node.is_running or node.leaving:
             return
         node.leave()
-        node.after(0.05, self.look_whether_left, node, self.kernel.now + 2.0, seconds)
+        node.after(0.05, self.check_left, node, self.kernel.now + 2.0, seconds)
 
-    def look_whether_left(self, node: PlannerNode, end: float, seconds: float) -> None:
+    def check_left(self, node: PlannerNode, end: float, seconds: float) -> None:
+        """Ends a stopping planner once it holds nothing, or at `end`."""
         if node.core.holds_nothing() or self.kernel.now >= end:
             self.kill(node.name, seconds, False)
         else:
-            node.after(0.05, self.look_whether_left, node, end, seconds)
+            node.after(0.05, self.check_left, node, end, seconds)
 
     def play_retire(self, step: Step, who: str, to: str) -> None:
+        """A forwarder stops in an orderly way and is started again later."""
         self.kernel.at(self.kernel.now, self.retire, who, step.seconds)
 
     def retire(self, who: str, seconds: float) -> None:
+        """Begins the orderly stop of a forwarder, which accepts no requests any more."""
         node = self.members.get(who)
         if not isinstance(node, ForwarderNode) or not node.is_running or node.retiring:
             return
         node.retiring = True
-        self.look_whether_done(node, seconds)
+        self.check_retired(node, seconds)
 
-    def look_whether_done(self, node: ForwarderNode, seconds: float) -> None:
+    def check_retired(self, node: ForwarderNode, seconds: float) -> None:
+        """Ends a stopping forwarder once it has no open requests."""
         if node.pending:
-            node.after(0.02, self.look_whether_done, node, seconds)
+            node.after(0.02, self.check_retired, node, seconds)
         else:
             node.stop()
             node.after(0.01, self.kill, node.name, seconds, False)
 
     def play_drain(self, step: Step, who: str, to: str) -> None:
-        """`told`: seconds until each process hears of it, by name or by its place in the moment."""
+        """A backend drains. `told`: seconds until each process, by name or role, is notified."""
         backend = self.backends.get(who)
         serving = [b for b in self.backends.values() if b.status is Status.SERVING]
         if backend is None or backend.status is not Status.SERVING or len(serving) <= 2:
             return
-        self.change(who, Status.DRAINING, step)
+        self.change_status(who, Status.DRAINING, step)
         if step.seconds:
-            self.kernel.at(self.kernel.now + step.seconds, self.serve_again, who, step)
+            self.kernel.at(self.kernel.now + step.seconds, self.end_drain, who, step)
 
-    def serve_again(self, who: str, step: Step) -> None:
+    def end_drain(self, who: str, step: Step) -> None:
+        """Makes a draining backend serve again."""
         if self.backends[who].status is Status.DRAINING:
-            self.change(who, Status.SERVING, step)
+            self.change_status(who, Status.SERVING, step)
 
     def play_restart(self, step: Step, who: str, to: str) -> None:
-        """A backend goes at once and comes back cold."""
+        """A backend stops immediately and starts again cold."""
         backend = self.backends.get(who)
-        if backend is None or backend.status is not Status.SERVING or self.down or len(self.backends) < 3:
+        if (
+            backend is None
+            or backend.status is not Status.SERVING
+            or self.unreachable
+            or len(self.backends) < 3
+        ):
             return
-        self.down.add(who)
-        self.change(who, Status.GONE, step)
-        self.kernel.at(self.kernel.now + step.seconds, self.come_cold, who, step)
+        self.unreachable.add(who)
+        self.change_status(who, Status.GONE, step)
+        self.kernel.at(self.kernel.now + step.seconds, self.start_cold, who, step)
 
-    def come_cold(self, who: str, step: Step) -> None:
-        self.down.discard(who)
+    def start_cold(self, who: str, step: Step) -> None:
+        """Starts a stopped backend, which is cold then."""
+        self.unreachable.discard(who)
         now = self.kernel.now
         self.backends[who] = replace(self.backends[who], started=now)
         self.trace.add(BackendStarted(now, who, self.shape.get("capacity", 20.0)))
-        self.change(who, Status.SERVING, step)
+        self.change_status(who, Status.SERVING, step)
 
-    def change(self, who: str, status: Status, step: Step) -> None:
-        after = self.backends[who] = replace(self.backends[who], status=status)
-        told: dict[str, float] = step.args.get("told", {})
+    def change_status(self, who: str, status: Status, step: Step) -> None:
+        """Changes a backend's status and notifies each process after its delay."""
+        changed = self.backends[who] = replace(self.backends[who], status=status)
+        delays: dict[str, float] = step.args.get("told", {})
 
-        def tell(node: Member) -> None:
-            if self.backends[who] is after:
-                node.hear(who)
+        def notify(node: Member) -> None:
+            if self.backends[who] is changed:
+                node.receive_change(who)
 
         for node in self.members.values():
-            late = told.get(node.name, told.get("", 0.1))
+            delay = delays.get(node.name, delays.get("", 0.1))
             if node.alive:
-                node.after(late, tell, node)
+                node.after(delay, notify, node)
 
     # the run
 
     def run(self) -> dict[str, float]:
-        """Plays the schedule: traffic and faults, then a time in which all heals. Broken tells of a rule."""
+        """Plays the schedule, then waits for recovery; Broken if a rule is violated."""
         try:
             for member in self.members.values():
                 member.start()
-            for place, step in enumerate(self.schedule.steps):
-                self.set_up(place, step)
-            self.kernel.at(0.0, self.look_again)
+            for index, step in enumerate(self.schedule.steps):
+                self.schedule_step(index, step)
+            self.kernel.at(0.0, self.check_shares)
             self.kernel.run(self.seconds)
             self.network.heal()
-            end, wait = self.seconds + HEAL_WITHIN, self.seconds + SETTLED_AFTER
-            why = "nothing was looked at"
-            while why and wait <= end:
-                self.kernel.run(wait)
-                why = self.unsettled()
-                wait += 0.1
-            if why:
-                raise Broken("all heals", self.kernel.now, why)
+            end, check_at = self.seconds + RECOVERY_TIMEOUT_S, self.seconds + RECOVERY_CHECK_DELAY_S
+            reason = "recovery was not checked"
+            while reason and check_at <= end:
+                self.kernel.run(check_at)
+                reason = self.unsettled()
+                check_at += 0.1
+            if reason:
+                raise Broken("all heals", self.kernel.now, reason)
             self.rules.finish(self.kernel.now)
         except (Broken, ValueError):
             raise
-        except Exception as error:  # a core that falls over has broken a rule of its own
+        except Exception as error:  # a crash of a core is a violation as well
             raise Broken("no crash", self.kernel.now, f"{type(error).__name__}: {error}") from error
         lowest = self.rules.ceilings.lowest
         return {**self.counts, "lowest": round(lowest, 3), "events": self.kernel.events}
 
     def unsettled(self) -> str:
-        """What has not come back to its place yet; empty if all has."""
+        """Describes something that has not recovered yet; empty if everything has."""
         for node in self.forwarders:
             if not node.alive or node.retiring:
                 return f"{node.name} is down"
             if node.core.tasks or node.pending or node.core.asks:
-                return f"{node.name} still remembers requests: {len(node.core.tasks)}"
+                return f"{node.name} still has state of requests: {len(node.core.tasks)}"
             for part in node.core.parts:
                 if part.holder is None or part.holder.name != part.order[0] or part.recalled:
-                    return f"part {part.number} has not come back to its first choice at {node.name}"
+                    return f"part {part.number} is not back at its first choice at {node.name}"
         for planner in self.planners:
             if not planner.alive or planner.leaving:
                 return f"{planner.name} is down"
             if planner.core.jobs or planner.core.gateway.jobs:
-                return f"{planner.name} still remembers {len(planner.core.jobs)} requests"
+                return f"{planner.name} still has state of {len(planner.core.jobs)} requests"
             if any(server.flight for server in planner.core.gateway.servers.values()):
-                return f"{planner.name} counts attempts that are over"
+                return f"{planner.name} still counts finished attempts"
             for held in planner.core.parts:
                 if held.lenders and not held.whole:
-                    return f"part {held.number} is not whole at {planner.name}"
+                    return f"part {held.number} is not complete at {planner.name}"
         return ""
 
 
 def usable_at(core: Planner, part: int, now: float) -> list[str]:
-    """The forwarders whose share of a part a planner would spend now, by its own word."""
-    before, core.now = core.now, max(core.now, now)  # as if it were asked something now
-    found = [lender.session.name for lender in core.usable(core.parts[part])]
+    """Returns the forwarders whose share of a part a planner's core would spend now."""
+    before, core.now = core.now, max(core.now, now)  # as if it processed a message now
+    usable = [lender.session.name for lender in core.usable(core.parts[part])]
     core.now = before
-    return found
+    return usable
 
 
-def pin(step: Step, part: dict[str, str], at: float) -> Step:
-    """An aimed step as one at a time, with the names of those who took part in its moment."""
+def pin(step: Step, participants: dict[str, str], at: float) -> Step:
+    """Converts an aimed step to one at a fixed time, with the names of the participants of its moment."""
 
-    def named(name: str) -> str:
-        return part.get(name[1:], "") if name.startswith("@") else name
+    def resolve(name: str) -> str:
+        return participants.get(name[1:], "") if name.startswith("@") else name
 
     args = dict(step.args)
-    if "told" in args:  # who took part in the moment hears as such, and is named twice if all are named
-        told: dict[str, float] = args["told"]
-        args["told"] = {n: late for n, late in told.items() if not n.startswith("@")}
-        args["told"] |= {named(n): late for n, late in told.items() if n.startswith("@")}
+    if "told" in args:  # a participant's delay by its role takes precedence over the one by its name
+        delays: dict[str, float] = args["told"]
+        args["told"] = {n: delay for n, delay in delays.items() if not n.startswith("@")}
+        args["told"] |= {resolve(n): delay for n, delay in delays.items() if n.startswith("@")}
     return msgspec.structs.replace(
-        step, at=at, on="", nth=1, who=named(step.who), to=named(step.to), args=args
+        step, at=at, on="", nth=1, who=resolve(step.who), to=resolve(step.to), args=args
     )
 
 
 def plan_of(customer: str) -> str:
-    """A customer of these worlds begins with its plan's name."""
+    """Returns a customer's plan: its name is the plan's name and a number."""
     return customer.rstrip("0123456789")
 
 
 def terms_for(shape: dict[str, Any]) -> Terms:
-    """The terms with what a shape says of them, checked as an operator's are."""
-    usual = Terms()
+    """Returns the default terms with the values of a shape, validated like an operator's."""
+    defaults = Terms()
     terms = msgspec.structs.replace(
-        usual,
-        bequest=shape.get("bequest", usual.bequest),
-        beat_every=shape.get("beat_every", usual.beat_every),
+        defaults,
+        bequest=shape.get("bequest", defaults.bequest),
+        beat_every=shape.get("beat_every", defaults.beat_every),
     )
     check_terms(terms)
     return terms
 
 
 def settings_for(shape: dict[str, Any]) -> Settings:
-    """The lab's settings with a ceiling under the quota, and under the demand: nothing but it holds then."""
+    """Returns the lab's settings with a ceiling below the quota and the demand, so that only it limits."""
     settings = lab_settings(shape.get("forwarders", 3))
     rate, depth = shape.get("ceiling", (8.0, 24.0))
-    burst = shape.get("burst", 120.0)  # one well below the depth leaves some of it to be held in reserve
+    burst = shape.get("burst", 120.0)  # a burst well below the depth leaves part of it for reserves
     plans = tuple(
         replace(p, rate=shape.get("quota", 60.0), burst=burst, ceiling_rate=rate, ceiling_depth=depth)
         if p.ceiling_rate > 0
@@ -475,14 +510,15 @@
 
 
 def rule_terms(settings: Settings) -> RuleTerms:
+    """Returns the parameters of the rules for some settings."""
     return RuleTerms(
         classes={
             c.name: ClassTerms(RULE_WORDS[c.repeats], c.memory * (1 + MAX_CLOCK_DRIFT))
             for c in settings.classes
         },
-        # less than the rule's own slack of a tenth or one of the largest requests: dials and drift only
+        # less than the rule's own slack of a tenth or one of the largest requests: only dials and drift
         ceilings={
-            p.name: Ceiling(p.ceiling_rate, p.ceiling_depth, SLACK_TIME * p.ceiling_rate + 1.0)
+            p.name: Ceiling(p.ceiling_rate, p.ceiling_depth, MAX_CHARGE_TO_WRITE_S * p.ceiling_rate + 1.0)
             for p in settings.plans
             if p.ceiling_rate > 0
         },
@@ -495,6 +531,6 @@
     )
 
 
-def play(schedule: Schedule, **watching: Any) -> dict[str, float]:
-    """One schedule; Broken tells which rule it breaks."""
-    return World(schedule, **watching).run()
+def play(schedule: Schedule, **options: Any) -> dict[str, float]:
+    """Plays a schedule and returns its figures; Broken if it violates a rule."""
+    return World(schedule, **options).run()
