--- a/embersill/lab/levels/shorten.py
+++ b/embersill/lab/levels/shorten.py
@@ -1,4 +1,4 @@
-"""Cuts a failing schedule of the two levels down, and tells it as a story of a screen or less."""
+"""Shrinks failing schedules of the two levels and describes a run in at most one screen of text."""
 
 from __future__ import annotations
 
@@ -20,69 +20,72 @@
 from embersill.world.schedules import SavedSchedule, Schedule
 from embersill.world.trace import Trace
 
-MOST_LINES = 40
-MOVES = ("Lend", "Recall", "Returned", "Bequeath", "Leaving")
+MAX_STORY_LINES = 40
+SHARE_MESSAGES = ("Lend", "Recall", "Returned", "Bequeath", "Leaving")
 
 
 def breaks(schedule: Schedule) -> Broken | None:
-    """The rule that a schedule breaks, if it breaks one."""
+    """Returns the violation that a schedule causes, if any."""
     return breaks_in(play, schedule)
 
 
 def shorten(
     schedule: Schedule, broken: Broken, fence: str = "", most_runs: int = 2000
 ) -> tuple[SavedSchedule, int]:
-    """The shortest schedule found that breaks the same rule, with its story, and in how many runs."""
+    """Returns the shortest schedule found that violates the same rule, and the number of runs."""
     shrinker = shrinker_of(play, broken, most_runs)
-    pinned = with_pins(schedule)
+    pinned = with_fixed_times(schedule)
     short = shrinker.shrink(pinned if shrinker.fails(pinned) else schedule, broken.at)
     return SavedSchedule(short, broken.rule, fence, story(short)), shrinker.runs
 
 
-def with_pins(schedule: Schedule) -> Schedule:
-    """The same with each aimed step at the time at which it came: its moment may then go as well."""
+def with_fixed_times(schedule: Schedule) -> Schedule:
+    """Returns the schedule with each aimed step at the time at which it was executed.
+
+    Then the steps that caused its moment can be removed as well.
+    """
     world = World(schedule)
     try:
         world.run()
     except Broken:
         pass
     steps = [
-        world.pinned.get(place, step)
-        for place, step in enumerate(schedule.steps)
-        if not step.on or place in world.pinned
+        world.pinned.get(index, step)
+        for index, step in enumerate(schedule.steps)
+        if not step.on or index in world.pinned
     ]
     return schedule.with_steps(sorted(steps, key=lambda step: step.at))
 
 
 def story(schedule: Schedule) -> str:
-    """What happens in a schedule, a line an event: its last screen."""
+    """Describes the run of a schedule, one line per event; only its last screen."""
     trace = Trace()
     world = World(schedule, trace=trace)
     end = end_of(world.run)
     lines: list[str] = []
     for record in reversed(trace.records):
-        line = told(record)
+        line = describe(record)
         if line and (not lines or lines[-1] != line):
             lines.append(line)
-        if len(lines) >= MOST_LINES - 2:
+        if len(lines) >= MAX_STORY_LINES - 2:
             break
     return "\n".join([*reversed(lines), end])
 
 
-def told(record: Record) -> str:
-    """A record as people would say it; empty for what a story does without."""
+def describe(record: Record) -> str:
+    """Describes a record in one line; empty for records that a story omits."""
     if isinstance(record, Fault):
-        took = f" for {record.seconds:g} s" if record.seconds else ""
-        text = f"{record.what} {record.who}{took}"
+        duration = f" for {record.seconds:g} s" if record.seconds else ""
+        text = f"{record.what} {record.who}{duration}"
     elif isinstance(record, MessageLogged):
-        if record.kind not in MOVES:
+        if record.kind not in SHARE_MESSAGES:
             return ""
-        verb = "says" if record.phase == "sent" else "has said"
+        verb = "sends" if record.phase == "sent" else "delivered"
         text = f"{record.sender} {verb} {record.kind} to {record.receiver}"
     elif isinstance(record, RequestReceived):
         text = (
             f"request {record.request} ({record.klass}, {record.customer}, {record.units:g} units) "
-            f"comes to {record.front}"
+            f"arrives at {record.front}"
         )
     elif isinstance(record, Written):
         text = (
@@ -94,7 +97,7 @@
     elif isinstance(record, RequestAnswered):
         text = f"request {record.request} is {record.how}"
     elif isinstance(record, BackendNotified) and not record.serving:
-        text = f"{record.process} hears that {record.backend} drains or is gone"
+        text = f"{record.process} is notified that {record.backend} drains or is gone"
     elif isinstance(record, SharesHeld) and any(len(users) > 1 for _, users in record.users):
         text = f"shares of part {record.part}: " + "; ".join(
             f"{lender} to {' and '.join(users)}" for lender, users in record.users
--- a/embersill/lab/levels/wide.py
+++ b/embersill/lab/levels/wide.py
@@ -1,6 +1,6 @@
-"""Mutants of the modules that decide: which of them neither the schedules nor the quick tests notice.
+"""Mutation testing of the modules that make decisions: finds mutants that no schedule or quick test detects.
 
-`python -m embersill.lab mutants`; each in a process of its own, which plays schedules, then runs the tests.
+`python -m embersill.lab mutants` runs each in a process of its own, which plays schedules, then the tests.
 """
 
 from __future__ import annotations
@@ -45,13 +45,13 @@
     "tests/tiers/test_wire.py",
     "tests/ratelimit/test_asking.py",
     "tests/ratelimit/test_answering.py",
-)  # those without sockets
+)  # tests without sockets
 NOTHING = "nothing"
-SECONDS = 120.0  # for one mutant: one that runs for ever is noticed by that
+MUTANT_TIMEOUT_S = 120.0  # detects mutants that cause endless loops
 
 
-def judge(module: str, number: int, what: str, seeds: int) -> str:
-    """What notices a mutant, in this process: a rule, tests, or nothing ("")."""
+def detect(module: str, number: int, what: str, seeds: int) -> str:
+    """Runs a mutant in this process and returns what detected it: a rule, tests, or nothing ("")."""
     _, source = source_of(module)
     replace_source(module, mutated(source, Mutant(number, 0, what)))
     from embersill.lab.levels.generate import generate
@@ -70,7 +70,8 @@
     return "" if pytest.main(["-q", "-x", "-p", "no:cacheprovider", *TESTS]) == 0 else "tests"
 
 
-def judge_apart(module: str, mutant: Mutant, seeds: int) -> dict[str, Any]:
+def detect_in_subprocess(module: str, mutant: Mutant, seeds: int) -> dict[str, Any]:
+    """Runs a mutant in a process of its own and returns a report."""
     command = [
         sys.executable,
         "-m",
@@ -80,31 +81,38 @@
         mutant.what,
         str(seeds),
     ]
-    told = {"module": module, "line": mutant.line, "what": mutant.what}
+    report = {"module": module, "line": mutant.line, "what": mutant.what}
     try:
-        ran = subprocess.run(command, capture_output=True, text=True, check=False, timeout=SECONDS)
+        result = subprocess.run(
+            command, capture_output=True, text=True, check=False, timeout=MUTANT_TIMEOUT_S
+        )
     except subprocess.TimeoutExpired:
-        return {**told, "noticed": "runs for ever"}
-    last = ran.stdout.strip().splitlines()[-1:] or [""]
-    if ran.returncode or not last[0].startswith("noticed by "):
-        return {**told, "noticed": "falls over"}
-    return {**told, "noticed": last[0].removeprefix("noticed by ").removesuffix(NOTHING)}
-
-
-def judge_all(modules: list[str], most: int, seeds: int, seed: int) -> Iterator[dict[str, Any]]:
-    """All mutants of the modules, or a sample of `most`, some at a time."""
-    found = [(module, mutant) for module in modules for mutant in mutants(source_of(module)[1])]
-    if 0 < most < len(found):
-        found = sorted(random.Random(seed).sample(found, most), key=lambda pair: (pair[0], pair[1].number))
+        return {**report, "noticed": "runs for ever"}
+    last = result.stdout.strip().splitlines()[-1:] or [""]
+    if result.returncode or not last[0].startswith("noticed by "):
+        return {**report, "noticed": "falls over"}
+    return {**report, "noticed": last[0].removeprefix("noticed by ").removesuffix(NOTHING)}
+
+
+def detect_all(modules: list[str], sample: int, seeds: int, seed: int) -> Iterator[dict[str, Any]]:
+    """Runs all mutants of the modules, or a random sample of them, several in parallel."""
+    chosen = [(module, mutant) for module in modules for mutant in mutants(source_of(module)[1])]
+    if 0 < sample < len(chosen):
+        chosen = sorted(
+            random.Random(seed).sample(chosen, sample), key=lambda pair: (pair[0], pair[1].number)
+        )
     with ThreadPoolExecutor(os.cpu_count() or 1) as pool:
-        yield from pool.map(lambda pair: judge_apart(pair[0], pair[1], seeds), found)
+        yield from pool.map(lambda pair: detect_in_subprocess(pair[0], pair[1], seeds), chosen)
 
 
 def command(options: argparse.Namespace) -> int:
+    """Prints undetected mutants and counts; the return value is the exit status."""
     counts = {"mutants": 0, "by_schedules": 0, "by_tests": 0, "otherwise": 0, "survivors": 0}
-    for told in judge_all(options.module or list(MODULES), options.most, options.seeds, options.sample_seed):
+    for report in detect_all(
+        options.module or list(MODULES), options.most, options.seeds, options.sample_seed
+    ):
         counts["mutants"] += 1
-        how = told["noticed"]
+        how = report["noticed"]
         kind = (
             "survivors"
             if not how
@@ -116,19 +124,22 @@
         )
         counts[kind] += 1
         if not how:
-            print(f"{told['module']}:{told['line']}: {told['what']}", flush=True)
+            print(f"{report['module']}:{report['line']}: {report['what']}", flush=True)
     print(json.dumps(counts))
     return 0
 
 
 def add_to(commands: Any) -> None:
-    parser = commands.add_parser("mutants", help="small changes all over what decides, and what notices them")
+    """Adds the sub-command `mutants`."""
+    parser = commands.add_parser("mutants", help="mutation testing of the modules that make decisions")
     parser.set_defaults(what="mutants")
     parser.add_argument("--module", nargs="+", default=[])
-    parser.add_argument("--most", type=int, default=0, help="only a sample of so many; 0: all")
+    parser.add_argument("--most", type=int, default=0, help="size of a random sample; 0: all")
     parser.add_argument("--sample-seed", type=int, default=1)
-    parser.add_argument("--seeds", type=int, default=20, help="schedules against each, before the tests")
+    parser.add_argument(
+        "--seeds", type=int, default=20, help="schedules played against each mutant before the tests"
+    )
 
 
 if __name__ == "__main__":
-    print("noticed by", judge(sys.argv[1], int(sys.argv[2]), sys.argv[3], int(sys.argv[4])) or NOTHING)
+    print("noticed by", detect(sys.argv[1], int(sys.argv[2]), sys.argv[3], int(sys.argv[4])) or NOTHING)
--- a/tests/world/test_search.py
+++ b/tests/world/test_search.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from embersill.lab.levels.wide import judge_apart
+from embersill.lab.levels.wide import detect_in_subprocess
 from embersill.world.fences import source_of
 from embersill.world.mutants import mutants, mutated
 from embersill.world.oracles import Broken
@@ -98,6 +98,6 @@
 def test_detected_and_undetected_mutants_are_reported() -> None:
     source = source_of("embersill.tiers.ledger")[1]
     unreached = next(m for m in mutants(source) if m.what.startswith("60.0 doubled"))
-    assert judge_apart("embersill.tiers.ledger", unreached, 1)["noticed"] == ""
+    assert detect_in_subprocess("embersill.tiers.ledger", unreached, 1)["noticed"] == ""
     reached = next(m for m in mutants(source) if m.what == "max for min")
-    assert judge_apart("embersill.tiers.ledger", reached, 1)["noticed"]
+    assert detect_in_subprocess("embersill.tiers.ledger", reached, 1)["noticed"]
