--- a/embersill/lab/levels/generate.py
+++ b/embersill/lab/levels/generate.py
@@ -1,4 +1,4 @@
-"""Schedules of the two levels from seeds: each with a mix of its own, and faults aimed at what matters."""
+"""Generates schedules of the two levels from seeds: each with its own mix of traffic and (aimed) faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from embersill.world.schedules import Schedule, Step
 from embersill.world.swarm import log_uniform, random_subset
 
-FORWARDER_SAYS = (
+FORWARDER_MESSAGES = (
     "Ask",
     "Open",
     "Echo",
@@ -23,7 +23,7 @@
     "Used",
     "Yielded",
 )
-PLANNER_SAYS = (
+PLANNER_MESSAGES = (
     "Grant",
     "Beat",
     "Returned",
@@ -34,8 +34,8 @@
     "Leaving",
     "Reserve",
 )
-OFTEN = ("Grant", "Echo", "Lend", "Recall", "Ask", "Ended", "Open", "Returned")  # the aim of two in three
-KINDS = (
+FREQUENT_TARGETS = ("Grant", "Echo", "Lend", "Recall", "Ask", "Ended", "Open", "Returned")  # of 2 aims in 3
+FAULT_KINDS = (
     "kill planner",
     "pause planner",
     "pause forwarder",
@@ -49,7 +49,7 @@
     "leave",
     "retire",
 )
-RECIPES = (
+SCENARIOS = (
     "held grant",
     "paused grant",
     "paused dial",
@@ -62,11 +62,11 @@
     "nobody leads",
     "cold return",
 )
-FATES = ("error", "broken", "turned away", "no connection")
+FAILURES = ("error", "broken", "turned away", "no connection")
 
 
-class Maker:
-    """Makes one schedule. `focus`: kinds of message to aim at, where few seeds have met them yet."""
+class Generator:
+    """Generates one schedule. `focus`: kinds of message to aim at, because few seeds covered them yet."""
 
     def __init__(
         self,
@@ -84,20 +84,20 @@
         self.planners = [f"p{n}" for n in range(planners)]
         self.backends = [f"b{n}" for n in range(4)]
         self.rate = rate if rate is not None else log_uniform(chance, 20.0, 80.0)
-        self.kinds = random_subset(chance, KINDS, 0.35)
-        self.recipes = random_subset(chance, RECIPES, 0.35)
-        self.faults = log_uniform(chance, 1.0, 6.0)  # a second
-        self.aimed = chance.choice((0.2, 0.5, 0.9))
-        self.long = log_uniform(chance, 0.3, 2.5)  # seconds that most troubles take at most
-        self.flaky_day = chance.random() < 0.1  # one connection in two is refused at once
-        self.cold_day = chance.random() < 0.05
-        self.refused_day = chance.random() < 0.2  # no backend takes a connection for a while
+        self.kinds = random_subset(chance, FAULT_KINDS, 0.35)
+        self.scenarios = random_subset(chance, SCENARIOS, 0.35)
+        self.fault_rate = log_uniform(chance, 1.0, 6.0)  # per second
+        self.aimed_share = chance.choice((0.2, 0.5, 0.9))  # of all faults
+        self.max_fault_s = log_uniform(chance, 0.3, 2.5)  # maximum duration of most faults
+        self.flaky_connections = chance.random() < 0.1  # every second connection is refused immediately
+        self.cold_backend = chance.random() < 0.05
+        self.refused_connections = chance.random() < 0.2  # no backend accepts connections for a while
         self.shape: dict[str, Any] = {
             "forwarders": forwarders,
             "planners": planners,
             "seconds": seconds,
             "ceiling": chance.choice(((8.0, 24.0), (4.0, 8.0), (16.0, 48.0), (12.0, 12.0))),
-            # a start takes the share to be in use for so long, which hides what else would be amiss
+            # a starting forwarder assumes for so long that its share is in use, which masks other faults
             "bequest": chance.choice((0.95, 0.95, 0.95, 5.0)),
             "beat_every": chance.choice((0.05, 0.1)),
             "memory": chance.choice((0.2, 0.5, 5.0)),
@@ -110,35 +110,37 @@
             },
         }
         depth = self.shape["ceiling"][1]
-        # a quota far below the ceiling leaves half of that to be held in reserve
+        # a burst far below the ceiling's depth leaves half of the depth for reserves
         self.shape["burst"] = random.Random(f"burst {seed}").choice((120.0, depth / 4, depth / 4))
         weather = self.shape["weather"]
         self.shape["coded"] = bool(weather["lost"] or weather["doubled"] or chance.random() < 0.25)
         self.steps: list[Step] = []
-        # sessions over several paths, as TCP carries them: nothing of a stream that stays is lost
+        # sessions over several paths, as over TCP: a stream that stays open loses nothing
         if random.Random(f"helpers {seed}").random() < 0.4:
             self.shape["helpers"] = True
             weather["lost"] = weather["doubled"] = 0.0
-        self.hoard_day = random.Random(f"hoard {seed}").random() < 0.25
+        self.large_reserves = random.Random(f"hoard {seed}").random() < 0.25
 
-    def make(self) -> Schedule:
-        if self.hoard_day:
-            return self.hoard()
-        self.traffic()
+    def generate(self) -> Schedule:
+        """Returns the schedule."""
+        if self.large_reserves:
+            return self.reserves_schedule()
+        self.add_traffic()
         chance, at = self.chance, 1.0
-        while (at := at + chance.expovariate(self.faults)) < self.seconds:
-            if chance.random() >= self.aimed:
+        while (at := at + chance.expovariate(self.fault_rate)) < self.seconds:
+            if chance.random() >= self.aimed_share:
                 self.steps += self.fault(chance.choice(self.kinds), at)
             elif chance.random() < 0.5:
-                self.steps += self.recipe(chance.choice(self.recipes), at)
+                self.steps += self.scenario(chance.choice(self.scenarios), at)
             else:
-                self.aim(at)
+                self.add_aimed_fault(at)
         return Schedule(self.seed, self.shape, sorted(self.steps, key=lambda step: step.at))
 
-    def hoard(self) -> Schedule:
-        """Customers that ask little, so that much is held in reserve; then much, as links and planners go.
+    def reserves_schedule(self) -> Schedule:
+        """Returns a schedule with large reserves.
 
-        Some customers go to another forwarder meanwhile, and what was held for them is asked back.
+        Customers send few requests first, so that forwarders hold large reserves, then many, while links and
+        planners fail. Some customers move to another forwarder in between, and their reserves are reclaimed.
         """
         chance, rise = self.chance, 3.6
         self.shape |= {"ceiling": chance.choice(((16.0, 48.0), (12.0, 36.0))), "bequest": 0.95}
@@ -146,14 +148,14 @@
         self.shape["weather"] = {"stall": 0.0, "stall_most": 0.0, "lost": 0.0, "doubled": 0.0}
         self.shape["seconds"] = end = 6.5
         customers, units = chance.choice((1, 2)), chance.choice(((2.0,), (4.0,), (1.0, 2.0, 8.0)))
-        first = {f"pro{n}": chance.choice(self.forwarders) for n in range(customers)}
-        moves = {name: chance.choice(self.forwarders) for name in first}
-        spread, moved = chance.choice((0.0, 0.2, 0.5)), chance.uniform(1.6, 3.2)
+        homes = {f"pro{n}": chance.choice(self.forwarders) for n in range(customers)}
+        later_homes = {name: chance.choice(self.forwarders) for name in homes}
+        spread, moved_at = chance.choice((0.0, 0.2, 0.5)), chance.uniform(1.6, 3.2)
         at = 0.5
-        busy = chance.choice((15.0, 40.0, 90.0))
-        while (at := at + chance.expovariate(6.0 if at < rise else busy)) < end:
-            customer = chance.choice(list(first))
-            who = (first if at < moved else moves)[customer]
+        peak_rate = chance.choice((15.0, 40.0, 90.0))
+        while (at := at + chance.expovariate(6.0 if at < rise else peak_rate)) < end:
+            customer = chance.choice(list(homes))
+            who = (homes if at < moved_at else later_homes)[customer]
             if chance.random() < spread or (at >= rise and chance.random() < 0.6):
                 who = chance.choice(self.forwarders)
             self.steps.append(
@@ -173,17 +175,17 @@
             )
         faults, at = chance.randint(1, 4), rise + chance.uniform(-0.6, 1.2)
         for _ in range(faults):
-            self.steps += self.parting(at)
+            self.steps += self.separation(at)
             at += chance.uniform(0.1, 1.2)
         return Schedule(self.seed, self.shape, sorted(self.steps, key=lambda step: step.at))
 
-    def parting(self, at: float) -> list[Step]:
-        """A forwarder that is cut off, or an owner that goes."""
+    def separation(self, at: float) -> list[Step]:
+        """Returns steps that cut forwarders off, or stop the planner that leads their parts."""
         chance = self.chance
         kind = chance.choice(("alone", "alone", "all alone", "kill", "leave", "pause", "cut"))
-        took = round(chance.uniform(0.4, 1.6), 3)
+        duration = round(chance.uniform(0.4, 1.6), 3)
         if kind in ("kill", "leave", "pause"):
-            return [Step(kind, at, who=chance.choice(self.planners), seconds=took)]
+            return [Step(kind, at, who=chance.choice(self.planners), seconds=duration)]
         if kind == "cut":
             return [
                 Step(
@@ -191,20 +193,21 @@
                     at,
                     who=chance.choice(self.forwarders),
                     to=chance.choice(self.planners),
-                    seconds=took,
+                    seconds=duration,
                     args={"both": True},
                 )
             ]
-        alone = self.forwarders if kind == "all alone" else [chance.choice(self.forwarders)]
+        isolated = self.forwarders if kind == "all alone" else [chance.choice(self.forwarders)]
         return [
-            Step("cut", at, who=name, to=planner, seconds=took, args={"both": True})
-            for name in alone
+            Step("cut", at, who=name, to=planner, seconds=duration, args={"both": True})
+            for name in isolated
             for planner in self.planners
         ]
 
     # traffic
 
-    def traffic(self) -> None:
+    def add_traffic(self) -> None:
+        """Adds the requests of all customers and, for some seeds, the faults that belong to them."""
         chance = self.chance
         plans = chance.choice(
             (("pro",), ("pro", "pro", "basis", "free"), ("free", "pro"), ("basis", "pro", "pro"))
@@ -214,27 +217,33 @@
         )
         customers = chance.choice((1, 2, 4))
         units = chance.choice(((1.0,), (1.0, 1.0, 2.0, 3.0, 8.0), (4.0, 8.0)))
-        fails, dials, slow = (
+        failure_share, dial_share, slow_share = (
             chance.choice((0.0, 0.05, 0.4)),
             chance.choice((0.0, 0.1, 0.4)),
             chance.choice((0.02, 0.1, 0.3)),
         )
-        ends = random_subset(chance, FATES, 0.5)
-        if "paused dial" in self.recipes:
-            dials = 0.4
-        at, refusing, refused = 0.5, 0.0, [("no connection", 0.0, 0.0)]
+        failures = random_subset(chance, FAILURES, 0.5)
+        if "paused dial" in self.scenarios:
+            dial_share = 0.4
+        at, refused_until, refused = 0.5, 0.0, [("no connection", 0.0, 0.0)]
         budgets: tuple[float, ...] = chance.choice(((0.3, 1.0, 2.0), (2.0,), (0.4,)))
-        if self.flaky_day:  # of customers that use all that they may, and planners that come and go
+        if self.flaky_connections:  # with customers that use their whole quota, and unstable planners
             plans, klasses, units, budgets = ("pro",), ("lookup",), (4.0, 8.0), (2.0,)
-            fails, dials, ends, customers = 0.5, 0.0, ["no connection"], 2
+            failure_share, dial_share, failures, customers = 0.5, 0.0, ["no connection"], 2
             self.kinds, self.shape["ceiling"] = ["kill planner", "kill forwarder", "break"], (4.0, 8.0)
-        if self.cold_day:  # a backend comes back cold, and there is much that nothing but it keeps away
+        if self.cold_backend:  # a backend restarts cold, and nothing but that limits the load on it
             plans, klasses, customers, budgets = ("free",), ("lookup",), 4, (2.0,)
-            fails, dials, slow, self.faults, self.rate = 0.0, 0.0, 0.02, 0.2, max(self.rate, 60.0)
+            failure_share, dial_share, slow_share, self.fault_rate, self.rate = (
+                0.0,
+                0.0,
+                0.02,
+                0.2,
+                max(self.rate, 60.0),
+            )
             self.shape["capacity"] = self.rate / len(self.backends)
-            self.steps += self.recipe("cold return", 1.0)
-        if self.refused_day:
-            # a customer that comes late has a full bucket, and all that it may pass at once goes on late
+            self.steps += self.scenario("cold return", 1.0)
+        if self.refused_connections:
+            # a customer that starts late has a full bucket, and its whole burst is forwarded late
             plans, customers, units, budgets = (
                 ("pro",),
                 chance.choice((1, 2)),
@@ -243,18 +252,19 @@
             )
             klasses, self.rate = ("lookup",), max(self.rate, 80.0)
             at = self.seconds - chance.uniform(1.5, 2.0)
-            refusing = at + chance.uniform(0.2, 0.8)
+            refused_until = at + chance.uniform(0.2, 0.8)
             refused = [("no connection", 0.0, round(chance.uniform(0.2, 0.3), 3))] * chance.randint(3, 4)
-            fails, dials, self.faults = 0.0, 0.0, 0.2
+            failure_share, dial_share, self.fault_rate = 0.0, 0.0, 0.2
             self.shape["ceiling"] = chance.choice(((16.0, 48.0), (16.0, 48.0), (12.0, 12.0)))
-            if chance.random() < 0.6:  # and whoever has it in hand goes
-                late = round(at + chance.uniform(0.3, 1.4), 3)
+            if chance.random() < 0.6:  # and the planner that decides for it stops
+                stop_at = round(at + chance.uniform(0.3, 1.4), 3)
                 self.steps += [
-                    Step(chance.choice(("kill", "leave")), late, who=name, seconds=0.5)
+                    Step(chance.choice(("kill", "leave")), stop_at, who=name, seconds=0.5)
                     for name in chance.sample(self.planners, chance.randint(1, len(self.planners) - 1))
                 ]
         fronts = chance.choice((self.forwarders, self.forwarders, self.forwarders[:1]))
-        quiet, busy = chance.choice(((0.0, 1.0), (0.0, 1.0), (1.4, 0.1), (0.6, 0.6)))  # seconds, by turns
+        # traffic alternates between pauses and bursts; seconds
+        quiet, busy = chance.choice(((0.0, 1.0), (0.0, 1.0), (1.4, 0.1), (0.6, 0.6)))
         while (at := at + chance.expovariate(self.rate * (quiet + busy) / busy)) < self.seconds:
             if quiet and at % (quiet + busy) < quiet:
                 at += quiet - at % (quiet + busy)
@@ -270,81 +280,108 @@
                         "customer": f"{plan}{chance.randrange(customers)}",
                         "units": chance.choice(units),
                         "budget": chance.choice(budgets),
-                        "fates": (refused if at < refusing else [])
-                        + [self.fate(ends, fails, dials, slow) for _ in range(3)],
+                        "fates": (refused if at < refused_until else [])
+                        + [self.fate(failures, failure_share, dial_share, slow_share) for _ in range(3)],
                     },
                 )
             )
 
-    def fate(self, ends: list[str], fails: float, dials: float, slow: float) -> tuple[str, float, float]:
+    def fate(
+        self, failures: list[str], failure_share: float, dial_share: float, slow_share: float
+    ) -> tuple[str, float, float]:
+        """Draws an attempt's outcome, the seconds until it, and the seconds of dialling before."""
         chance = self.chance
-        outcome = chance.choice(ends) if chance.random() < fails else "served"
-        spell = chance.uniform(0.5, 3.0) if chance.random() < slow else chance.uniform(0.005, 0.2)
-        dial = chance.uniform(0.001, 0.3) if chance.random() < dials else 0.0
-        return outcome, round(spell, 4), round(dial, 4)
+        outcome = chance.choice(failures) if chance.random() < failure_share else "served"
+        duration = chance.uniform(0.5, 3.0) if chance.random() < slow_share else chance.uniform(0.005, 0.2)
+        dial = chance.uniform(0.001, 0.3) if chance.random() < dial_share else 0.0
+        return outcome, round(duration, 4), round(dial, 4)
 
     # faults
 
-    def took(self, least: float = 0.05) -> float:
-        return round(self.chance.uniform(least, max(self.long, least * 1.5)), 3)
+    def duration(self, minimum: float = 0.05) -> float:
+        """Draws the duration of a fault in seconds."""
+        return round(self.chance.uniform(minimum, max(self.max_fault_s, minimum * 1.5)), 3)
 
-    def told(self) -> dict[str, float]:
-        """When each process hears of a change: most within a second."""
+    def notification_delays(self) -> dict[str, float]:
+        """Draws after how many seconds each process is notified of a change: at most one."""
         chance = self.chance
         return {name: round(chance.uniform(0.0, 1.0), 3) for name in (*self.planners, *self.forwarders)}
 
-    def wakes(self) -> dict[str, bool]:
+    def pause_args(self) -> dict[str, bool]:
+        """Draws whether a process reads from sockets before it runs timers after a pause."""
         return {"reads_first": self.chance.random() < 0.5}
 
     def pair(self) -> tuple[str, str]:
+        """Draws a forwarder and a planner, in random order."""
         pair = [self.chance.choice(self.forwarders), self.chance.choice(self.planners)]
         self.chance.shuffle(pair)
         return pair[0], pair[1]
 
     def fault(self, kind: str, at: float, on: str = "", nth: int = 1) -> list[Step]:
-        """Steps for one fault, at a time or on a moment with its sender and receiver as victims."""
+        """Returns the steps of one fault, at a time or at a moment, whose sender and receiver it affects."""
         chance = self.chance
         aimed: dict[str, Any] = {"on": on, "nth": nth} if on else {}
-        planner_says = on.rpartition(" ")[2] in PLANNER_SAYS
-        planner = ("@sender" if planner_says else "@receiver") if on else chance.choice(self.planners)
-        forwarder = ("@receiver" if planner_says else "@sender") if on else chance.choice(self.forwarders)
+        from_planner = on.rpartition(" ")[2] in PLANNER_MESSAGES
+        planner = ("@sender" if from_planner else "@receiver") if on else chance.choice(self.planners)
+        forwarder = ("@receiver" if from_planner else "@sender") if on else chance.choice(self.forwarders)
         who, to = (
             (("@sender", "@receiver") if chance.random() < 0.7 else ("@receiver", "@sender"))
             if on
             else self.pair()
         )
-        took = self.took()
+        duration = self.duration()
         if kind == "kill planner":
             return [
-                Step("kill", at, who=planner, seconds=took, args={"quiet": chance.random() < 0.3}, **aimed)
+                Step(
+                    "kill", at, who=planner, seconds=duration, args={"quiet": chance.random() < 0.3}, **aimed
+                )
             ]
         if kind == "kill forwarder":
             return [
-                Step("kill", at, who=forwarder, seconds=took, args={"quiet": chance.random() < 0.5}, **aimed)
+                Step(
+                    "kill",
+                    at,
+                    who=forwarder,
+                    seconds=duration,
+                    args={"quiet": chance.random() < 0.5},
+                    **aimed,
+                )
             ]
         if kind == "pause planner":
-            return [Step("pause", at, who=planner, seconds=took, args=self.wakes(), **aimed)]
+            return [Step("pause", at, who=planner, seconds=duration, args=self.pause_args(), **aimed)]
         if kind == "pause forwarder":
-            return [Step("pause", at, who=forwarder, seconds=took, args=self.wakes(), **aimed)]
-        if kind == "cut" and not on:  # a part of the forwarders loses a planner
-            some = chance.sample(self.forwarders, chance.randint(1, len(self.forwarders)))
-            return [Step("cut", at, who=name, to=planner, seconds=took, args={"both": True}) for name in some]
+            return [Step("pause", at, who=forwarder, seconds=duration, args=self.pause_args(), **aimed)]
+        if kind == "cut" and not on:  # some forwarders lose a planner
+            victims = chance.sample(self.forwarders, chance.randint(1, len(self.forwarders)))
+            return [
+                Step("cut", at, who=name, to=planner, seconds=duration, args={"both": True})
+                for name in victims
+            ]
         if kind == "cut":
             return [
-                Step("cut", at, who=who, to=to, seconds=took, args={"both": chance.random() < 0.5}, **aimed)
+                Step(
+                    "cut", at, who=who, to=to, seconds=duration, args={"both": chance.random() < 0.5}, **aimed
+                )
             ]
         if kind == "hold":
-            return [Step("hold", at, who=who, to=to, seconds=took, **aimed)]
+            return [Step("hold", at, who=who, to=to, seconds=duration, **aimed)]
         if kind in ("break", "half-open"):
             return [Step("break", at, who=who, to=to, args={"reset": kind == "break"}, **aimed)]
         if kind == "leave":
-            return [Step("leave", at, who=planner, seconds=took, **aimed)]
+            return [Step("leave", at, who=planner, seconds=duration, **aimed)]
         if kind == "retire":
-            return [Step("retire", at, who=forwarder, seconds=took, **aimed)]
+            return [Step("retire", at, who=forwarder, seconds=duration, **aimed)]
         backend = "@backend" if on.endswith("Grant") else chance.choice(self.backends)
         if kind == "drain":
             return [
-                Step("drain", at, who=backend, seconds=self.took(0.3), args={"told": self.told()}, **aimed)
+                Step(
+                    "drain",
+                    at,
+                    who=backend,
+                    seconds=self.duration(0.3),
+                    args={"told": self.notification_delays()},
+                    **aimed,
+                )
             ]
         assert kind == "restart backend"
         return [
@@ -353,54 +390,54 @@
                 at,
                 who=backend,
                 seconds=round(chance.uniform(0.1, 0.6), 3),
-                args={"told": self.told()},
+                args={"told": self.notification_delays()},
                 **aimed,
             )
         ]
 
-    def aim(self, at: float) -> None:
-        """One fault at the moment of a message."""
+    def add_aimed_fault(self, at: float) -> None:
+        """Adds a fault at the moment of a message."""
         chance = self.chance
         if self.focus and chance.random() < 0.5:
             message = chance.choice(self.focus)
         else:
-            message = chance.choice(OFTEN if chance.random() < 0.67 else FORWARDER_SAYS + PLANNER_SAYS)
+            message = chance.choice(
+                FREQUENT_TARGETS if chance.random() < 0.67 else FORWARDER_MESSAGES + PLANNER_MESSAGES
+            )
         moment = f"{chance.choice(('sent', 'got'))} {message}"
         self.steps += self.fault(chance.choice(self.kinds), at, moment, chance.choice((1, 1, 2, 5)))
 
-    def recipe(self, name: str, at: float) -> list[Step]:
-        """Faults that belong together, at the moments that the fences were built for."""
+    def scenario(self, name: str, at: float) -> list[Step]:
+        """Returns faults that belong together, at the moments that the fences protect."""
         chance = self.chance
-        took = round(chance.uniform(0.5, 1.6), 3)
+        duration = round(chance.uniform(0.5, 1.6), 3)
         nth = chance.choice((1, 1, 2, 4))
-        early_at_planner = {"@sender": 0.0, "@receiver": 2.5, "": 2.5}
-        drained = Step(
-            "drain", at, "sent Grant", nth, "@backend", seconds=3.0, args={"told": early_at_planner}
-        )
-        if name == "held grant":  # it is under way while its planner hears of a drain
-            return [Step("hold", at, "sent Grant", nth, "@sender", "@receiver", took), drained]
+        planner_first = {"@sender": 0.0, "@receiver": 2.5, "": 2.5}
+        drained = Step("drain", at, "sent Grant", nth, "@backend", seconds=3.0, args={"told": planner_first})
+        if name == "held grant":  # it is in flight while its planner is notified of a drain
+            return [Step("hold", at, "sent Grant", nth, "@sender", "@receiver", duration), drained]
         if name == "paused grant":
             return [
-                Step("pause", at, "sent Grant", nth, "@receiver", seconds=took, args=self.wakes()),
+                Step("pause", at, "sent Grant", nth, "@receiver", seconds=duration, args=self.pause_args()),
                 drained,
             ]
         if name == "paused dial":
             return [
-                Step("pause", at, "dialling", nth, "@receiver", seconds=took),
-                Step("drain", at, "dialling", nth, "@backend", seconds=3.0, args={"told": early_at_planner}),
+                Step("pause", at, "dialling", nth, "@receiver", seconds=duration),
+                Step("drain", at, "dialling", nth, "@backend", seconds=3.0, args={"told": planner_first}),
             ]
-        if name == "held echo":  # for longer than a lease, while its forwarder turns elsewhere
+        if name == "held echo":  # for longer than a lease, while its forwarder moves to another planner
             return [
-                Step("hold", at, "sent Echo", nth, "@sender", "@receiver", took),
-                Step("hold", at, "sent Echo", nth, "@receiver", "@sender", took),
+                Step("hold", at, "sent Echo", nth, "@sender", "@receiver", duration),
+                Step("hold", at, "sent Echo", nth, "@receiver", "@sender", duration),
             ]
-        if name == "late echo":  # it arrives when its forwarder has long ended the link
+        if name == "late echo":  # it arrives long after its forwarder closed the link
             return [
-                Step("hold", at, "sent Echo", nth, "@sender", "@receiver", took),
-                Step("cut", at, "sent Echo", nth, "@receiver", "@sender", took + 0.5),
+                Step("hold", at, "sent Echo", nth, "@sender", "@receiver", duration),
+                Step("cut", at, "sent Echo", nth, "@receiver", "@sender", duration + 0.5),
                 Step("break", at, "sent Echo", nth, "@sender", "@receiver", args={"reset": False}),
             ]
-        if name == "lost lender":  # it is back before its planner has noticed that it was gone
+        if name == "lost lender":  # it restarts before its planner notices that it was down
             return [
                 Step(
                     "kill",
@@ -412,28 +449,35 @@
                     args={"quiet": True},
                 )
             ]
-        if name == "all leave":  # and one comes back at once, while the others' word is under way
+        if name == "all leave":  # and one returns immediately, while the others' messages are in flight
             planner = chance.choice(self.planners)
-            some = chance.sample(self.forwarders, chance.randint(2, len(self.forwarders)))
-            late = chance.choice(some)
+            leavers = chance.sample(self.forwarders, chance.randint(2, len(self.forwarders)))
+            delayed = chance.choice(leavers)
             return [
-                *(Step("break", at, who=name, to=planner, args={"reset": name != late}) for name in some),
-                Step("hold", at, who=late, to=planner, seconds=took),
+                *(
+                    Step("break", at, who=name, to=planner, args={"reset": name != delayed})
+                    for name in leavers
+                ),
+                Step("hold", at, who=delayed, to=planner, seconds=duration),
                 Step(
                     "break",
                     at + round(chance.uniform(0.05, 0.4), 3),
-                    who=chance.choice(some),
+                    who=chance.choice(leavers),
                     to=chance.choice(self.planners),
                 ),
             ]
-        if name == "nobody leads":  # long enough for forwarders to have their own shares, then all at once
-            return [Step("pause", at, who=name, seconds=round(took + 0.9, 3)) for name in self.planners]
+        if (
+            name == "nobody leads"
+        ):  # long enough for forwarders to use their own shares, then all return at once
+            return [Step("pause", at, who=name, seconds=round(duration + 0.9, 3)) for name in self.planners]
         if name == "cold return":
             return [
-                Step("restart", min(at, 1.3), who=name, seconds=0.1, args={"told": self.told()})
+                Step(
+                    "restart", min(at, 1.3), who=name, seconds=0.1, args={"told": self.notification_delays()}
+                )
                 for name in self.backends[:1]
             ]
-        if name == "lone cut":  # one forwarder is cut off from a planner that the others obey
+        if name == "lone cut":  # one forwarder is cut off from the planner that the others use
             planner = chance.choice(self.planners)
             return [
                 Step(
@@ -441,11 +485,11 @@
                     at,
                     who=chance.choice(self.forwarders),
                     to=planner,
-                    seconds=took,
+                    seconds=duration,
                     args={"both": True},
                 )
             ]
-        assert name == "quiet end"  # half-open at the planner, which goes on as if nothing had been
+        assert name == "quiet end"  # half-open: the planner does not notice
         return [
             Step(
                 "break",
@@ -460,5 +504,5 @@
 
 
 def generate(seed: int, focus: Sequence[str] = (), **shape: Any) -> Schedule:
-    """The schedule of a seed; the same on every machine."""
-    return Maker(seed, focus, **shape).make()
+    """Returns the schedule of a seed, which is the same on every machine."""
+    return Generator(seed, focus, **shape).generate()
