--- a/tests/council/test_processes.py
+++ b/tests/council/test_processes.py
@@ -1,4 +1,4 @@
-"""Planners with a council as processes, with faults between them: rules and counts, never times."""
+"""Planner processes with a council and faults between them; judged by rules and counts, never by times."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.ownership import (
     judge_billing,
-    record_ownership,
     owner_of,
+    record_ownership,
     wait_exported,
     wait_owner,
     wait_writer,
@@ -32,7 +32,7 @@
     rate: float = 50.0,
     lost_disks: bool = False,
 ) -> Deployment:
-    """Runs a deployment under traffic for as long as `test` takes; all has to be well at the end."""
+    """Runs a deployment under traffic while `test` runs, and checks all rules at the end."""
 
     async def run() -> Deployment:
         deployment = Deployment(
@@ -64,10 +64,10 @@
             deployment.close()
         figures = deployment.audit.figures()
         assert not codes and not {rule: figures[rule] for rule in RULES if figures[rule]}, figures
-        told = judge_billing(deployment.billing)
-        assert told["owners_at_once_most"] == 1 and told["appends"] > 0, told
-        assert not told["exported_twice"] and not told["late_effects_taken"], told
-        assert not told["exported_out_of_order"], told
+        report = judge_billing(deployment.billing)
+        assert report["owners_at_once_most"] == 1 and report["appends"] > 0, report
+        assert not report["exported_twice"] and not report["late_effects_taken"], report
+        assert not report["exported_out_of_order"], report
         return deployment
 
     return uvloop.run(run())
@@ -81,16 +81,16 @@
     return [member.name for member in deployment.planners() if member.name != name]
 
 
-def test_an_owner_that_stood_still_between_its_check_and_its_write_is_refused() -> None:
+def test_an_owner_that_stalled_between_its_check_and_its_write_is_refused() -> None:
     async def test(deployment: Deployment) -> None:
         for _ in range(6):
             owner = await wait_writer(deployment)
             way = deployment.relays[f"{owner}>billing"]
             number = await swallowed(deployment, way.name, Direction.UP)
-            await asyncio.sleep(0.5)  # its next append is on its way, and does not come
+            await asyncio.sleep(0.5)  # its next append is sent, and does not arrive
             highest = deployment.billing.highest_number
             deployment.members[owner].suspend()
-            while deployment.billing.highest_number == highest:  # until its successor has been there
+            while deployment.billing.highest_number == highest:  # until its successor has claimed
                 await asyncio.sleep(0.02)
             await way.remove_fault(number)
             deployment.members[owner].resume()
@@ -103,10 +103,10 @@
     assert len(deployment.billing.owners) > 1
 
 
-def test_verdicts_of_an_owner_that_come_late_are_refused_by_every_planner() -> None:
+def test_late_verdicts_of_an_old_owner_are_refused_by_every_planner() -> None:
     async def test(deployment: Deployment) -> None:
         backend = deployment.backends[0]
-        backend.close()  # it is listed, and nobody listens: suspected and probed
+        backend.close()  # listed but not listening: suspected and probed
         for connection in list(backend.connections):
             connection.close()
         async with asyncio.timeout(60.0):
@@ -115,13 +115,13 @@
         for _ in range(12):
             owner = await wait_owner(deployment, "probes")
             ways = [deployment.relays[f"{owner}>{name}"] for name in others(deployment, owner)]
-            laid = [
+            faults = [
                 (way, await way.add_fault(LinkFault(LinkFaultKind.DELAY, Direction.UP, 1.0))) for way in ways
             ]
             await asyncio.sleep(0.6)  # it has published at least once more, and its lease is over
             await wait_owner(deployment, "probes", other_than=owner)
             await asyncio.sleep(0.8)
-            for way, number in laid:
+            for way, number in faults:
                 await way.remove_fault(number)
             refused = {m.name: m.status["refused_effects"] for m in deployment.planners()}
             if sum(count > 0 for count in refused.values()) >= 2:
@@ -136,13 +136,13 @@
         owner = await wait_owner(deployment, "export")
         ways = [f"{a}>{b}" for a in (owner,) for b in others(deployment, owner)]
         ways += [f"{b}>{owner}" for b in others(deployment, owner)]
-        laid = [
+        faults = [
             (name, await deployment.relays[name].add_fault(LinkFault(LinkFaultKind.CUT))) for name in ways
         ]
         second = await wait_owner(deployment, "export", other_than=owner)
-        for name, number in laid:
+        for name, number in faults:
             await deployment.relays[name].remove_fault(number)
-        # the reverse: it holds the office, and can't do its work
+        # the reverse: the owner holds the office and cannot reach billing
         number = await deployment.relays[f"{second}>billing"].add_fault(LinkFault(LinkFaultKind.CUT))
         third = await wait_owner(deployment, "export", other_than=second)
         booked = len(deployment.billing.appends)
@@ -150,7 +150,7 @@
             await asyncio.sleep(0.05)
         assert third != second
         await deployment.relays[f"{second}>billing"].remove_fault(number)
-        # and late, with all coming in the end
+        # delays, with everything delivered in the end
         delayed = [deployment.relays[f"{third}>{name}"] for name in others(deployment, third)]
         late = [
             (way, await way.add_fault(LinkFault(LinkFaultKind.DELAY, Direction.BOTH, 0.3, 2.7)))
@@ -164,56 +164,56 @@
     assert len(deployment.billing.owners) >= 3
 
 
-def test_three_members_of_whom_two_don_t_hear_each_other_and_one_that_nobody_hears() -> None:
+def test_a_cut_between_two_members_and_a_member_that_nobody_receives() -> None:
     taken: list[int] = []
 
     async def test(deployment: Deployment) -> None:
         claims = record_ownership(deployment)
-        laid = [
+        faults = [
             (name, await deployment.relays[name].add_fault(LinkFault(LinkFaultKind.CUT)))
             for name in ("p0>p2", "p2>p0")
         ]
         await asyncio.sleep(4.0)
         assert owner_of(deployment, "export")
         taken.append(claims.changes("export"))
-        for name, number in laid:
+        for name, number in faults:
             await deployment.relays[name].remove_fault(number)
         await asyncio.sleep(0.5)
         claims = record_ownership(deployment)
-        mute = await wait_owner(deployment, "export")
-        laid = [
-            (f"{mute}>{b}", await swallowed(deployment, f"{mute}>{b}", Direction.UP))
-            for b in others(deployment, mute)
+        silent = await wait_owner(deployment, "export")
+        faults = [
+            (f"{silent}>{b}", await swallowed(deployment, f"{silent}>{b}", Direction.UP))
+            for b in others(deployment, silent)
         ]
-        laid += [
-            (f"{b}>{mute}", await swallowed(deployment, f"{b}>{mute}", Direction.DOWN))
-            for b in others(deployment, mute)
+        faults += [
+            (f"{b}>{silent}", await swallowed(deployment, f"{b}>{silent}", Direction.DOWN))
+            for b in others(deployment, silent)
         ]
-        await wait_owner(deployment, "export", other_than=mute)
+        await wait_owner(deployment, "export", other_than=silent)
         await asyncio.sleep(3.0)
-        assert owner_of(deployment, "export") not in ("", mute)
+        assert owner_of(deployment, "export") not in ("", silent)
         taken.append(claims.changes("export"))
-        for name, number in laid:
+        for name, number in faults:
             await deployment.relays[name].remove_fault(number)
 
     fleet(test)
     assert taken[0] <= 2 and taken[1] <= 3, taken
 
 
-def test_owners_are_killed_one_after_the_other_restarted_and_cloned() -> None:
+def test_owners_are_killed_in_turn_restarted_and_cloned() -> None:
     async def test(deployment: Deployment) -> None:
-        for turn in range(5):
+        for attempt in range(5):
             owner = await wait_owner(deployment, "export")
             await deployment.members[owner].kill()
             await wait_owner(deployment, "export", other_than=owner)
-            await deployment.members[owner].start()  # while its successor acts
-            await asyncio.sleep(0.4 if turn % 2 else 1.2)
+            await deployment.members[owner].start()  # while its successor is active
+            await asyncio.sleep(0.4 if attempt % 2 else 1.2)
         owner = await wait_owner(deployment, "export")
-        clone = await deployment.clone(owner)  # a second process of that name, with a copy of its disk
+        clone = await deployment.clone(owner)  # a second process under that name, with a copy of its disk
         async with asyncio.timeout(60.0):
             while not clone.status.get("council", {}).get("votes"):
                 await asyncio.sleep(0.05)
-        assert "another process" in await said_why(deployment, owner)
+        assert "another process" in await reported_reason(deployment, owner)
         await clone.kill()
         await deployment.members[owner].kill()
         await deployment.members[owner].start()
@@ -224,14 +224,14 @@
     assert len(log) == 1
 
 
-async def said_why(deployment: Deployment, name: str) -> str:
+async def reported_reason(deployment: Deployment, name: str) -> str:
     async with asyncio.timeout(60.0):
-        while not (why := deployment.members[name].status.get("council", {}).get("why")):
+        while not (reason := deployment.members[name].status.get("council", {}).get("why")):
             await asyncio.sleep(0.05)
-    return str(why)
+    return str(reason)
 
 
-def test_all_members_are_killed_at_once_and_three_of_five_disks_are_not_what_they_were() -> None:
+def test_all_members_are_killed_at_once_and_three_of_five_disks_are_changed() -> None:
     async def test(deployment: Deployment) -> None:
         old = deployment.state_dir("p1").with_name("yesterday")
         await deployment.copy_state("p1", old)
@@ -239,8 +239,8 @@
         number = max(deployment.billing.owners, default=0)
         await asyncio.gather(*(member.kill() for member in deployment.planners()))
         shutil.rmtree(deployment.state_dir("p1"))
-        shutil.copytree(old, deployment.state_dir("p1"))  # yesterday's
-        shutil.rmtree(deployment.state_dir("p2"))  # none
+        shutil.copytree(old, deployment.state_dir("p1"))  # an old copy
+        shutil.rmtree(deployment.state_dir("p2"))  # no disk state
         with open(deployment.state_dir("p3") / "council", "r+b") as file:  # a torn last record
             file.seek(0, 2)
             file.write(b"\x93EJ1\0\0\0\x40torn")
@@ -248,11 +248,11 @@
         async with asyncio.timeout(60.0):
             while not all(m.status.get("council", {}).get("votes") for m in deployment.planners()):
                 await asyncio.sleep(0.05)
-        learned = {m.name: m.status["council"]["learned"] for m in deployment.planners()}
-        assert learned == {"p0": 0, "p1": 1, "p2": 1, "p3": 0, "p4": 0}, learned
+        recoveries = {m.name: m.status["council"]["learned"] for m in deployment.planners()}
+        assert recoveries == {"p0": 0, "p1": 1, "p2": 1, "p3": 0, "p4": 0}, recoveries
         await wait_owner(deployment, "export")
         await asyncio.sleep(1.0)
-        assert max(deployment.billing.owners) > number  # the number has grown, whatever was lost
+        assert max(deployment.billing.owners) > number  # the number grows whatever is lost
 
     fleet(test, planners=5, lost_disks=True)
 
@@ -262,9 +262,9 @@
         deployment.billing.behaviour = BillingBehaviour(
             unanswered_share=0.1, late_share=0.15, late_by_s=1.5, duplicate_share=0.2, busy_share=0.1
         )
-        for turn in range(14):
+        for attempt in range(14):
             owner = await wait_owner(deployment, "export")
-            await asyncio.sleep(0.11 * (turn % 5))
+            await asyncio.sleep(0.11 * (attempt % 5))
             await deployment.members[owner].kill()
             await deployment.members[owner].start()
         deployment.billing.behaviour = BillingBehaviour()
@@ -273,7 +273,7 @@
     assert len(deployment.billing.appends) > 5 and len(deployment.billing.owners) >= 8
 
 
-def test_strangers_are_turned_away_and_harm_nothing() -> None:
+def test_unauthenticated_connections_are_refused_and_harm_nothing() -> None:
     async def test(deployment: Deployment) -> None:
         before = owner_of(deployment, "export")
         for text in (b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\x10" + bytes(16), b"\xff" * 64):
--- a/tests/council/test_schedules.py
+++ b/tests/council/test_schedules.py
@@ -1,4 +1,4 @@
-"""A slice of the council's schedules, fences taken out, and the search in the small."""
+"""A sample of the council's schedules, removed fences, and the exhaustive search of small cases."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 )
 
 
-def test_schedules_break_no_rule_and_meet_what_they_are_for() -> None:
+def test_schedules_break_no_rule_and_cover_their_cases() -> None:
     sums: dict[str, float] = {}
     coverage = Coverage()
     for seed in SEEDS:
@@ -49,12 +49,12 @@
     }
 
 
-def test_a_seed_plays_the_same_again() -> None:
+def test_a_seed_is_reproducible() -> None:
     assert generate(5) == generate(5) and play(generate(5)) == play(generate(5))
 
 
 @pytest.mark.parametrize("name", [fence.name for fence in FENCES])
-def test_each_fence_stands_where_its_list_says(name: str) -> None:
+def test_each_fence_s_text_is_found_in_its_module(name: str) -> None:
     fence = BY_NAME[name]
     for module in fence.modules():
         _, source = source_of(module)
@@ -62,13 +62,13 @@
 
 
 @pytest.mark.parametrize("name", FOUND_SOON)
-def test_a_fence_that_is_taken_out_is_found(name: str) -> None:
-    told = hunt_in_subprocess(name, 7_000_000, 40, "", "council")
-    assert told["found"], told
+def test_a_removed_fence_is_detected(name: str) -> None:
+    result = hunt_in_subprocess(name, 7_000_000, 40, "", "council")
+    assert result["found"], result
 
 
-def test_a_schedule_that_breaks_a_rule_is_cut_down_to_what_does_it() -> None:
-    class Two(World):
+def test_a_failing_schedule_is_shortened_to_its_cause() -> None:
+    class Planted(World):
         def look(self) -> None:
             super().look()
             if any(not node.alive for node in self.nodes.values()):
@@ -81,7 +81,7 @@
     )
 
     def planted(tried: Schedule) -> object:
-        return Two(tried).run()
+        return Planted(tried).run()
 
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr("embersill.lab.council.world.play", planted)
@@ -92,11 +92,11 @@
     assert "no rule is broken" in kept.story
 
 
-def test_every_interleaving_of_two_writers_and_a_reader_in_the_small_is_linearizable() -> None:
-    told = search(5, 100_000, 1, Bounds(lates=0, agains=1, forgets=()))
-    assert told["search_complete"] and not told["broken"] and told["states_explored"] > 300, told
+def test_every_interleaving_of_two_writers_and_a_reader_is_linearizable() -> None:
+    result = search(5, 100_000, 1, Bounds(lates=0, agains=1, forgets=()))
+    assert result["search_complete"] and not result["broken"] and result["states_explored"] > 300, result
 
 
-def test_every_interleaving_with_a_memory_that_is_lost() -> None:
-    told = search(6, 100_000, 1, Bounds(writers=("m0",), readers=("m1",), lates=1, agains=0))
-    assert told["search_complete"] and not told["broken"] and told["states_explored"] > 300, told
+def test_every_interleaving_with_a_lost_state_is_linearizable() -> None:
+    result = search(6, 100_000, 1, Bounds(writers=("m0",), readers=("m1",), lates=1, agains=0))
+    assert result["search_complete"] and not result["broken"] and result["states_explored"] > 300, result
