--- a/embersill/council/messages.py
+++ b/embersill/council/messages.py
@@ -110,7 +110,7 @@
 
 
 class Act(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """Identifies an action under an office's lease. Only `offices.Post.act` creates one."""
+    """Identifies an action under an office's lease. Only `OfficeLease.act` creates one."""
 
     office: Key
     number: Number
--- a/embersill/council/register.py
+++ b/embersill/council/register.py
@@ -7,7 +7,7 @@
 
 One extension: a member that has lost its disk state takes part again only once a majority *of the others*,
 all with complete state, has declared its earlier lives over and sent it everything they have. Answers list
-the lives that their sender knows, so that whoever collects a majority can leave out answers from a life that
+the lives that their sender knows, so that the collector of a majority can leave out answers from a life that
 is over (as in Michael and others 2017, "Recovering Shared Objects Without Stable Storage");
 docs/design/offices.md has the argument.
 """
