--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -19,9 +19,9 @@
 
 from embersill.counting.bound import Case
 from embersill.counting.terms import Terms
-from embersill.rig.books import ClientRequest
-from embersill.lab.counting.judge import EPOCH, Customer, Judge
+from embersill.lab.counting.judge import EPOCH_S, Customer, QuotaOracle
 from embersill.lab.counting.standin import TroubledCounter
+from embersill.rig.books import ClientRequest
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.settings import settings_object
 from embersill.rig.standins import BackendBehaviour
@@ -53,12 +53,12 @@
 
 
 class Side:
-    """One deployment, its counter, and the judge of what it sends on."""
+    """One deployment, its counter, and the oracle for what it sends on."""
 
     def __init__(self, keeper: bool, customers: int, seed: int) -> None:
         self.keeper, self.customers, self.seed = keeper, customers, seed
         self.troubled: list[tuple[str, float, float]] = []
-        self.judge = Judge(Terms(), self.troubles_in, SLACK)
+        self.oracle = QuotaOracle(Terms(), self.troubles_in, SLACK)
         self.counter: TroubledCounter
         self.deployment: Deployment
 
@@ -66,7 +66,7 @@
         return [
             what
             for what, begin, end in self.troubled
-            if begin <= (epoch + 1) * EPOCH and end + TOUCHES >= epoch * EPOCH
+            if begin <= (epoch + 1) * EPOCH_S and end + TOUCHES >= epoch * EPOCH_S
         ]
 
     def trouble_now(self) -> str:
@@ -102,7 +102,7 @@
             rate += asks
             case = Case(plan.rate, plan.burst, width, LARGEST, settings.counter_patience)
             name = f"{0xc000 + number:016x}"
-            self.judge.add(name, Customer(case, plan.ceiling_rate, plan.ceiling_depth), time.time())
+            self.oracle.add(name, Customer(case, plan.ceiling_rate, plan.ceiling_depth), time.time())
         self.deployment.traffic = traffic = Traffic(
             settings,
             audit,
@@ -118,30 +118,30 @@
         traffic.on_answer = self.answered
 
     def sent(self, asked: ClientRequest, now: float) -> None:
-        self.judge.passed(asked.customer, asked.units, time.time())
-        self.judge.asked(self.trouble_now())
+        self.oracle.on_sent(asked.customer, asked.units, time.time())
+        self.oracle.on_request(self.trouble_now())
 
     def answered(self, asked: ClientRequest, status: int) -> None:
         if status == 429 and not asked.sent:
             trouble = self.trouble_now()
-            self.judge.asked(trouble)
-            self.judge.refused(asked.customer, asked.units, time.time(), trouble)
+            self.oracle.on_request(trouble)
+            self.oracle.on_refused(asked.customer, asked.units, time.time(), trouble)
 
     def trouble(self, what: str, seconds: float = 0.0) -> None:
         now = time.time()
         self.troubled.append((what, now, now + seconds))
 
     def told(self) -> dict[str, Any]:
-        judge = self.judge
-        findings = judge.close_all()
-        ratios = sorted(f.beyond / f.bound for f in findings)
-        over = [max(f.beyond - judge.customers[f.customer].case.burst, 0.0) for f in findings]
+        oracle = self.oracle
+        findings = oracle.finish()
+        ratios = sorted(f.peak_backlog / f.bound for f in findings)
+        over = [max(f.peak_backlog - oracle.customers[f.customer].case.burst, 0.0) for f in findings]
         by_epoch: dict[str, float] = {}
         for finding, units in zip(findings, over, strict=True):
             key = "+".join(sorted(set(self.troubles_in(finding.epoch)))) or NONE
             by_epoch[key] = round(by_epoch.get(key, 0.0) + units, 1)
-        worst = max(findings, key=lambda f: f.beyond / f.bound)
-        kinds = sorted(key.partition(" ")[2] for key in judge.counts if key.startswith("asked "))
+        worst = max(findings, key=lambda f: f.peak_backlog / f.bound)
+        kinds = sorted(key.partition(" ")[2] for key in oracle.counts if key.startswith("asked "))
         return {
             "overspend_units": round(sum(over), 1),
             "most_overspend_units": round(max(over), 1),
@@ -151,11 +151,13 @@
             "windows_over_bound": sum(ratio > 1.0 for ratio in ratios),
             "windows": len(ratios),
             "overspend_by_epoch": by_epoch,
-            "beyond_quota_share": round(judge.beyond_units / max(judge.units, 1.0), 4),
-            "units_sent": judge.units,
-            "ceiling_breaches": len(judge.breached_ceilings),
+            "beyond_quota_share": round(oracle.beyond_units / max(oracle.units, 1.0), 4),
+            "units_sent": oracle.units,
+            "ceiling_breaches": len(oracle.breached_ceilings),
             "calls": self.counter.calls,
-            "refused_with_room_share": {kind: round(judge.room_share(kind), 4) for kind in kinds},
+            "refused_with_room_share": {
+                kind: round(oracle.refused_with_room_share(kind), 4) for kind in kinds
+            },
         }
 
 
--- a/embersill/lab/counting/judge.py
+++ b/embersill/lab/counting/judge.py
@@ -1,8 +1,8 @@
-"""Whether quotas held, by the log of what was sent on alone: it knows nothing of gateways, marks or sums.
+"""Quota oracle: checks quotas by the log of sent requests alone, independent of gateways, marks and sums.
 
-For each customer and epoch the most that any window passed beyond rate * length is kept as it comes (the
-recursion of Lindley 1952 for a queue's waiting time), and held against the stated bound for the troubles that
-touched that epoch. Times are seconds of the shared clock.
+For each customer and epoch it keeps the peak backlog: the most that any window sent beyond rate * length
+(the recursion of Lindley 1952 for a queue's waiting time). It compares the peak with the stated bound for the
+troubles that touched that epoch. Times are seconds of the shared clock.
 """
 
 from __future__ import annotations
@@ -14,110 +14,125 @@
 from embersill.counting.bound import Case, allowed
 from embersill.counting.terms import Terms
 
-EPOCH = 60.0
-EPS = 1e-6
-ROOM = 0.5  # of the burst that is free: with less, readings a moment old explain a refusal
+EPOCH_S = 60.0
+TOLERANCE_UNITS = 1e-6
+MIN_FREE_SHARE = 0.5  # of the burst; with less free, slightly outdated readings explain a refusal
 
 
 @dataclass(slots=True)
 class Customer:
-    """A customer's figures, and what is seen of it."""
+    """A customer's parameters and what was observed of it."""
 
     case: Case
     ceiling_rate: float = 0.0
     ceiling_depth: float = 0.0
     epoch: int = -1
-    debt: float = 0.0  # most that a window up to `at` has beyond rate * length
-    at: float = 0.0
-    room: float = 0.0  # of the quota, if all gateways had known all: what is beyond takes nothing of it
-    room_at: float = 0.0
-    cap: float = 0.0
-    cap_at: float = 0.0
+    backlog: float = 0.0  # most units beyond rate * length of any window that ends at `backlog_at`
+    backlog_at: float = 0.0
+    # units left of the quota if every gateway knew all use; what exceeds the quota takes nothing of it
+    remaining: float = 0.0
+    remaining_at: float = 0.0
+    ceiling_level: float = 0.0
+    ceiling_level_at: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
+    """The worst window of a customer in an epoch, and the bound for it."""
+
     customer: str
     epoch: int
-    beyond: float  # units that a window had beyond rate * length
+    peak_backlog: float  # units that the window had beyond rate * length
     bound: float
 
 
-class Judge:
-    """`troubles(epoch)` names the troubles, one for each that touched an epoch, as in counting/bound.py."""
+class QuotaOracle:
+    """Checks quotas and ceilings by the requests that were sent, and refusals by the remaining quota."""
 
     def __init__(self, terms: Terms, troubles: Callable[[int], list[str]], slack: float) -> None:
-        """`slack`: units by which a ceiling may be passed, from the site's own rules."""
+        """`troubles(epoch)`: one name from counting/bound.py for each trouble that touched the epoch.
+
+        `slack`: units by which a ceiling may be exceeded, from the deployment's settings.
+        """
         self.terms, self.troubles, self.slack = terms, troubles, slack
         self.customers: dict[str, Customer] = {}
-        self.worst: dict[str, Finding] = {}  # of the epoch that is open, by customer
+        self.worst: dict[str, Finding] = {}  # of the current epoch, by customer
         self.findings: list[Finding] = []
         self.breached_ceilings: list[tuple[str, float]] = []
         self.counts: Counter[str] = Counter()
         self.units = self.beyond_units = 0.0
-        self.lowest_cap = 0.0
+        self.lowest_ceiling_level = 0.0
 
     def add(self, name: str, customer: Customer, now: float) -> None:
-        customer.room, customer.room_at = customer.case.burst, now
-        customer.cap, customer.cap_at = customer.ceiling_depth, now
+        """Adds a customer with its whole burst and ceiling available."""
+        customer.remaining, customer.remaining_at = customer.case.burst, now
+        customer.ceiling_level, customer.ceiling_level_at = customer.ceiling_depth, now
         self.customers[name] = customer
 
-    def room_at(self, customer: Customer, now: float) -> float:
+    def remaining_units(self, customer: Customer, now: float) -> float:
+        """Returns the units that are left of the customer's quota."""
         case = customer.case
-        return min(case.burst, customer.room + case.rate * (now - customer.room_at))
+        return min(case.burst, customer.remaining + case.rate * (now - customer.remaining_at))
 
-    def passed(self, name: str, units: float, now: float) -> float:
-        """A request's units are sent on for the first time; tells the window's excess after it."""
+    def on_sent(self, name: str, units: float, now: float) -> float:
+        """Records the first attempt of a request; returns the backlog after it."""
         customer = self.customers[name]
-        epoch = int(now // EPOCH)
+        epoch = int(now // EPOCH_S)
         if epoch != customer.epoch:
-            self.close(name, customer)
-            customer.epoch, customer.debt, customer.at = epoch, 0.0, now
-        customer.debt = max(0.0, customer.debt - customer.case.rate * (now - customer.at)) + units
-        customer.at = now
+            self.close_epoch(name, customer)
+            customer.epoch, customer.backlog, customer.backlog_at = epoch, 0.0, now
+        customer.backlog = (
+            max(0.0, customer.backlog - customer.case.rate * (now - customer.backlog_at)) + units
+        )
+        customer.backlog_at = now
         worst = self.worst.get(name)
-        if worst is None or worst.beyond < customer.debt:
-            self.worst[name] = Finding(name, epoch, customer.debt, 0.0)
-        room = self.room_at(customer, now)
+        if worst is None or worst.peak_backlog < customer.backlog:
+            self.worst[name] = Finding(name, epoch, customer.backlog, 0.0)
+        remaining = self.remaining_units(customer, now)
         self.units += units
-        self.beyond_units += max(units - room, 0.0)
-        customer.room, customer.room_at = max(room - units, 0.0), now
+        self.beyond_units += max(units - remaining, 0.0)
+        customer.remaining, customer.remaining_at = max(remaining - units, 0.0), now
         if customer.ceiling_rate > 0:
             level = (
-                min(customer.ceiling_depth, customer.cap + customer.ceiling_rate * (now - customer.cap_at))
+                min(
+                    customer.ceiling_depth,
+                    customer.ceiling_level + customer.ceiling_rate * (now - customer.ceiling_level_at),
+                )
                 - units
             )
-            customer.cap, customer.cap_at = level, now
-            self.lowest_cap = min(self.lowest_cap, level)
-            if level < -self.slack - EPS:
+            customer.ceiling_level, customer.ceiling_level_at = level, now
+            self.lowest_ceiling_level = min(self.lowest_ceiling_level, level)
+            if level < -self.slack - TOLERANCE_UNITS:
                 self.breached_ceilings.append((name, level))
-        return customer.debt
+        return customer.backlog
 
-    def refused(self, name: str, units: float, now: float, trouble: str) -> bool:
-        """A request is refused; True if there was clearly room: with it no window has half a burst."""
+    def on_refused(self, name: str, units: float, now: float, trouble: str) -> bool:
+        """Records a refusal; True if the quota had room: with the request no window has half a burst."""
         customer = self.customers[name]
-        debt = customer.debt - customer.case.rate * (now - customer.at)
-        debt = debt if now // EPOCH == customer.epoch else 0.0
-        had = max(debt, 0.0) + units <= ROOM * customer.case.burst
+        backlog = customer.backlog - customer.case.rate * (now - customer.backlog_at)
+        backlog = backlog if now // EPOCH_S == customer.epoch else 0.0
+        had_room = max(backlog, 0.0) + units <= MIN_FREE_SHARE * customer.case.burst
         self.counts[f"refused {trouble}"] += 1
-        self.counts[f"with room {trouble}"] += had
-        return had
+        self.counts[f"with room {trouble}"] += had_room
+        return had_room
 
-    def asked(self, trouble: str) -> None:
+    def on_request(self, trouble: str) -> None:
+        """Counts a request that arrived during a trouble."""
         self.counts[f"asked {trouble}"] += 1
 
-    def close(self, name: str, customer: Customer) -> None:
-        """An epoch is over for a customer: its worst window is held against the bound."""
+    def close_epoch(self, name: str, customer: Customer) -> None:
+        """Ends a customer's epoch: compares its worst window with the bound."""
         worst = self.worst.pop(name, None)
         if worst is not None:
             bound = allowed(customer.case, self.terms, self.troubles(worst.epoch))
-            self.findings.append(Finding(name, worst.epoch, worst.beyond, bound))
+            self.findings.append(Finding(name, worst.epoch, worst.peak_backlog, bound))
 
-    def close_all(self) -> list[Finding]:
+    def finish(self) -> list[Finding]:
+        """Ends the epochs of all customers; returns the findings of all epochs."""
         for name, customer in self.customers.items():
-            self.close(name, customer)
+            self.close_epoch(name, customer)
         return self.findings
 
-    def room_share(self, trouble: str) -> float:
-        """Of the tries in a trouble, those refused though their customer had room."""
+    def refused_with_room_share(self, trouble: str) -> float:
+        """Returns the share of the requests during a trouble that were refused though the quota had room."""
         return self.counts[f"with room {trouble}"] / max(self.counts[f"asked {trouble}"], 1)
--- a/embersill/lab/counting/world.py
+++ b/embersill/lab/counting/world.py
@@ -38,7 +38,7 @@
     Status,
     TimerDue,
 )
-from embersill.lab.counting.judge import Customer, Judge
+from embersill.lab.counting.judge import Customer, QuotaOracle
 from embersill.lab.counting.model import ModelCounter
 from embersill.rig.settings import lab_settings
 from embersill.totals import EPOCH
@@ -224,7 +224,7 @@
         self.counting = [c.name for c in self.counters[: shape.get("counters", 1)]]
         self.troubled: list[tuple[str, float, float]] = []  # what, from, until
         slack = max(self.settings.most_units, 0.1 * max(p.ceiling_depth for p in self.settings.plans))
-        self.judge = Judge(self.terms, self.troubles_in, slack)
+        self.oracle = QuotaOracle(self.terms, self.troubles_in, slack)
         self.nodes = [GatewayNode(self, n) for n in range(self.gateways)]
         self.asked: dict[int, tuple[str, float, int]] = {}  # requests: customer, units, attempts
         self.requests = 0
@@ -340,7 +340,7 @@
         self.requests += 1
         self.asked[self.requests] = name, units, 0
         self.counts["tries"] += 1
-        self.judge.asked(self.trouble_now())
+        self.oracle.on_request(self.trouble_now())
         node.tell(
             Request(
                 self.requests,
@@ -361,12 +361,12 @@
         if attempts == 0:
             now = self.now()
             self.counts["passed"] += 1
-            self.judge.passed(name, units, now)
+            self.oracle.on_sent(name, units, now)
             key = name, int(now // EPOCH)
             self.passed_in[key] = self.passed_in.get(key, 0.0) + units
             self.trace.add(Written(self.kernel.now, action.request, 0, action.backend, name, (node.name,)))
-            if self.judge.breached_ceilings:
-                raise Broken("ceiling", self.kernel.now, f"{self.judge.breached_ceilings[0]}")
+            if self.oracle.breached_ceilings:
+                raise Broken("ceiling", self.kernel.now, f"{self.oracle.breached_ceilings[0]}")
         took = 0.02 + 0.06 * node.world.customers[name]["chance"].random()
         node.after(
             took,
@@ -380,7 +380,7 @@
             return
         self.counts["refused"] += 1
         trouble = self.trouble_now()
-        had = self.judge.refused(name, units, self.now(), trouble)
+        had = self.oracle.on_refused(name, units, self.now(), trouble)
         self.counts["with_room"] += had
         told = self.customers[name]
         if had and told["asks"] <= STEADY and self.calm():
@@ -417,7 +417,7 @@
                 "asks": told["tries"] * mean / plan.rate,
             }
             case: Case = case_of(plan, self.settings, width)
-            self.judge.add(name, Customer(case, plan.ceiling_rate, plan.ceiling_depth), self.now())
+            self.oracle.add(name, Customer(case, plan.ceiling_rate, plan.ceiling_depth), self.now())
         for node in self.nodes:
             self.kernel.at(0.001 * node.number, node.start)
         for name in self.customers:
@@ -430,21 +430,21 @@
             self.check_told()
             self.check_charges()
         worst, over = 0.0, 0.0
-        for finding in self.judge.close_all():
-            worst = max(worst, finding.beyond / finding.bound)
-            over = max(over, finding.beyond - self.judge.customers[finding.customer].case.burst)
-            if finding.beyond > finding.bound + 1e-6:
+        for finding in self.oracle.finish():
+            worst = max(worst, finding.peak_backlog / finding.bound)
+            over = max(over, finding.peak_backlog - self.oracle.customers[finding.customer].case.burst)
+            if finding.peak_backlog > finding.bound + 1e-6:
                 raise Broken(
                     "quota",
                     self.kernel.now,
-                    f"{finding.customer} had {finding.beyond:.1f} units beyond rate * time in one window of "
-                    f"epoch {finding.epoch}, {finding.bound:.1f} are stated "
+                    f"{finding.customer} had {finding.peak_backlog:.1f} units beyond rate * time in one window "
+                    f"of epoch {finding.epoch}, {finding.bound:.1f} are stated "
                     f"({', '.join(self.troubles_in(finding.epoch)) or 'no trouble'})",
                 )
         return {
             "tries": self.counts["tries"],
             "events": self.kernel.events,
-            "lowest": self.judge.lowest_cap,
+            "lowest": self.oracle.lowest_ceiling_level,
             "worst": worst,
             "over": over,
             "with_room": self.counts["with_room"],
@@ -479,9 +479,11 @@
         if begin > BEGIN + self.start and self.shape.get("skew", 0.0):
             return  # near the turn, clocks that differ put the same use into different epochs
         killed = sum(what == "killed" for what, _, _ in self.troubled)
-        for name, customer in self.judge.customers.items():
+        for name, customer in self.oracle.customers.items():
             case, told = customer.case, self.customers[name]
-            debt = customer.debt - case.rate * (now - customer.at) if customer.epoch == epoch else 0.0
+            debt = (
+                customer.backlog - case.rate * (now - customer.backlog_at) if customer.epoch == epoch else 0.0
+            )
             members = [self.nodes[(told["first"] + n) % self.gateways] for n in range(told["width"])]
             uncertain_units = {}
             for node in members:
@@ -519,13 +521,13 @@
         """
         now = self.now()
         epoch = int(now // EPOCH)
-        for name, customer in self.judge.customers.items():
+        for name, customer in self.oracle.customers.items():
             case = customer.case
             for counter in self.counters:
                 if counter.name not in self.counting:
                     continue
                 total = counter.machine.sums.names.get(f"{name}.{epoch}", (0.0, 0.0))[0]
-                room = self.judge.room_at(customer, now)
+                room = self.oracle.remaining_units(customer, now)
                 above = total - case.rate * (now - epoch * EPOCH) + room - case.burst
                 allowed = CHARGE_SLACK * case.burst + self.settings.most_units + self.unrepaid(name)
                 allowed += self.compounded(case)
@@ -538,8 +540,8 @@
 
     def unrepaid(self, name: str) -> float:
         """Units beyond the quota that were passed on and are rightly paid back."""
-        customer = self.judge.customers[name]
-        return max(customer.debt - customer.case.rate * (self.now() - customer.at), 0.0)
+        customer = self.oracle.customers[name]
+        return max(customer.backlog - customer.case.rate * (self.now() - customer.backlog_at), 0.0)
 
 
 def play(
--- a/tests/counting/test_schedules.py
+++ b/tests/counting/test_schedules.py
@@ -8,7 +8,7 @@
 from embersill.counting.terms import Terms
 from embersill.lab.counting.fences import FENCES, TESTED
 from embersill.lab.counting.generate import generate
-from embersill.lab.counting.judge import Customer, Judge
+from embersill.lab.counting.judge import Customer, QuotaOracle
 from embersill.lab.counting.shorten import breaks, shorten
 from embersill.lab.counting.world import World, play
 from embersill.lab.hunt import hunt_all
@@ -84,29 +84,29 @@
 
 
 def test_a_build_that_allows_the_whole_quota_at_every_gateway_exceeds_the_bound() -> None:
-    """The judge sees only the sends, and shares no code with the gateways that it judges."""
+    """The oracle sees only the sends, and shares no code with the gateways that it checks."""
     case = Case(4.0, 16.0, 3, 8.0, 0.03)
-    judge = Judge(Terms(), lambda epoch: [], 8.0)
-    judge.add("c", Customer(case), 6000.0)
+    oracle = QuotaOracle(Terms(), lambda epoch: [], 8.0)
+    oracle.add("c", Customer(case), 6000.0)
     for tick in range(59):
         for _ in range(3):
-            judge.passed("c", 4.0, 6000.5 + tick)
-    findings = judge.close_all()
-    assert findings[0].beyond > findings[0].bound and findings[0].bound == allowed(case, Terms(), [])
+            oracle.on_sent("c", 4.0, 6000.5 + tick)
+    findings = oracle.finish()
+    assert findings[0].peak_backlog > findings[0].bound and findings[0].bound == allowed(case, Terms(), [])
 
 
-def test_the_judge_detects_breached_ceilings_and_refusals_with_room() -> None:
+def test_the_oracle_detects_breached_ceilings_and_refusals_with_room() -> None:
     case = Case(4.0, 16.0, 2, 8.0, 0.03)
-    judge = Judge(Terms(), lambda epoch: [], 8.0)
-    judge.add("c", Customer(case, ceiling_rate=8.0, ceiling_depth=16.0), 6000.0)
+    oracle = QuotaOracle(Terms(), lambda epoch: [], 8.0)
+    oracle.add("c", Customer(case, ceiling_rate=8.0, ceiling_depth=16.0), 6000.0)
     for _ in range(3):
-        judge.passed("c", 8.0, 6001.0)
-    assert not judge.breached_ceilings and not judge.refused("c", 1.0, 6001.0, "none")
-    judge.passed("c", 1.0, 6001.0)
-    assert judge.breached_ceilings == [("c", -9.0)]
-    judge.asked("none")
-    judge.asked("none")
-    assert judge.refused("c", 1.0, 6011.0, "none") and judge.room_share("none") == 0.5
+        oracle.on_sent("c", 8.0, 6001.0)
+    assert not oracle.breached_ceilings and not oracle.on_refused("c", 1.0, 6001.0, "none")
+    oracle.on_sent("c", 1.0, 6001.0)
+    assert oracle.breached_ceilings == [("c", -9.0)]
+    oracle.on_request("none")
+    oracle.on_request("none")
+    assert oracle.on_refused("c", 1.0, 6011.0, "none") and oracle.refused_with_room_share("none") == 0.5
 
 
 def test_every_trouble_has_its_rows_and_a_bound_that_its_length_does_not_change() -> None:
