--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -20,7 +20,7 @@
 from embersill.counting.bound import Case
 from embersill.counting.terms import Terms
 from embersill.lab.counting.judge import EPOCH_S, Customer, QuotaOracle
-from embersill.lab.counting.standin import TroubledCounter
+from embersill.lab.counting.standin import FaultyCounter
 from embersill.rig.books import ClientRequest
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.settings import settings_object
@@ -59,7 +59,7 @@
         self.keeper, self.customers, self.seed = keeper, customers, seed
         self.troubled: list[tuple[str, float, float]] = []
         self.oracle = QuotaOracle(Terms(), self.troubles_in, SLACK)
-        self.counter: TroubledCounter
+        self.counter: FaultyCounter
         self.deployment: Deployment
 
     def troubles_in(self, epoch: int) -> list[str]:
@@ -75,7 +75,7 @@
         return next(now_on, NONE)
 
     async def start(self) -> None:
-        self.counter = TroubledCounter(GATEWAYS)
+        self.counter = FaultyCounter(GATEWAYS)
         await self.counter.start()
         told = figures()
         shape = Shape(
@@ -90,7 +90,7 @@
             operator="[counting]\n" if self.keeper else "",
         )
         self.deployment = Deployment(shape)
-        self.deployment.counter_addresses = self.counter.address
+        self.deployment.counter_addresses = self.counter.addresses
         await self.deployment.start()
         settings, audit = read_settings(told), self.deployment.audit
         plans = {p.name: p for p in settings.plans}
@@ -179,7 +179,7 @@
         return lambda side: setattr(side.counter, name, value)
 
     def go_back(age: float) -> Callable[[Side], None]:
-        return lambda side: side.counter.machine.go_back(age)
+        return lambda side: side.counter.storage.roll_back(age)
 
     def nothing(side: Side) -> None:
         pass
@@ -188,12 +188,12 @@
     kinds: list[Callable[[], Any]] = [
         lambda: spell(
             "split",
-            lambda s: s.counter.machine.split_off(others),
-            lambda s: s.counter.machine.meet(False),
+            lambda s: s.counter.storage.split(others),
+            lambda s: s.counter.storage.rejoin(False),
             rng.uniform(15.0, 25.0),
         ),
         lambda: spell("silent", flag("lost", True), flag("lost", False), rng.uniform(4.0, 10.0)),
-        lambda: spell("empty", lambda s: s.counter.machine.forget_all(), nothing, 0.1),
+        lambda: spell("empty", lambda s: s.counter.storage.clear(), nothing, 0.1),
         lambda: spell("slow", flag("slow", 0.12), flag("slow", 0.0), rng.uniform(4.0, 8.0)),
         lambda: spell("stale", go_back(rng.choice((5.0, 15.0, 30.0))), nothing, 0.1),
         lambda: spell(
--- a/embersill/lab/counting/world.py
+++ b/embersill/lab/counting/world.py
@@ -273,7 +273,7 @@
             if back != "kept":
                 self.kernel.at(now + step.seconds, self.come_back, counter, back, args.get("age", 0.0))
         elif step.what == "slow":
-            counter.slow, counter.slow_until = args.get("factor", 4.0), now + step.seconds
+            counter.slow_factor, counter.slow_until = args.get("factor", 4.0), now + step.seconds
             self.trouble("slow", step.seconds)
         elif step.what == "swap":
             self.come_back(counter, "empty", 0.0)
@@ -281,9 +281,9 @@
             self.come_back(counter, "stale", args.get("age", 5.0))
         elif step.what == "split":
             others = frozenset(f"g{n}" for n in args.get("other", []))
-            counter.machine.split_off(others)
+            counter.storage.split(others)
             self.trouble("split", step.seconds)
-            self.kernel.at(now + step.seconds, counter.machine.meet, bool(args.get("keep", 0)))
+            self.kernel.at(now + step.seconds, counter.storage.rejoin, bool(args.get("keep", 0)))
         elif step.what == "cut":
             counter.cut[step.who] = now + step.seconds
             self.trouble("cut", step.seconds)
@@ -310,9 +310,9 @@
 
     def come_back(self, counter: ModelCounter, back: str, age: float) -> None:
         if back == "empty":
-            counter.machine.forget_all()
+            counter.storage.clear()
         else:
-            counter.machine.go_back(age)
+            counter.storage.roll_back(age)
         self.trouble(back)
 
     def revive(self, node: GatewayNode) -> None:
@@ -437,7 +437,7 @@
                 raise Broken(
                     "quota",
                     self.kernel.now,
-                    f"{finding.customer} had {finding.peak_backlog:.1f} units beyond rate * time in one window "
+                    f"{finding.customer} had {finding.peak_backlog:.1f} units beyond rate * time in a window "
                     f"of epoch {finding.epoch}, {finding.bound:.1f} are stated "
                     f"({', '.join(self.troubles_in(finding.epoch)) or 'no trouble'})",
                 )
@@ -494,7 +494,7 @@
                 if not node.alive or node.keeper is None:
                     continue
                 counter = node.keeper.counter_for(f"{name}.{epoch}")
-                total = next(c for c in self.counters if c.name == counter.address).machine.sums.names.get(
+                total = next(c for c in self.counters if c.name == counter.address).storage.sums.entries.get(
                     f"{name}.{epoch}", (0.0, 0.0)
                 )[0]
                 action = Count(f"{name}.{epoch}", 0.0, EPOCH, told["first"], told["width"], case.rate, True)
@@ -526,7 +526,7 @@
             for counter in self.counters:
                 if counter.name not in self.counting:
                     continue
-                total = counter.machine.sums.names.get(f"{name}.{epoch}", (0.0, 0.0))[0]
+                total = counter.storage.sums.entries.get(f"{name}.{epoch}", (0.0, 0.0))[0]
                 room = self.oracle.remaining_units(customer, now)
                 above = total - case.rate * (now - epoch * EPOCH) + room - case.burst
                 allowed = CHARGE_SLACK * case.burst + self.settings.most_units + self.unrepaid(name)
--- a/tests/counting/test_keeper.py
+++ b/tests/counting/test_keeper.py
@@ -11,7 +11,7 @@
 from embersill.counting.placement import place_of
 from embersill.counting.terms import Terms, check_terms
 from embersill.interface import Count, CounterResult, Outcome, SetTimer, TimerDue
-from tests.counting.helpers import EPOCH_START_S, A, B, KeeperHarness, CounterStore, beat_together
+from tests.counting.helpers import EPOCH_START_S, A, B, CounterStore, KeeperHarness, beat_together
 
 
 def count_and_beat(units: float, *harnesses: KeeperHarness) -> None:
--- a/tests/counting/test_operator.py
+++ b/tests/counting/test_operator.py
@@ -17,7 +17,7 @@
 from embersill.counting.placement import place_of
 from embersill.counting.terms import Terms
 from embersill.interface import Count, CounterResult, Outcome
-from embersill.lab.counting.standin import TroubledCounter
+from embersill.lab.counting.standin import FaultyCounter
 from embersill.rig.settings import settings_object
 from tests.bed import run
 from tests.test_program import ROOT
@@ -96,10 +96,10 @@
 
 def test_a_counter_that_answers_no_call_does_not_affect_the_other() -> None:
     async def test() -> None:
-        first, second = TroubledCounter(["a"]), TroubledCounter(["a"])
+        first, second = FaultyCounter(["a"]), FaultyCounter(["a"])
         await first.start()
         await second.start()
-        places = [first.address["a"], second.address["a"]]
+        places = [first.addresses["a"], second.addresses["a"]]
         harness = CountingHarness(places)
         customer_of_first = next(f"c{n}" for n in range(99) if place_of(f"c{n}", places) == places[0])
         customer_of_second = next(f"c{n}" for n in range(99) if place_of(f"c{n}", places) == places[1])
@@ -119,19 +119,19 @@
 
 def test_sums_move_at_a_reload_and_late_answers_confirm_uncertain_units() -> None:
     async def test() -> None:
-        first, second = TroubledCounter(["a"]), TroubledCounter(["a"])
+        first, second = FaultyCounter(["a"]), FaultyCounter(["a"])
         await first.start()
         await second.start()
-        harness = CountingHarness([first.address["a"]])
+        harness = CountingHarness([first.addresses["a"]])
         assert (await harness.count("c", 5.0, 1)).total == 5.0
         first.slow = 0.3
         assert (await harness.count("c", 2.0, 2)).outcome is Outcome.TIMED_OUT
-        account = next(iter(harness.keeper.counters[first.address["a"]].accounts.values()))
+        account = next(iter(harness.keeper.counters[first.addresses["a"]].accounts.values()))
         assert account.uncertain_units == 2.0
         while account.uncertain_units:
             await asyncio.sleep(0.01)  # until the late answer has arrived
         assert account.used == 7.0
-        harness.counting.move_all([second.address["a"]])
+        harness.counting.move_all([second.addresses["a"]])
         assert (await harness.count("c", 1.0, 3)).total == 8.0
         harness.counting.leave()
         harness.counting.close()
