--- a/embersill/lab/counting/__init__.py
+++ b/embersill/lab/counting/__init__.py
@@ -1,1 +1,1 @@
-"""Gateways and their shared counters in the deterministic world, judged by what they send on alone."""
+"""Deterministic simulation of gateways with shared counters, checked by the requests they send alone."""
--- a/embersill/lab/counting/shorten.py
+++ b/embersill/lab/counting/shorten.py
@@ -1,9 +1,9 @@
-"""Cuts a failing schedule of the counters down, and tells it as a story."""
+"""Shortens a failing schedule of the counting world and describes it as a list of events."""
 
 from __future__ import annotations
 
 from embersill.lab.counting import world
 from embersill.lab.shortening import Shortening
 
-_of_world = Shortening(world)
-breaks, shorten, story = _of_world.breaks, _of_world.shorten, _of_world.story
+_shortening = Shortening(world)
+breaks, shorten, story = _shortening.breaks, _shortening.shorten, _shortening.story
--- a/tests/counting/test_schedules.py
+++ b/tests/counting/test_schedules.py
@@ -6,7 +6,7 @@
 
 from embersill.counting.bound import ORDINARY, TROUBLES, Case, allowed, ceiling_slack, excess, table
 from embersill.counting.terms import Terms
-from embersill.lab.counting.fences import FENCES, TESTED
+from embersill.lab.counting.fences import FENCES, UNIT_TEST_FENCES
 from embersill.lab.counting.generate import generate
 from embersill.lab.counting.judge import Customer, QuotaOracle
 from embersill.lab.counting.shorten import breaks, shorten
@@ -28,7 +28,7 @@
     assert tries > 20 * 100
 
 
-@pytest.mark.parametrize("fence", (*FENCES, *TESTED))
+@pytest.mark.parametrize("fence", (*FENCES, *UNIT_TEST_FENCES))
 def test_the_code_of_every_fence_is_found_in_its_module(fence: Fence) -> None:
     for module in fence.modules():
         path, source = source_of(module)
