--- a/embersill/lab/counting/world.py
+++ b/embersill/lab/counting/world.py
@@ -1,9 +1,9 @@
-"""Plays a schedule on gateways that share counters, and judges what they send on. No I/O.
+"""Simulates gateways that share counters by a schedule, and checks the requests they send. No I/O.
 
-The steps' words: outage (`how`: lost, refused, deaf or busy, for `seconds`, then `back` kept, empty or stale
-by `age`), slow (by `factor`), swap, back (goes back by `age` at once), split (`seconds`, `other`: gateways,
-`keep`: whose sums are left), cut (`who`), kill (`who`, for `seconds`), stop (the same in order), move (to
-`counters`).
+Kinds of steps: outage (`how`: lost, refused, deaf or busy, for `seconds`; `back`: then its sums are kept,
+empty or stale by `age`), slow (by `factor`), swap (to an empty counter), back (to the sums of `age` ago, at
+once), split (`seconds`, `other`: gateways of the other half, `keep`: whose sums are kept), cut (`who`), kill
+(`who`, for `seconds`), stop (the same in order), move (to `counters`).
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from embersill.control import Gateway
 from embersill.counting.bound import FRESH, Case, case_of, excess
 from embersill.counting.keeper import Call, Keeper
-from embersill.counting.keeper import Step as Asked
+from embersill.counting.keeper import Step as KeeperStep
 from embersill.counting.terms import Terms
 from embersill.interface import (
     Action,
@@ -49,19 +49,19 @@
 from embersill.world.swarm import Coverage
 from embersill.world.trace import Trace
 
-BEGIN = 6000.0  # what clocks show as an epoch begins; a shape's `start` goes on top
+EPOCH_START_S = 6000.0  # start of an epoch by the clocks; a shape's `start` is added to it
 NO_TROUBLE = "none"
-TOUCHES = 4.0  # seconds after a trouble's end for which refusals are still laid to it
-CALM_AFTER = 12.0  # seconds without trouble, in an epoch that had none, from which nobody may be starved
-STEADY = 0.5  # of its quota that a customer may ask for to be one that must never be refused then
-WARM_UP = 5.0  # seconds in which gateways run before anyone asks: a deployment, not its first start
-QUIET_END = 2.0  # seconds without tries at a run's end: all that was passed on has been told by then
-CHARGE_SLACK = 0.75  # bursts that a sum may stand above what was passed on: see `check_charges`
+AFTERMATH_S = 4.0  # after a trouble's end, for which refusals are still attributed to it
+CALM_AFTER_S = 12.0  # without trouble, in an epoch that had none, from which no customer may be starved
+STEADY_SHARE = 0.5  # of its quota, up to which a customer's demand must never be refused then
+WARM_UP_S = 5.0  # in which gateways run before any request, as in a deployment after its first start
+DRAIN_S = 2.0  # without requests at a run's end: all use has been reported by then
+CHARGE_SLACK_BURSTS = 0.75  # by which a sum may exceed the use: see `check_charges`
 BACKENDS = tuple(Backend(f"b{n}", "z", "k", 0, Status.SERVING, 1.0, None) for n in range(4))
 
 
 class GatewayNode(Node):
-    """One gateway: the module, its keeper (or none: the code before), timers and calls."""
+    """A gateway: the module, its keeper (or none, as in earlier versions), timers and calls."""
 
     def __init__(self, world: World, number: int) -> None:
         super().__init__(world.kernel, f"g{number}")
@@ -69,84 +69,92 @@
         self.gateway: Gateway
         self.keeper: Keeper | None = None
         self.events: list[Event] = []
-        self.busy = False
-        self.told: dict[int, float] = {}  # calls that are out, and when each began
-        self.numbers = 0
+        self.handling = False
+        self.call_start_times: dict[int, float] = {}  # of calls in flight
+        self.call_count = 0
         self.leaving = False
 
     def start(self) -> None:
+        """Starts a new life of the gateway."""
         world = self.world
         shape = world.shape
         skew = shape.get("skew", 0.0) * (self.number / max(world.gateways - 1, 1) - 0.5)
-        self.begin_life(0.0, BEGIN + shape.get("start", 0.0) + skew)
+        self.begin_life(0.0, EPOCH_START_S + shape.get("start", 0.0) + skew)
         now = self.clock()
         seed = world.kernel.stream(f"{self.name} {self.life}").getrandbits(32)
-        kept: bool = shape.get("keeper", True)
+        with_keeper: bool = shape.get("keeper", True)
         self.gateway = Gateway(
-            replace(world.settings, me=self.number), seed, now - world.settled_before(self), repays=kept
+            replace(world.settings, me=self.number), seed, now - world.initial_age_s(self), repays=with_keeper
         )
-        self.told, self.leaving = {}, False
-        self.keeper = Keeper(world.terms, self.number, world.gateways, world.counting) if kept else None
-        self.tell(BackendList(ListKind.WHOLE, BACKENDS))
+        self.call_start_times, self.leaving = {}, False
+        self.keeper = (
+            Keeper(world.terms, self.number, world.gateways, world.counter_addresses) if with_keeper else None
+        )
+        self.handle(BackendList(ListKind.WHOLE, BACKENDS))
         if self.keeper is not None:
             self.beat()
 
     def stop(self) -> None:
-        """A stop in order: its marks tell the others, and what it held is answered."""
+        """Stops in order: announces it by marks, and waits for answers to calls in flight."""
         if self.keeper is not None and not self.leaving:
             self.leaving = True
             self.perform(self.keeper.leave(self.clock()))
-        self.after(0.3, self.die)
+        self.after(0.3, self.crash)
 
-    def die(self) -> None:
+    def crash(self) -> None:
+        """Ends without notice."""
         self.alive = False
 
     # the module
 
-    def tell(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
+        """Passes an event to the module and executes its actions; nested events wait their turn."""
         self.events.append(event)
-        if self.busy:
+        if self.handling:
             return
-        self.busy = True
+        self.handling = True
         while self.events:
             for action in self.gateway.handle(self.events.pop(0), self.clock()):
-                self.carry(action)
-        self.busy = False
+                self.execute(action)
+        self.handling = False
 
-    def carry(self, action: Action) -> None:
+    def execute(self, action: Action) -> None:
+        """Executes an action of the module."""
         if isinstance(action, SetTimer):
-            self.after(action.delay, self.tell, TimerDue(action.key))
+            self.after(action.delay, self.handle, TimerDue(action.key))
         elif isinstance(action, Send):
-            self.world.sent(self, action)
+            self.world.on_send(self, action)
         elif isinstance(action, Refuse | Fail):
-            self.world.turned_away(action.request)
+            self.world.on_refusal(action.request)
         elif isinstance(action, Count):
             if self.keeper is not None:
                 self.perform(self.keeper.count(action, self.clock()))
             else:
-                self.call_bare(action)
+                self.call_without_keeper(action)
 
-    def call_bare(self, action: Count) -> None:
-        """The code before: one counter, each call told once, at its patience's end at the latest."""
+    def call_without_keeper(self, action: Count) -> None:
+        """Earlier versions: one counter, and one result for each call, at its timeout at the latest."""
 
-        def ended(outcome: Outcome, total: float, took: float) -> None:
-            self.tell(CounterResult(action.name, outcome, took, total))
+        def on_end(outcome: Outcome, total: float, elapsed: float) -> None:
+            self.handle(CounterResult(action.name, outcome, elapsed, total))
 
-        self.make_call(self.world.counters[0], action.name, action.amount, action.forget_after, ended, None)
+        self.make_call(self.world.counters[0], action.name, action.amount, action.forget_after, on_end, None)
 
-    def perform(self, steps: list[Asked]) -> None:
+    def perform(self, steps: list[KeeperStep]) -> None:
+        """Executes what the keeper returned."""
         for step in steps:
             if isinstance(step, Call):
                 self.call_for_keeper(step)
             else:
-                self.tell(step)
+                self.handle(step)
 
     def call_for_keeper(self, call: Call) -> None:
+        """Makes a call, and reports its result or its late answer to the keeper."""
         keeper = self.keeper
         assert keeper is not None
 
-        def ended(outcome: Outcome, total: float, took: float) -> None:
-            self.perform(keeper.answered(call.id, outcome, took, total, self.clock()))
+        def on_end(outcome: Outcome, total: float, elapsed: float) -> None:
+            self.perform(keeper.answered(call.id, outcome, elapsed, total, self.clock()))
 
         counter = next(c for c in self.world.counters if c.name == call.place)
         self.make_call(
@@ -154,7 +162,7 @@
             call.name,
             call.amount,
             call.forget_after,
-            ended,
+            on_end,
             lambda: keeper.late(call.id, self.clock()),
         )
 
@@ -163,32 +171,34 @@
         counter: ModelCounter,
         name: str,
         amount: float,
-        life: float,
-        ended: Callable[[Outcome, float, float], None],
-        late: Callable[[], None] | None,
+        ttl: float,
+        on_end: Callable[[Outcome, float, float], None],
+        on_late: Callable[[], None] | None,
     ) -> None:
-        patience = self.world.settings.counter_patience
-        over, number = [False], self.life
+        """Calls a counter; `on_end` runs once, `on_late` for an answer after the timeout."""
+        timeout_s = self.world.settings.counter_patience
+        finished, life = [False], self.life
 
-        def told(outcome: Outcome, total: float, took: float) -> None:
-            if not self.alive or self.life != number:
+        def on_result(outcome: Outcome, total: float, elapsed: float) -> None:
+            if not self.alive or self.life != life:
                 return
-            if over[0]:
-                if late is not None and outcome is Outcome.SERVED:
-                    late()
+            if finished[0]:
+                if on_late is not None and outcome is Outcome.SERVED:
+                    on_late()
                 return
-            over[0] = True
-            ended(outcome, total, took)
+            finished[0] = True
+            on_end(outcome, total, elapsed)
 
-        def out_of_patience() -> None:
-            if not over[0]:
-                over[0] = True
-                ended(Outcome.TIMED_OUT, 0.0, patience)
+        def on_timeout() -> None:
+            if not finished[0]:
+                finished[0] = True
+                on_end(Outcome.TIMED_OUT, 0.0, timeout_s)
 
-        self.after(patience, out_of_patience)
-        counter.call(self.name, name, amount, life, told)
+        self.after(timeout_s, on_timeout)
+        counter.call(self.name, name, amount, ttl, on_result)
 
     def beat(self) -> None:
+        """Runs the keeper's beat, and schedules the next one."""
         assert self.keeper is not None
         now = self.clock()
         if not self.leaving:
@@ -196,14 +206,15 @@
         self.after(max(self.keeper.next_beat(now) - now, 0.01), self.beat)
 
     def move(self, places: list[str]) -> None:
+        """Uses the counters at these addresses from now on."""
         if self.keeper is not None:
             self.perform(self.keeper.move(places, self.clock()))
 
 
 class World:
-    """One run. The shape's words: gateways, counters (how many are used at first), customers (plan,
-    width, first gateway, tries a second, units, and `uneven`), seconds, start (in the epoch), skew, keeper,
-    terms, turn_every (seconds after which the busiest gateways change).
+    """One run. Keys of the shape: gateways, counters (how many are used at first), customers (plan, width,
+    first gateway, tries a second, units, and `uneven`: share of requests to the busiest gateway), seconds,
+    start (in the epoch), skew, keeper, terms, turn_every (seconds after which the busiest gateways change).
     """
 
     def __init__(
@@ -221,213 +232,223 @@
         self.seconds: float = shape.get("seconds", 20.0)
         self.start: float = shape.get("start", 0.0)
         self.counters = [ModelCounter(self.kernel, f"127.0.0.1:{9000 + n}") for n in range(2)]
-        self.counting = [c.name for c in self.counters[: shape.get("counters", 1)]]
-        self.troubled: list[tuple[str, float, float]] = []  # what, from, until
+        self.counter_addresses = [c.name for c in self.counters[: shape.get("counters", 1)]]
+        self.troubled: list[tuple[str, float, float]] = []  # kind, start, end
         slack = max(self.settings.most_units, 0.1 * max(p.ceiling_depth for p in self.settings.plans))
         self.oracle = QuotaOracle(self.terms, self.troubles_in, slack)
         self.nodes = [GatewayNode(self, n) for n in range(self.gateways)]
-        self.asked: dict[int, tuple[str, float, int]] = {}  # requests: customer, units, attempts
-        self.requests = 0
+        self.requests: dict[int, tuple[str, float, int]] = {}  # by number: customer, units, attempts
+        self.request_count = 0
         self.customers: dict[str, dict[str, Any]] = {}
         self.counts = {"tries": 0, "passed": 0, "refused": 0, "with_room": 0}
-        self.passed_in: dict[tuple[str, int], float] = {}  # units by customer and epoch
+        self.sent_units: dict[tuple[str, int], float] = {}  # units by customer and epoch
 
     def now(self) -> float:
-        """The shared clock."""
-        return BEGIN + self.start + self.kernel.now
+        """Returns the time of the shared clock."""
+        return EPOCH_START_S + self.start + self.kernel.now
 
-    def settled_before(self, node: GatewayNode) -> float:
-        """Seconds for which a gateway's first life is taken to have run already: its ceilings are full."""
+    def initial_age_s(self, node: GatewayNode) -> float:
+        """Returns for how long a gateway is taken to have run: a first life starts with full ceilings."""
         return 60.0 if node.life == 1 else 0.0
 
     # troubles
 
     def troubles_in(self, epoch: int) -> list[str]:
+        """Returns the kind of each trouble that touched an epoch."""
         return [
-            what
-            for what, begin, end in self.troubled
-            if begin <= (epoch + 1) * EPOCH and end + TOUCHES >= epoch * EPOCH
+            kind
+            for kind, begin, end in self.troubled
+            if begin <= (epoch + 1) * EPOCH and end + AFTERMATH_S >= epoch * EPOCH
         ]
 
-    def trouble(self, what: str, seconds: float = 0.0) -> None:
-        self.troubled.append((what, self.now(), self.now() + seconds))
+    def record_trouble(self, kind: str, seconds: float = 0.0) -> None:
+        """Records a trouble that starts now."""
+        self.troubled.append((kind, self.now(), self.now() + seconds))
 
-    def trouble_now(self) -> str:
+    def current_trouble(self) -> str:
+        """Returns the kind of the latest trouble that still has effects."""
         now = self.now()
-        for what, begin, end in reversed(self.troubled):
-            if begin <= now <= end + TOUCHES:
-                return what
+        for kind, begin, end in reversed(self.troubled):
+            if begin <= now <= end + AFTERMATH_S:
+                return kind
         return NO_TROUBLE
 
-    def do(self, step: Step) -> None:
+    def apply(self, step: Step) -> None:
+        """Applies a step of the schedule."""
         now, args = self.kernel.now, step.args
         self.trace.add(Fault(now, step.what, step.who, step.seconds))
         if self.coverage is not None:
-            self.coverage.record(step.what, self.trouble_now())
+            self.coverage.record(step.what, self.current_trouble())
         counter = self.counters[args.get("counter", 0)]
         if step.what == "outage":
             how = args.get("how", "lost")
             setattr(counter, f"{how}_until", now + step.seconds)
-            self.trouble("deaf" if how == "deaf" else "silent", step.seconds)
+            self.record_trouble("deaf" if how == "deaf" else "silent", step.seconds)
             back = args.get("back", "kept")
             if back != "kept":
-                self.kernel.at(now + step.seconds, self.come_back, counter, back, args.get("age", 0.0))
+                self.kernel.at(now + step.seconds, self.lose_sums, counter, back, args.get("age", 0.0))
         elif step.what == "slow":
             counter.slow_factor, counter.slow_until = args.get("factor", 4.0), now + step.seconds
-            self.trouble("slow", step.seconds)
+            self.record_trouble("slow", step.seconds)
         elif step.what == "swap":
-            self.come_back(counter, "empty", 0.0)
+            self.lose_sums(counter, "empty", 0.0)
         elif step.what == "back":
-            self.come_back(counter, "stale", args.get("age", 5.0))
+            self.lose_sums(counter, "stale", args.get("age", 5.0))
         elif step.what == "split":
             others = frozenset(f"g{n}" for n in args.get("other", []))
             counter.storage.split(others)
-            self.trouble("split", step.seconds)
+            self.record_trouble("split", step.seconds)
             self.kernel.at(now + step.seconds, counter.storage.rejoin, bool(args.get("keep", 0)))
         elif step.what == "cut":
             counter.cut[step.who] = now + step.seconds
-            self.trouble("cut", step.seconds)
+            self.record_trouble("cut", step.seconds)
         elif step.what in ("kill", "stop"):
             node = self.nodes[int(step.who[1:])]
             if not node.alive:
                 return
-            self.trouble("killed", step.seconds)
+            self.record_trouble("killed", step.seconds)
             if step.what == "kill":
-                node.die()
+                node.crash()
             else:
                 node.stop()
-            self.kernel.at(now + max(step.seconds, 0.4), self.revive, node)
+            self.kernel.at(now + max(step.seconds, 0.4), self.restart, node)
         elif step.what == "move":
             places = [self.counters[n].name for n in args.get("counters", [0])]
-            self.trouble("moved", 1.0)
+            self.record_trouble("moved", 1.0)
             for node in self.nodes:
                 self.kernel.at(now + 0.3 * node.number, self.move, node, places)
 
     def move(self, node: GatewayNode, places: list[str]) -> None:
-        self.counting = places
+        """Moves a gateway to other counters."""
+        self.counter_addresses = places
         if node.alive:
             node.move(places)
 
-    def come_back(self, counter: ModelCounter, back: str, age: float) -> None:
+    def lose_sums(self, counter: ModelCounter, back: str, age: float) -> None:
+        """Loses all sums of a counter, or those of the last `age` seconds."""
         if back == "empty":
             counter.storage.clear()
         else:
             counter.storage.roll_back(age)
-        self.trouble(back)
+        self.record_trouble(back)
 
-    def revive(self, node: GatewayNode) -> None:
+    def restart(self, node: GatewayNode) -> None:
+        """Starts a gateway that is down."""
         if not node.alive:
             node.start()
 
     # traffic
 
-    def ask(self, name: str) -> None:
-        kernel, told = self.kernel, self.customers[name]
-        if kernel.now > self.seconds - QUIET_END:
+    def request(self, name: str) -> None:
+        """Sends a customer's request to a gateway, and schedules the next one."""
+        kernel, customer = self.kernel, self.customers[name]
+        if kernel.now > self.seconds - DRAIN_S:
             return
-        chance = told["chance"]
-        kernel.at(kernel.now + chance.expovariate(told["tries"]), self.ask, name)
-        width: int = told["width"]
-        turn = int(kernel.now / self.shape.get("turn_every", 5.0) + told["number"]) % width
-        at = turn if chance.random() < told["uneven"] else chance.randrange(width)
-        units = float(chance.randint(1, told["units"]))
+        rng = customer["chance"]
+        kernel.at(kernel.now + rng.expovariate(customer["tries"]), self.request, name)
+        width: int = customer["width"]
+        turn = int(kernel.now / self.shape.get("turn_every", 5.0) + customer["number"]) % width
+        position = turn if rng.random() < customer["uneven"] else rng.randrange(width)
+        units = float(rng.randint(1, customer["units"]))
         for n in range(width):
-            node = self.nodes[(told["first"] + (at + n) % width) % self.gateways]
+            node = self.nodes[(customer["first"] + (position + n) % width) % self.gateways]
             if node.alive and not node.leaving:
                 break
         else:
             return
-        self.requests += 1
-        self.asked[self.requests] = name, units, 0
+        self.request_count += 1
+        self.requests[self.request_count] = name, units, 0
         self.counts["tries"] += 1
-        self.oracle.on_request(self.trouble_now())
-        node.tell(
+        self.oracle.on_request(self.current_trouble())
+        node.handle(
             Request(
-                self.requests,
+                self.request_count,
                 "lookup",
-                told["plan"],
+                customer["plan"],
                 name,
                 node.clock() + 8.0,
                 units,
                 width,
-                told["first"],
+                customer["first"],
                 False,
             )
         )
 
-    def sent(self, node: GatewayNode, action: Send) -> None:
-        name, units, attempts = self.asked[action.request]
-        self.asked[action.request] = name, units, attempts + 1
+    def on_send(self, node: GatewayNode, action: Send) -> None:
+        """Records an attempt, and ends it after a while."""
+        name, units, attempts = self.requests[action.request]
+        self.requests[action.request] = name, units, attempts + 1
         if attempts == 0:
             now = self.now()
             self.counts["passed"] += 1
             self.oracle.on_sent(name, units, now)
             key = name, int(now // EPOCH)
-            self.passed_in[key] = self.passed_in.get(key, 0.0) + units
+            self.sent_units[key] = self.sent_units.get(key, 0.0) + units
             self.trace.add(Written(self.kernel.now, action.request, 0, action.backend, name, (node.name,)))
             if self.oracle.breached_ceilings:
                 raise Broken("ceiling", self.kernel.now, f"{self.oracle.breached_ceilings[0]}")
-        took = 0.02 + 0.06 * node.world.customers[name]["chance"].random()
+        elapsed = 0.02 + 0.06 * node.world.customers[name]["chance"].random()
         node.after(
-            took,
-            node.tell,
-            AttemptEnded(action.request, attempts, action.backend, Outcome.SERVED, took, True, 0.0, ()),
+            elapsed,
+            node.handle,
+            AttemptEnded(action.request, attempts, action.backend, Outcome.SERVED, elapsed, True, 0.0, ()),
         )
 
-    def turned_away(self, request: int) -> None:
-        name, units, attempts = self.asked[request]
+    def on_refusal(self, request: int) -> None:
+        """Records a refusal; Broken if the customer is starved."""
+        name, units, attempts = self.requests[request]
         if attempts:
             return
         self.counts["refused"] += 1
-        trouble = self.trouble_now()
-        had = self.oracle.on_refused(name, units, self.now(), trouble)
-        self.counts["with_room"] += had
-        told = self.customers[name]
-        if had and told["asks"] <= STEADY and self.calm():
+        trouble = self.current_trouble()
+        had_room = self.oracle.on_refused(name, units, self.now(), trouble)
+        self.counts["with_room"] += had_room
+        customer = self.customers[name]
+        if had_room and customer["asks"] <= STEADY_SHARE and self.is_calm():
             raise Broken(
                 "starved",
                 self.kernel.now,
-                f"{name} asks for {told['asks']:.2f} of its quota and is refused in calm",
+                f"{name} asks for {customer['asks']:.2f} of its quota and is refused without any trouble",
             )
 
-    def calm(self) -> bool:
-        """No trouble for long, nor in this epoch: nothing that was unsure is left."""
+    def is_calm(self) -> bool:
+        """Whether no uncertainty is left: no trouble for long, and none in this epoch."""
         now = self.now()
-        last = max((end for _, _, end in self.troubled), default=-math.inf)
+        last_end = max((end for _, _, end in self.troubled), default=-math.inf)
         return (
-            self.kernel.now > CALM_AFTER
-            and now > max(last + CALM_AFTER, math.floor(now / EPOCH) * EPOCH + TOUCHES)
-            and last < now // EPOCH * EPOCH
+            self.kernel.now > CALM_AFTER_S
+            and now > max(last_end + CALM_AFTER_S, math.floor(now / EPOCH) * EPOCH + AFTERMATH_S)
+            and last_end < now // EPOCH * EPOCH
         )
 
     # a run
 
     def run(self) -> dict[str, float]:
-        """Plays it to its end; Broken for the first rule that does not hold."""
-        for number, told in enumerate(self.shape.get("customers", [])):
+        """Runs the schedule to its end and returns figures; Broken for the first rule that is violated."""
+        for number, customer in enumerate(self.shape.get("customers", [])):
             name = f"c{number}"
-            plan = self.plans[told["plan"]]
-            width = min(told["width"], self.gateways)
-            mean = (1 + told["units"]) / 2
+            plan = self.plans[customer["plan"]]
+            width = min(customer["width"], self.gateways)
+            mean_units = (1 + customer["units"]) / 2
             self.customers[name] = {
-                **told,
+                **customer,
                 "number": number,
                 "width": width,
                 "chance": self.kernel.stream(f"customer {name}"),
-                "asks": told["tries"] * mean / plan.rate,
+                "asks": customer["tries"] * mean_units / plan.rate,
             }
             case: Case = case_of(plan, self.settings, width)
             self.oracle.add(name, Customer(case, plan.ceiling_rate, plan.ceiling_depth), self.now())
         for node in self.nodes:
             self.kernel.at(0.001 * node.number, node.start)
         for name in self.customers:
-            begin = WARM_UP + self.customers[name]["chance"].random()
-            self.kernel.at(begin, self.ask, name)
+            first_at = WARM_UP_S + self.customers[name]["chance"].random()
+            self.kernel.at(first_at, self.request, name)
         for step in self.schedule.steps:
-            self.kernel.at(step.at, self.do, step)
+            self.kernel.at(step.at, self.apply, step)
         self.kernel.run(self.seconds)
-        if self.in_quiet():
-            self.check_told()
+        if self.is_settled():
+            self.check_reported()
             self.check_charges()
         worst, over = 0.0, 0.0
         for finding in self.oracle.finish():
@@ -438,7 +459,7 @@
                     "quota",
                     self.kernel.now,
                     f"{finding.customer} had {finding.peak_backlog:.1f} units beyond rate * time in a window "
-                    f"of epoch {finding.epoch}, {finding.bound:.1f} are stated "
+                    f"of epoch {finding.epoch}, the stated bound is {finding.bound:.1f} "
                     f"({', '.join(self.troubles_in(finding.epoch)) or 'no trouble'})",
                 )
         return {
@@ -451,40 +472,42 @@
             "calls": sum(c.calls for c in self.counters),
         }
 
-    def in_quiet(self) -> bool:
-        """All troubles are over, and whoever owes had the time to tell it."""
-        settled = self.now() - TOUCHES - self.terms.settle - QUIET_END
-        kept: bool = self.shape.get("keeper", True)
-        return kept and all(end < settled for _, _, end in self.troubled)
-
-    def compounded(self, case: Case) -> float:
-        """What may be unknown where losses meet: each beyond the first takes along what is unsure then."""
-        named = [what for what, _, _ in self.troubled]
-        losses = sum(named.count(what) for what in ("empty", "stale", "split"))
-        if losses:  # what a dead one had told, nobody tells anew; what moves meanwhile may be told twice
-            losses += ("killed" in named) + named.count("moved")
+    def is_settled(self) -> bool:
+        """Whether all troubles are over, and gateways had time to report the use that they still owed."""
+        settled_at = self.now() - AFTERMATH_S - self.terms.settle - DRAIN_S
+        with_keeper: bool = self.shape.get("keeper", True)
+        return with_keeper and all(end < settled_at for _, _, end in self.troubled)
+
+    def compound_excess(self, case: Case) -> float:
+        """Returns the units that several losses may leave unknown: each further one adds those uncertain."""
+        kinds = [kind for kind, _, _ in self.troubled]
+        losses = sum(kinds.count(kind) for kind in ("empty", "stale", "split"))
+        if losses:  # nobody restores a crashed gateway's use; use that moves meanwhile may be added twice
+            losses += ("killed" in kinds) + kinds.count("moved")
         return max(losses - 1, 0) * excess("empty", case, self.terms)
 
-    def check_told(self) -> None:
-        """What was passed on stands in the sums: no gateway believes in more room than there is.
+    def check_reported(self) -> None:
+        """The sums contain all use: no gateway assumes that more of a quota is left than there is.
 
-        But for what others are unsure of, and what was killed with a gateway before it was told. Two losses
-        within two beats are not judged: what is told anew after the first goes with the second.
+        Except for what other gateways are uncertain of, and use that was not reported before a crash. Two
+        losses within two beats are not checked: what is restored after the first is lost with the second.
         """
         now = self.now()
-        losses = sorted(end for what, _, end in self.troubled if what in ("empty", "stale", "split"))
+        losses = sorted(end for kind, _, end in self.troubled if kind in ("empty", "stale", "split"))
         if any(later - earlier < 2.5 for earlier, later in itertools.pairwise(losses)):
             return
         epoch, begin = int(now // EPOCH), math.floor(now / EPOCH) * EPOCH
-        if begin > BEGIN + self.start and self.shape.get("skew", 0.0):
-            return  # near the turn, clocks that differ put the same use into different epochs
-        killed = sum(what == "killed" for what, _, _ in self.troubled)
+        if begin > EPOCH_START_S + self.start and self.shape.get("skew", 0.0):
+            return  # near the turn of an epoch, clocks that differ put the same use into different epochs
+        crashes = sum(kind == "killed" for kind, _, _ in self.troubled)
         for name, customer in self.oracle.customers.items():
-            case, told = customer.case, self.customers[name]
-            debt = (
+            case, parameters = customer.case, self.customers[name]
+            backlog = (
                 customer.backlog - case.rate * (now - customer.backlog_at) if customer.epoch == epoch else 0.0
             )
-            members = [self.nodes[(told["first"] + n) % self.gateways] for n in range(told["width"])]
+            members = [
+                self.nodes[(parameters["first"] + n) % self.gateways] for n in range(parameters["width"])
+            ]
             uncertain_units = {}
             for node in members:
                 counter = node.keeper.counter_for(f"{name}.{epoch}") if node.alive and node.keeper else None
@@ -497,49 +520,53 @@
                 total = next(c for c in self.counters if c.name == counter.address).storage.sums.entries.get(
                     f"{name}.{epoch}", (0.0, 0.0)
                 )[0]
-                action = Count(f"{name}.{epoch}", 0.0, EPOCH, told["first"], told["width"], case.rate, True)
-                believed = node.keeper.trusted_sum(
+                action = Count(
+                    f"{name}.{epoch}", 0.0, EPOCH, parameters["first"], parameters["width"], case.rate, True
+                )
+                assumed_sum = node.keeper.trusted_sum(
                     counter, counter.accounts.get(action.name), action, total, now
                 )
-                room = min(case.burst, case.burst + case.rate * (now - begin) - believed)
+                remaining = min(case.burst, case.burst + case.rate * (now - begin) - assumed_sum)
                 others = sum(units for other, units in uncertain_units.items() if other is not node)
-                allowed = others + killed * excess("killed", case, self.terms)
+                allowed = others + crashes * excess("killed", case, self.terms)
                 allowed += case.untrimmed + case.rate * FRESH + self.settings.most_units
-                allowed += self.compounded(case)
-                if room > case.burst - max(debt, 0.0) + allowed + 1e-6:
+                allowed += self.compound_excess(case)
+                if remaining > case.burst - max(backlog, 0.0) + allowed + 1e-6:
                     raise Broken(
                         "told",
                         self.kernel.now,
-                        f"{node.name} believes that {name} has {room:.1f} units left; it has "
-                        f"{case.burst - max(debt, 0.0):.1f}, and {allowed:.1f} may be unknown",
+                        f"{node.name} assumes that {name} has {remaining:.1f} units left; there are "
+                        f"{case.burst - max(backlog, 0.0):.1f}, and {allowed:.1f} may be unknown to it",
                     )
 
     def check_charges(self) -> None:
-        """No sum stands far above what was passed on: nothing lost was told twice.
+        """No sum is much higher than the use: nothing lost was added twice.
 
-        What may stand above is a part of a burst: two gateways may put a sum right at the same moment.
+        It may be higher by part of a burst: two gateways may correct a sum at the same moment.
         """
         now = self.now()
         epoch = int(now // EPOCH)
         for name, customer in self.oracle.customers.items():
             case = customer.case
             for counter in self.counters:
-                if counter.name not in self.counting:
+                if counter.name not in self.counter_addresses:
                     continue
                 total = counter.storage.sums.entries.get(f"{name}.{epoch}", (0.0, 0.0))[0]
-                room = self.oracle.remaining_units(customer, now)
-                above = total - case.rate * (now - epoch * EPOCH) + room - case.burst
-                allowed = CHARGE_SLACK * case.burst + self.settings.most_units + self.unrepaid(name)
-                allowed += self.compounded(case)
-                if above > allowed:
+                remaining = self.oracle.remaining_units(customer, now)
+                excess_units = total - case.rate * (now - epoch * EPOCH) + remaining - case.burst
+                allowed = (
+                    CHARGE_SLACK_BURSTS * case.burst + self.settings.most_units + self.units_over_quota(name)
+                )
+                allowed += self.compound_excess(case)
+                if excess_units > allowed:
                     raise Broken(
                         "charge",
                         self.kernel.now,
-                        f"{name} is charged {above:.1f} units more than it used; {allowed:.1f} may be",
+                        f"{name} is charged {excess_units:.1f} units over its use, limit {allowed:.1f}",
                     )
 
-    def unrepaid(self, name: str) -> float:
-        """Units beyond the quota that were passed on and are rightly paid back."""
+    def units_over_quota(self, name: str) -> float:
+        """Returns the units beyond the quota that were sent, and are rightly charged afterwards."""
         customer = self.oracle.customers[name]
         return max(customer.backlog - customer.case.rate * (self.now() - customer.backlog_at), 0.0)
 
@@ -547,5 +574,5 @@
 def play(
     schedule: Schedule, *, trace: Trace | None = None, coverage: Coverage | None = None
 ) -> dict[str, float]:
-    """Plays a schedule; raises Broken, or tells figures."""
+    """Runs a schedule; raises Broken, or returns figures."""
     return World(schedule, trace=trace, coverage=coverage).run()
