--- a/benchmarks/history.py
+++ b/benchmarks/history.py
@@ -1,4 +1,4 @@
-"""The code of an older commit, laid out to be measured beside today's."""
+"""Extracts the package as of an older commit, to be measured beside the current one."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 ROOT = Path(__file__).parent.parent
 
 
-def lay_out(commit: str, folder: Path) -> bool:
-    """Puts that commit's package into a folder; False where the history does not have it."""
+def extract_commit(commit: str, folder: Path) -> bool:
+    """Extracts the commit's package into a folder; False if the repository lacks the commit."""
     command = ["git", "archive", commit, "embersill"]
-    packed = subprocess.run(command, cwd=ROOT, capture_output=True, check=False)
-    if packed.returncode:
+    archive = subprocess.run(command, cwd=ROOT, capture_output=True, check=False)
+    if archive.returncode:
         return False
-    with tarfile.open(fileobj=io.BytesIO(packed.stdout)) as tar:
+    with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as tar:
         tar.extractall(folder, filter="data")
     return True
--- a/benchmarks/scarce_counter.py
+++ b/benchmarks/scarce_counter.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.history import ROOT, lay_out
+from benchmarks.history import ROOT, extract_commit
 from embersill.emulator.demand import MEAN_REQUEST_UNITS, PlanShare, draw_customers, draw_requests
 from embersill.emulator.fleet import Fleet, Site
 from embersill.rig.settings import settings_object
@@ -101,7 +101,7 @@
 def before(commit: str, arguments: list[str]) -> list[dict[str, Any]]:
     """The same days on an older commit's module, played by this tree's emulator."""
     with tempfile.TemporaryDirectory() as folder:
-        if not lay_out(commit, Path(folder)):
+        if not extract_commit(commit, Path(folder)):
             raise SystemExit(f"scarce_counter: the history has no commit {commit}")
         ours = Path("embersill/emulator")
         shutil.copytree(ROOT / ours, Path(folder) / ours, dirs_exist_ok=True)
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.history import lay_out
+from benchmarks.history import extract_commit
 from embersill.lab.fuzzing.corpus import SEEDS
 from embersill.lab.fuzzing.engine import run_seeded
 from embersill.lab.levels.generate import generate
@@ -66,7 +66,7 @@
 def speeds() -> dict[str, Any]:
     new, old = list[float](), list[float]()
     with tempfile.TemporaryDirectory() as name:
-        has_old = lay_out(BEFORE, Path(name))
+        has_old = extract_commit(BEFORE, Path(name))
         for turn in range(TURNS):
             new.append(new_turn(turn * A_TURN))
             if has_old:
