--- a/benchmarks/ratelimit_load.py
+++ b/benchmarks/ratelimit_load.py
@@ -1,6 +1,6 @@
-"""A client process of benchmarks.ratelimit: streams on one channel, each asking one question after another.
+"""A load generator process of benchmarks.ratelimit: streams on one channel with one query each at a time.
 
-Questions and answers stay bytes here: the load must cost less than what it loads.
+Queries are encoded beforehand and answers not decoded: the generator must cost less than the server.
 """
 
 from __future__ import annotations
@@ -19,30 +19,32 @@
 CUSTOMERS = 100
 
 
-def questions() -> list[bytes]:
-    made = []
+def encoded_queries() -> list[bytes]:
+    """One encoded query per customer."""
+    queries = []
     for number in range(CUSTOMERS):
-        question = rls_pb2.RateLimitRequest(domain="lookup", hits_addend=1)
-        descriptor = question.descriptors.add()
+        query = rls_pb2.RateLimitRequest(domain="lookup", hits_addend=1)
+        descriptor = query.descriptors.add()
         descriptor.entries.add(key="account", value=f"{number:016x}")
         descriptor.entries.add(key="plan", value="basis")
-        made.append(question.SerializeToString())
-    return made
+        queries.append(query.SerializeToString())
+    return queries
 
 
 async def main() -> None:
+    """Sends queries for the given time and prints count and latencies."""
     port, streams, seconds = int(sys.argv[1]), int(sys.argv[2]), float(sys.argv[3])
-    asked, latencies = questions(), []
+    queries, latencies = encoded_queries(), []
     async with grpc.aio.insecure_channel(f"127.0.0.1:{port}") as channel:
         call = channel.unary_unary(f"/{SERVICE}/ShouldRateLimit")
-        await call(asked[0])
+        await call(queries[0])
         end = perf_counter() + seconds
 
         async def stream(number: int) -> None:
-            while (began := perf_counter()) < end:
+            while (sent_at := perf_counter()) < end:
                 number += 1
-                await call(asked[number % CUSTOMERS])
-                latencies.append(perf_counter() - began)
+                await call(queries[number % CUSTOMERS])
+                latencies.append(perf_counter() - sent_at)
 
         await asyncio.gather(*(stream(n) for n in range(streams)))
     print(json.dumps({"count": len(latencies), "latencies": latencies[-20_000:]}))
--- a/benchmarks/ratelimit_server.py
+++ b/benchmarks/ratelimit_server.py
@@ -1,4 +1,4 @@
-"""A server process of benchmarks.ratelimit: our service ("ours"), or one that always says OK ("bare")."""
+"""A server process of benchmarks.ratelimit: the service ("ours") or one that always answers OK ("bare")."""
 
 from __future__ import annotations
 
@@ -32,15 +32,19 @@
 ]
 
 
-class Bare(rls_pb2_grpc.RateLimitServiceServicer):  # type: ignore[misc]
+class AlwaysOkServicer(rls_pb2_grpc.RateLimitServiceServicer):  # type: ignore[misc]
+    """Answers OK without a decision: the cost of gRPC alone."""
+
     def __init__(self, answering: Answering) -> None:
         pass
 
     async def ShouldRateLimit(self, request: Any, context: Any) -> Any:  # noqa: N802 - the protocol's name
+        """Answers one query."""
         return rls_pb2.RateLimitResponse(overall_code=rls_pb2.RateLimitResponse.OK)
 
 
 async def main(kind: str) -> None:
+    """Starts the server, prints its port and serves until the process is killed."""
     settings = replace(lab_settings(1), counter=False)
     gateway = Gateway(settings, 1, time.monotonic())
 
@@ -53,7 +57,7 @@
     ).answer
     assert table is not None
     server = RateLimitServer(
-        table, Answering(table, settings, decide), Bare if kind == "bare" else RateLimitServicer
+        table, Answering(table, settings, decide), AlwaysOkServicer if kind == "bare" else RateLimitServicer
     )
     await server.start()
     print(server.port, flush=True)
