--- a/benchmarks/closed_loop.py
+++ b/benchmarks/closed_loop.py
@@ -1,4 +1,4 @@
-"""A closed load: so many requests under way over kept connections, which ask in turn."""
+"""A closed-loop load generator: a fixed number of requests in flight over persistent connections, in turn."""
 
 from __future__ import annotations
 
@@ -15,57 +15,61 @@
 )
 
 
-class Asker(asyncio.Protocol):
-    """One connection. It looks for no more than an answer's end: the load must cost less than its target."""
+class LoadConnection(asyncio.Protocol):
+    """A connection that only looks for the end of a response: the load must cost less than its target."""
 
     def __init__(self, load: ClosedLoop, number: int) -> None:
         self.load, self.number, self.count = load, number, 0
         self.transport: asyncio.Transport | None = None
-        self.asked_at, self.buffer = 0.0, b""
+        self.sent_at, self.buffer = 0.0, b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keeps the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
+        """Sends the next request, unless the load has stopped or the connection is closed."""
         load = self.load
         if load.stopped or self.transport is None:
             return
         self.count += 1
-        load.asked += 1
-        more = load.more
+        load.sent += 1
+        headers = load.headers
         if load.klass == b"report":
-            more += b"Idempotency-Key: k%08x%08x\r\n" % (self.number, self.count)
-        self.asked_at = perf_counter()
+            headers += b"Idempotency-Key: k%08x%08x\r\n" % (self.number, self.count)
+        self.sent_at = perf_counter()
         self.transport.write(
             HEAD
             % (
                 load.method,
-                0xC000 + load.asked % load.customers,
+                0xC000 + load.sent % load.customers,
                 self.number,
                 self.count,
                 load.klass,
-                more,
+                headers,
                 load.body,
             )
         )
 
     def data_received(self, data: bytes) -> None:
+        """Reports the response to the load once it is complete."""
         self.buffer = self.buffer + data if self.buffer else data
-        head, found, rest = self.buffer.partition(b"\r\n\r\n")
-        if not found:
+        head, separator, rest = self.buffer.partition(b"\r\n\r\n")
+        if not separator:
             return
         length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
         if len(rest) < length:
             return
         self.buffer = rest[length:]
-        self.load.done(self, head.startswith(b"HTTP/1.1 200"), perf_counter() - self.asked_at)
+        self.load.response_received(self, head.startswith(b"HTTP/1.1 200"), perf_counter() - self.sent_at)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forgets the transport, so that no request is sent here."""
         self.transport = None
 
 
 class ClosedLoop:
-    """With more connections than `under_way`, those that have waited longest ask next."""
+    """Keeps `in_flight` requests open; of more connections than that, the one idle longest sends next."""
 
     def __init__(
         self,
@@ -74,22 +78,23 @@
         customers: int = 100,
         klass: str = "lookup",
         body: int = 0,
-        under_way: int = 16,
+        in_flight: int = 16,
     ) -> None:
-        self.under_way = min(under_way, connections)
-        self.idle: deque[Asker] = deque()
+        self.in_flight = min(in_flight, connections)
+        self.idle: deque[LoadConnection] = deque()
         self.connections, self.customers, self.klass = connections, customers, klass.encode()
         self.method = b"GET" if klass == "lookup" else b"POST"
         self.body = b"b" * body
-        self.more = b"" if klass == "lookup" else b"Content-Length: %d\r\n" % body
+        self.headers = b"" if klass == "lookup" else b"Content-Length: %d\r\n" % body
         self.loop = asyncio.get_running_loop()
-        self.asked = self.served = self.other = 0
+        self.sent = self.served = self.other = 0
         self.latencies: list[float] = []
         self.stopped = False
 
-    def done(self, asker: Asker, served: bool, latency: float) -> None:
-        self.idle.append(asker)
-        self.idle.popleft().ask()
+    def response_received(self, connection: LoadConnection, served: bool, latency: float) -> None:
+        """Counts a response and sends a request on the connection that has been idle longest."""
+        self.idle.append(connection)
+        self.idle.popleft().send_request()
         if served:
             self.served += 1
             self.latencies.append(latency)
@@ -97,23 +102,27 @@
             self.other += 1
 
     def reset(self) -> None:
+        """Discards the counts and latencies so far, for instance those of the warm-up."""
         self.served = self.other = 0
         self.latencies = []
 
     async def start(self, port: int) -> None:
-        self.askers = [Asker(self, n) for n in range(self.connections)]
-        for asker in self.askers:
-            await self.loop.create_connection(lambda asker=asker: asker, HOST, port)  # type: ignore[misc]
-        self.idle.extend(self.askers)
-        for _ in range(self.under_way):
-            self.idle.popleft().ask()
+        """Opens the connections and sends the first requests."""
+        self.open_connections = [LoadConnection(self, n) for n in range(self.connections)]
+        for connection in self.open_connections:
+            await self.loop.create_connection(lambda connection=connection: connection, HOST, port)  # type: ignore[misc]
+        self.idle.extend(self.open_connections)
+        for _ in range(self.in_flight):
+            self.idle.popleft().send_request()
 
     def stop(self) -> None:
+        """Closes the connections; no further request is sent."""
         self.stopped = True
-        for asker in self.askers:
-            if asker.transport is not None:
-                asker.transport.close()
+        for connection in self.open_connections:
+            if connection.transport is not None:
+                connection.transport.close()
 
-    def quantile_us(self, part: float) -> float:
+    def quantile_us(self, fraction: float) -> float:
+        """A quantile of the latencies of served requests, in microseconds; 0 if there were none."""
         ordered = sorted(self.latencies)
-        return round(1e6 * ordered[int(part * (len(ordered) - 1))], 1) if ordered else 0.0
+        return round(1e6 * ordered[int(fraction * (len(ordered) - 1))], 1) if ordered else 0.0
