--- a/benchmarks/judges.py
+++ b/benchmarks/judges.py
@@ -1,7 +1,7 @@
-"""Ways to judge a step of a policy, on drawn requests: `python -m benchmarks.judges`. JSON.
+"""Compares tests that decide whether a rollout step does harm: `python -m benchmarks.judges`. Prints JSON.
 
-Each run draws, second by second, how many requests of a kind were slow at the step's sites and at the others,
-before the step and after it; in some a trouble strikes all sites alike for a while, in some the policy harms.
+Each run draws, per second, the number of slow requests of one kind at the step's sites and at the others,
+before the step and since. In some runs a fault affects all sites alike for a while; in some the policy harms.
 """
 
 from __future__ import annotations
@@ -15,105 +15,111 @@
 
 from embersill.edge.rollout.judging import FALSE_ALARM, MISSED, compared, part, ratio
 
-A_SECOND = 60  # requests at either side
-BEFORE, WATCH = 10, 30  # seconds
-USUAL, HARM, TROUBLE = 0.1, 0.25, 0.4  # part of requests that are slow: as it is, by the policy, in a trouble
+REQUESTS_PER_S = 60  # at the sites of the step, and as many at the others
+BASELINE_S, WATCH_S = 10, 30  # before the step, and after it
+# share of slow requests: normally, with a harmful policy, and during a fault
+NORMAL_SHARE, HARM_SHARE, FAULT_SHARE = 0.1, 0.25, 0.4
 RUNS = 400
 
 
 @dataclass(slots=True)
-class Sides:
-    """Slow requests by second, `here` and at the others; each second has the same number of requests."""
+class SlowCounts:
+    """Slow requests per second at the sites of the step and at the others, before the step and since."""
 
     before: list[int] = field(default_factory=list)
     others_before: list[int] = field(default_factory=list)
-    here: list[int] = field(default_factory=list)
+    step: list[int] = field(default_factory=list)
     others: list[int] = field(default_factory=list)
 
 
-def drawn(chance: random.Random, harm: bool, trouble: bool) -> Sides:
-    sides, strikes = Sides(), chance.uniform(0, WATCH - 8)
+def draw_counts(chance: random.Random, harm: bool, fault: bool) -> SlowCounts:
+    """Draws a run, with a harmful policy or not, and with a fault of eight seconds or not."""
+    counts, fault_at = SlowCounts(), chance.uniform(0, WATCH_S - 8)
 
-    def slow(share: float) -> int:
-        return sum(chance.random() < share for _ in range(A_SECOND))
+    def draw_slow(share: float) -> int:
+        return sum(chance.random() < share for _ in range(REQUESTS_PER_S))
 
-    for _ in range(BEFORE):
-        sides.before.append(slow(USUAL))
-        sides.others_before.append(slow(USUAL))
-    for second in range(WATCH):
-        common = TROUBLE if trouble and strikes <= second < strikes + 8 else USUAL
-        sides.here.append(slow(min(common + (HARM - USUAL if harm else 0.0), 1.0)))
-        sides.others.append(slow(common))
-    return sides
+    for _ in range(BASELINE_S):
+        counts.before.append(draw_slow(NORMAL_SHARE))
+        counts.others_before.append(draw_slow(NORMAL_SHARE))
+    for second in range(WATCH_S):
+        common = FAULT_SHARE if fault and fault_at <= second < fault_at + 8 else NORMAL_SHARE
+        counts.step.append(draw_slow(min(common + (HARM_SHARE - NORMAL_SHARE if harm else 0.0), 1.0)))
+        counts.others.append(draw_slow(common))
+    return counts
 
 
-def threshold(sides: Sides) -> int | None:
-    """After the watch: half as many slow ones more than before."""
-    return WATCH if sum(sides.here) / WATCH > 1.5 * sum(sides.before) / BEFORE else None
+def threshold(counts: SlowCounts) -> int | None:
+    """Decides after the watch: harm if slow requests grew by more than half."""
+    return WATCH_S if sum(counts.step) / WATCH_S > 1.5 * sum(counts.before) / BASELINE_S else None
 
 
-def cusum(sides: Sides) -> int | None:
-    """Page's test (1954): the likelihood ratio since its least value, against a bound; the others unseen."""
-    level, expected = 0.0, max(part(sum(sides.before), BEFORE * A_SECOND), 0.01)
-    for second, slow in enumerate(sides.here):
-        level = max(level + ratio(slow, A_SECOND, expected, min(2 * expected, 0.9)), 0.0)
+def cusum(counts: SlowCounts) -> int | None:
+    """Page's test (1954), every second: the likelihood ratio since its minimum; ignores the other sites."""
+    level, expected = 0.0, max(part(sum(counts.before), BASELINE_S * REQUESTS_PER_S), 0.01)
+    for second, slow in enumerate(counts.step):
+        level = max(level + ratio(slow, REQUESTS_PER_S, expected, min(2 * expected, 0.9)), 0.0)
         if level > math.log(1 / FALSE_ALARM):
             return second + 1
     return None
 
 
-def permuted(sides: Sides) -> int | None:
-    """After the watch: seconds of here and of the others are exchanged; is the difference as large so?"""
-    chance, pairs = random.Random(1), list(zip(sides.here, sides.others, strict=True))
-    seen, larger = sum(a - b for a, b in pairs), 0
+def permutation(counts: SlowCounts) -> int | None:
+    """Decides after the watch: a permutation test that swaps seconds of the step's sites and the others."""
+    chance, pairs = random.Random(1), list(zip(counts.step, counts.others, strict=True))
+    observed, larger = sum(a - b for a, b in pairs), 0
     for _ in range(1000):
-        larger += sum((a - b) * chance.choice((-1, 1)) for a, b in pairs) >= seen
-    return WATCH if larger <= 1000 * FALSE_ALARM else None
-
-
-def sequential(sides: Sides) -> int | None:
-    """In service: Wald's test, shifted by what the others saw; every second what it says so far."""
-    whole = BEFORE * A_SECOND
-    was, others_was = part(sum(sides.before), whole), part(sum(sides.others_before), whole)
-    for second in range(1, WATCH + 1):
-        of = second * A_SECOND
-        drift = part(sum(sides.others[:second]), of) - others_was
-        if compared(sum(sides.here[:second]), of, was, drift) == "harm":
+        larger += sum((a - b) * chance.choice((-1, 1)) for a, b in pairs) >= observed
+    return WATCH_S if larger <= 1000 * FALSE_ALARM else None
+
+
+def sequential(counts: SlowCounts) -> int | None:
+    """The gateway's own test, every second: Wald's, shifted by the drift at the other sites."""
+    total_before = BASELINE_S * REQUESTS_PER_S
+    share_before, others_share_before = (
+        part(sum(counts.before), total_before),
+        part(sum(counts.others_before), total_before),
+    )
+    for second in range(1, WATCH_S + 1):
+        total = second * REQUESTS_PER_S
+        drift = part(sum(counts.others[:second]), total) - others_share_before
+        if compared(sum(counts.step[:second]), total, share_before, drift) == "harm":
             return second
     return None
 
 
-WAYS: dict[str, Callable[[Sides], int | None]] = {
+TESTS: dict[str, Callable[[SlowCounts], int | None]] = {
     "fixed threshold": threshold,
     "CUSUM": cusum,
-    "permutation": permuted,
+    "permutation": permutation,
     "sequential ratio": sequential,
 }
 
 
 def main() -> int:
-    found = {}
-    for name, way in WAYS.items():
+    """Applies each test to the same runs and prints how often it errs and how soon it halts a step."""
+    results = {}
+    for name, test in TESTS.items():
         chance = random.Random(7)
-        ends = {
-            case: [way(drawn(chance, harm, trouble)) for _ in range(RUNS)]
-            for case, harm, trouble in (
+        halts = {
+            case: [test(draw_counts(chance, harm, fault)) for _ in range(RUNS)]
+            for case, harm, fault in (
                 ("calm", False, False),
                 ("trouble", False, True),
                 ("harm", True, False),
                 ("harm in a trouble", True, True),
             )
         }
-        stops = sorted(end for end in ends["harm"] if end is not None)
-        found[name] = {
-            "false_alarms_calm": sum(end is not None for end in ends["calm"]) / RUNS,
-            "false_alarms_trouble": sum(end is not None for end in ends["trouble"]) / RUNS,
-            "missed": sum(end is None for end in ends["harm"]) / RUNS,
-            "missed_in_a_trouble": sum(end is None for end in ends["harm in a trouble"]) / RUNS,
-            "s_to_halt_p50": stops[len(stops) // 2] if stops else None,
+        halt_times = sorted(halt for halt in halts["harm"] if halt is not None)
+        results[name] = {
+            "false_alarms_calm": sum(halt is not None for halt in halts["calm"]) / RUNS,
+            "false_alarms_trouble": sum(halt is not None for halt in halts["trouble"]) / RUNS,
+            "missed": sum(halt is None for halt in halts["harm"]) / RUNS,
+            "missed_in_a_trouble": sum(halt is None for halt in halts["harm in a trouble"]) / RUNS,
+            "s_to_halt_p50": halt_times[len(halt_times) // 2] if halt_times else None,
         }
-    wanted = {"false_alarms": FALSE_ALARM, "missed": MISSED}
-    json.dump({"wanted": wanted, "ways": found}, sys.stdout, indent=1)
+    targets = {"false_alarms": FALSE_ALARM, "missed": MISSED}
+    json.dump({"wanted": targets, "ways": results}, sys.stdout, indent=1)
     print()
     return 0
 
