--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -1,8 +1,8 @@
-"""What the world to test in finds, how fast, and how much it searched: `python -m benchmarks.world`.
+"""Measures the simulator: faults found, speed, and states searched: `python -m benchmarks.world`.
 
-Prints, last, one line of JSON. Speed is told against the schedules of the time before the kernel, taken from
-the repository's history and played by turns in the same run, at the same shape; without that history the old
-figure is left out. Counts repeat exactly; what is timed does not.
+The last line is JSON. Speed is compared with the simulator before the kernel, which is extracted from the
+repository's history and runs alternately with the current one, with the same deployment; without that history
+its figure is left out. Counts repeat exactly; times do not.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 from embersill.lab.levels.search import search
 from embersill.lab.levels.world import play
 
-BEFORE = "b3aa9c4"  # the last commit with the schedules of before
-TURNS, A_TURN = 5, 30  # turns of each, and schedules a turn
-FORWARDERS, PLANNERS, SECONDS, RATE = 3, 2, 5.0, 30.0  # the shape in which both are timed
-OLD = """
+OLD_COMMIT = "b3aa9c4"  # the last commit with the old simulator
+TURNS, SCHEDULES_PER_TURN = 5, 30  # of each simulator
+FORWARDERS, PLANNERS, DURATION_S, REQUESTS_PER_S = 3, 2, 5.0, 30.0  # the deployment in which both are timed
+OLD_PROGRAM = """
 import sys, time
 from embersill.lab.simulation import play
 began = time.process_time()
@@ -39,9 +39,10 @@
 """
 
 
-def old_turn(folder: Path, first: int) -> float:
-    command = [sys.executable, "-c", OLD, str(first), str(first + A_TURN)]
-    ran = subprocess.run(
+def old_speed(folder: Path, first: int) -> float:
+    """Schedules per core-second of the old simulator, in one turn."""
+    command = [sys.executable, "-c", OLD_PROGRAM, str(first), str(first + SCHEDULES_PER_TURN)]
+    result = subprocess.run(
         command,
         cwd=folder,
         env={**os.environ, "PYTHONPATH": str(folder)},
@@ -49,66 +50,71 @@
         text=True,
         check=True,
     )
-    return A_TURN / float(ran.stdout)
+    return SCHEDULES_PER_TURN / float(result.stdout)
 
 
-def new_turn(first: int) -> float:
+def new_speed(first: int) -> float:
+    """Schedules per core-second of the current simulator, in one turn."""
     schedules = [
-        generate(seed, forwarders=FORWARDERS, planners=PLANNERS, seconds=SECONDS, rate=RATE)
-        for seed in range(first, first + A_TURN)
+        generate(seed, forwarders=FORWARDERS, planners=PLANNERS, seconds=DURATION_S, rate=REQUESTS_PER_S)
+        for seed in range(first, first + SCHEDULES_PER_TURN)
     ]
-    began = time.process_time()
+    started_at = time.process_time()
     for schedule in schedules:
         play(schedule)
-    return A_TURN / (time.process_time() - began)
+    return SCHEDULES_PER_TURN / (time.process_time() - started_at)
 
 
-def speeds() -> dict[str, Any]:
+def compare_speeds() -> dict[str, Any]:
+    """Speed of the current simulator, and its ratio to the old one where the history has that."""
     new, old = list[float](), list[float]()
-    with tempfile.TemporaryDirectory() as name:
-        has_old = extract_commit(BEFORE, Path(name))
+    with tempfile.TemporaryDirectory() as folder:
+        has_old = extract_commit(OLD_COMMIT, Path(folder))
         for turn in range(TURNS):
-            new.append(new_turn(turn * A_TURN))
+            new.append(new_speed(turn * SCHEDULES_PER_TURN))
             if has_old:
-                old.append(old_turn(Path(name), turn * A_TURN))
-    told: dict[str, Any] = {"schedules_per_core_second": round(statistics.median(new), 1)}
+                old.append(old_speed(Path(folder), turn * SCHEDULES_PER_TURN))
+    figures: dict[str, Any] = {"schedules_per_core_second": round(statistics.median(new), 1)}
     if old:
-        told["schedules_per_core_second_before"] = round(statistics.median(old), 1)
-        told["speed_ratio"] = round(statistics.median(n / o for n, o in zip(new, old, strict=True)), 2)
-    return told
+        figures["schedules_per_core_second_before"] = round(statistics.median(old), 1)
+        figures["speed_ratio"] = round(statistics.median(n / o for n, o in zip(new, old, strict=True)), 2)
+    return figures
 
 
 def main() -> int:
+    """Measures and prints; fails if a fence was not found, or a search or a fuzzer found a fault."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--depth", type=int, default=5, help="of the search")
-    parser.add_argument("--seeds", type=int, default=500, help="at most, for each fence")
-    parser.add_argument("--first", type=int, default=7_000_000, help="the first seed for the fences")
-    parser.add_argument("--inputs", type=int, default=20_000, help="fuzzed, for each target")
+    parser.add_argument("--depth", type=int, default=5, help="steps of the exhaustive search")
+    parser.add_argument("--seeds", type=int, default=500, help="maximum per fence")
+    parser.add_argument("--first", type=int, default=7_000_000, help="first seed used for the fences")
+    parser.add_argument("--inputs", type=int, default=20_000, help="fuzzed inputs per target")
     options = parser.parse_args()
     cores = os.cpu_count() or 1
-    told = speeds()
-    print(told, flush=True)
+    figures = compare_speeds()
+    print(figures, flush=True)
     results = list(hunt_all(options.first, options.seeds, cores))
-    played = sorted(result["played"] for result in results)
-    told |= {
+    seeds_played = sorted(result["played"] for result in results)
+    figures |= {
         "fences": len(results),
         "fences_found": sum(result["found"] for result in results),
-        "median_seeds_to_find": statistics.median(played),
-        "most_seeds_to_find": played[-1],
+        "median_seeds_to_find": statistics.median(seeds_played),
+        "most_seeds_to_find": seeds_played[-1],
         "slowest_fences": [r["fence"] for r in sorted(results, key=lambda r: -r["played"])[:3]],
     }
-    print(told, flush=True)
-    searched = search(options.depth, 2_000_000, cores)
-    told |= {key: searched[key] for key in ("states_explored", "steps", "depth", "search_complete", "broken")}
-    print(told, flush=True)
+    print(figures, flush=True)
+    search_result = search(options.depth, 2_000_000, cores)
+    figures |= {
+        key: search_result[key] for key in ("states_explored", "steps", "depth", "search_complete", "broken")
+    }
+    print(figures, flush=True)
     inputs, crashes = 0, list[str]()
     for target in SEEDS:
-        ran, found = run_seeded(target, 1, options.inputs)
-        inputs += ran
-        crashes += [f"{target}: {found.error}"] if found is not None else []
-    told |= {"fuzz_inputs": inputs, "fuzz_crashes": len(crashes), "crashes": crashes}
-    print(json.dumps(told))
-    return 0 if told["fences"] == told["fences_found"] and not (crashes or told["broken"]) else 1
+        count, crash = run_seeded(target, 1, options.inputs)
+        inputs += count
+        crashes += [f"{target}: {crash.error}"] if crash is not None else []
+    figures |= {"fuzz_inputs": inputs, "fuzz_crashes": len(crashes), "crashes": crashes}
+    print(json.dumps(figures))
+    return 0 if figures["fences"] == figures["fences_found"] and not (crashes or figures["broken"]) else 1
 
 
 if __name__ == "__main__":
