--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from benchmarks.scarce_counter import day, figures
+from benchmarks.scarce_counter import draw_fleet, measure
 from embersill.control import Gateway
 from embersill.emulator.counter import LimitedCounter
 from embersill.emulator.demand import Customer, CustomerRequest
@@ -64,7 +64,7 @@
 
 
 def test_a_run_repeats_exactly_and_keeps_its_ceilings() -> None:
-    results = [figures(day(7, 12, 120.0, 1.0, 4.0), 4.0) for _ in range(2)]
+    results = [measure(draw_fleet(7, 12, 120.0, 1.0, 4.0), 4.0) for _ in range(2)]
     for figures_found in results:
         figures_found.pop("cpu")
     assert results[0] == results[1]
@@ -77,15 +77,15 @@
         plans = tuple(replace(p, rate=1e6, burst=1e6, ceiling_rate=0.0) for p in settings.plans)
         return Gateway(replace(settings, plans=plans), seed, now)
 
-    fair, fleet = figures(day(7, 12, 120.0, 1.0, 20.0), 20.0), day(7, 12, 120.0, 1.0, 20.0)
+    fair, fleet = measure(draw_fleet(7, 12, 120.0, 1.0, 20.0), 20.0), draw_fleet(7, 12, 120.0, 1.0, 20.0)
     fleet.site.make_gateway = open_gateway
-    figures_found = figures(fleet, 20.0)
+    figures_found = measure(fleet, 20.0)
     assert figures_found["beyond_quota_share"] > 1.5 * fair["beyond_quota_share"]
     assert figures_found["ceiling_over"] > 8.0 >= fair["ceiling_over"]
 
 
 def test_drawn_requests_match_the_rate_and_the_gateways_of_customers() -> None:
-    fleet = day(3, 40, 300.0, 1.0, 6.0)
+    fleet = draw_fleet(3, 40, 300.0, 1.0, 6.0)
     rate = len(fleet.requests) / 6.0
     assert 0.5 * 300 < rate < 2 * 300
     chance = random.Random(1)
