--- a/benchmarks/counts.py
+++ b/benchmarks/counts.py
@@ -1,8 +1,9 @@
-"""What one ordinary request costs in counts that repeat exactly: `python -m benchmarks.counts --check`.
+"""Counts what an ordinary request costs, deterministically: `python -m benchmarks.counts --check`.
 
-The gateway's own parts run in this process, with transports, a loop and a clock that only count: a client's
-bytes go in, a backend's answer is handed back, due timers fire as the clock moves a millisecond a request. No
-time is measured, so the verdict is the same on every machine. `--check` holds the counts to `ceilings.json`.
+The gateway's components run in this process on substitutes for transports, event loop and clock that only
+count: a client's bytes go in, a backend's response is returned, and due timers fire as the clock advances by
+1 ms per request. No time is measured, so the result is the same on every machine. `--check` compares the
+counts with `ceilings.json`.
 """
 
 from __future__ import annotations
@@ -24,29 +25,29 @@
 from embersill.lab.still import Harness, answer
 
 CEILINGS = Path(__file__).with_name("ceilings.json")
-WARM_UP, MEASURED = 500, 1000
+WARMUP_REQUESTS, MEASURED_REQUESTS = 500, 1000
 
 
-def peak_memory(call: Callable[[], None], times: int = 21) -> float:
-    """Bytes that one request has allocated at once at most, the usual one of several: a copy shows in it."""
+def peak_memory(call: Callable[[], None], repetitions: int = 21) -> float:
+    """Median of the peak bytes that one request has allocated; shows copies of bodies."""
     peaks = []
     tracemalloc.start()
-    for _ in range(times):
+    for _ in range(repetitions):
         tracemalloc.reset_peak()
         before, _ = tracemalloc.get_traced_memory()
         call()
         peaks.append(tracemalloc.get_traced_memory()[1] - before)
     tracemalloc.stop()
-    return sorted(peaks)[times // 2]
+    return sorted(peaks)[repetitions // 2]
 
 
 def count(klass: str, body: int = 0, answered: int = 200, piece: int = 0) -> dict[str, float]:
-    """Counts a request, over many: calls of Python and C functions, objects made, timers, writes, bytes."""
+    """Mean counts per request: calls of Python and C functions, objects created, timers, writes and bytes."""
     harness = Harness()
-    text = answer(answered)
+    response = answer(answered)
     calls: Counter[str] = Counter()
 
-    def watch(frame: FrameType, event: str, argument: Any) -> None:
+    def profile(frame: FrameType, event: str, argument: Any) -> None:
         if frame.f_code.co_filename in (__file__, still.__file__):
             return
         if event == "call":
@@ -56,32 +57,32 @@
             calls["c_calls"] += 1
             calls["polls"] += argument.__name__ == "poll" and argument.__self__ is not None
 
-    def run(times: int) -> None:
-        for _ in range(times):
-            asked = harness.request(klass, body)
-            pieces = [asked[i : i + piece] for i in range(0, len(asked), piece)] if piece else [asked]
-            harness.one(pieces, text)
+    def run(requests: int) -> None:
+        for _ in range(requests):
+            request = harness.request(klass, body)
+            pieces = [request[i : i + piece] for i in range(0, len(request), piece)] if piece else [request]
+            harness.one(pieces, response)
 
     was_enabled = gc.isenabled()
     gc.disable()
-    run(WARM_UP)
+    run(WARMUP_REQUESTS)
     harness.loop.counts.clear()
     gc.collect()
     blocks = sys.getallocatedblocks()
-    sys.setprofile(watch)
+    sys.setprofile(profile)
     try:
-        run(MEASURED)
+        run(MEASURED_REQUESTS)
     finally:
         sys.setprofile(None)
-    kept = sys.getallocatedblocks() - blocks
+    blocks_kept = sys.getallocatedblocks() - blocks
     cycles = gc.collect()
     if was_enabled:
         gc.enable()
-    told = {**calls, **harness.loop.counts}
+    totals = {**calls, **harness.loop.counts}
     peak = peak_memory(lambda: run(1))
     harness.close()
-    per = {
-        name: round(told.get(name, 0) / MEASURED, 3)
+    per_request = {
+        name: round(totals.get(name, 0) / MEASURED_REQUESTS, 3)
         for name in (
             "python_calls",
             "c_calls",
@@ -94,10 +95,10 @@
             "bytes_written",
         )
     }
-    per["objects_in_cycles"] = round(cycles / MEASURED, 3)
-    per["peak_kib"] = float(math.ceil(peak / 1024))
-    per["blocks_kept"] = float(max(0, round(kept / MEASURED)))
-    return per
+    per_request["objects_in_cycles"] = round(cycles / MEASURED_REQUESTS, 3)
+    per_request["peak_kib"] = float(math.ceil(peak / 1024))
+    per_request["blocks_kept"] = float(max(0, round(blocks_kept / MEASURED_REQUESTS)))
+    return per_request
 
 
 CASES: dict[str, dict[str, Any]] = {
@@ -110,26 +111,30 @@
 
 
 async def count_all() -> dict[str, dict[str, float]]:
+    """The counts of every case."""
     return {name: count(**case) for name, case in CASES.items()}
 
 
 def over(figures: dict[str, dict[str, float]], ceilings: dict[str, dict[str, float]]) -> list[str]:
-    """Which count of which case is over its ceiling, and by how much."""
-    told = []
+    """A message for each count that exceeds its ceiling, or has none."""
+    messages = []
     for case, counts in figures.items():
         for name, value in counts.items():
-            most = ceilings.get(case, {}).get(name)
-            if most is None:
-                told.append(f"{case}: {name} has no ceiling")
-            elif value > most:
-                told.append(f"{case}: {name} is {value:g} a request, {value - most:g} over its {most:g}")
-    return told
+            ceiling = ceilings.get(case, {}).get(name)
+            if ceiling is None:
+                messages.append(f"{case}: {name} has no ceiling")
+            elif value > ceiling:
+                messages.append(
+                    f"{case}: {name} is {value:g} a request, {value - ceiling:g} over its {ceiling:g}"
+                )
+    return messages
 
 
 def main() -> int:
+    """Prints the counts; fails on --check if one exceeds its ceiling."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.counts", description=__doc__)
-    parser.add_argument("--check", action="store_true", help="fail where a count is over its ceiling")
-    parser.add_argument("--write", action="store_true", help="make what was counted the ceilings")
+    parser.add_argument("--check", action="store_true", help="fail if a count exceeds its ceiling")
+    parser.add_argument("--write", action="store_true", help="write the counts as the new ceilings")
     options = parser.parse_args()
     figures = asyncio.run(count_all())
     for case, counts in figures.items():
@@ -138,11 +143,11 @@
             print(f"   {name:20} {value:g}")
     if options.write:
         CEILINGS.write_text(json.dumps(figures, indent=2) + "\n")
-    broken = over(figures, json.loads(CEILINGS.read_text())) if options.check else []
-    for line in broken:
+    exceeded = over(figures, json.loads(CEILINGS.read_text())) if options.check else []
+    for line in exceeded:
         print(f"over: {line}")
     print(json.dumps(figures))
-    return 1 if broken else 0
+    return 1 if exceeded else 0
 
 
 if __name__ == "__main__":
