--- a/benchmarks/lapse.py
+++ b/benchmarks/lapse.py
@@ -1,9 +1,9 @@
-"""A lapsed tenant slowed down, measured: `python -m benchmarks.lapse`. JSON on standard output.
+"""Measures the slowdown of a lapsed tenant: `python -m benchmarks.lapse`. Prints JSON.
 
-- town: the deciding parts on a simulated network, by number of gateways, calm and with each trouble, each run
-  beside the same one without an order.
-- ways: what was weighed against tokens by demand, on one and the same town.
-- hall: gateways as processes on loopback, with callers on kept connections and on new ones.
+- town: the decision code on a simulated network, by number of gateways, without faults and with each fault;
+  every run is compared with the same one without a slowdown.
+- ways: the alternatives to tokens by demand, on the same simulated system.
+- hall: gateways as processes on loopback, with clients on persistent and on new connections.
 """
 
 from __future__ import annotations
@@ -24,131 +24,148 @@
 from embersill.lab.edge.town import quantile
 from embersill.rig.hall import RequestResult, GatewayCluster
 
-HALL_TENANTS = {"lapsed": (60.0, 60.0), "dispatch": (60.0, 60.0)}
-HALL_ASKED = {"lapsed": 90.0, "dispatch": 40.0}  # requests a second
-HALL_SHARES = 0.5, 0.2
-HALL_CALM, HALL_STEP, HALL_SETTLES = 8.0, 16.0, 4.0  # seconds before, of each step, until one is settled
+CLUSTER_TENANTS = {"lapsed": (60.0, 60.0), "dispatch": (60.0, 60.0)}  # requests/s, burst
+CLUSTER_REQUESTS_PER_S = {"lapsed": 90.0, "dispatch": 40.0}
+SLOWDOWN_SHARES = 0.5, 0.2  # of the tenant's quota, step by step
+BASELINE_S, STEP_S, SETTLING_S = 8.0, 16.0, 4.0  # before the slowdown, of a step, and left out at its start
 
 
-def one(job: tuple[int, str, str, int]) -> dict[str, Any]:
-    gateways, trouble, way, seed = job
-    played, without = (
-        simulate(gateways, trouble, seed, method=way),
-        simulate(gateways, trouble, seed, ordered=False),
+def compare_with_baseline(job: tuple[int, str, str, int]) -> dict[str, Any]:
+    """A simulated run with a slowdown, compared with the same run without it."""
+    gateways, fault, method, seed = job
+    slowed, baseline = (
+        simulate(gateways, fault, seed, method=method),
+        simulate(gateways, fault, seed, ordered=False),
     )
-    return {"gateways": gateways, "trouble": trouble, "way": way, "seed": seed,
-            **compare_runs(played, without)}
+    return {
+        "gateways": gateways,
+        "trouble": fault,
+        "way": method,
+        "seed": seed,
+        **compare_runs(slowed, baseline),
+    }
 
 
-async def callers(
-    cluster: GatewayCluster, tenant: str, per_s: float, until: float, book: list[RequestResult]
+async def send_requests(
+    cluster: GatewayCluster, tenant: str, requests_per_s: float, until: float, results: list[RequestResult]
 ) -> None:
-    """Tries by chance, at gateways that get uneven parts, half of them on connections of their own."""
-    chance, open_ones = random.Random(tenant), set[asyncio.Task[None]]()
+    """Sends requests at random times, unevenly over the gateways, half of them on new connections."""
+    chance, pending = random.Random(tenant), set[asyncio.Task[None]]()
     weights = [1 + number % 3 for number in range(cluster.size)]
 
-    async def ask(number: int, gateway: int) -> None:
+    async def send(number: int, gateway: int) -> None:
         route = "order" if number % 4 == 0 else "ask"
-        book.append(await cluster.send_request(tenant, gateway, route, fresh=number % 2 == 0))
+        results.append(await cluster.send_request(tenant, gateway, route, fresh=number % 2 == 0))
 
     number = 0
     while time.monotonic() < until:
-        task = asyncio.create_task(ask(number, chance.choices(range(cluster.size), weights)[0]))
-        open_ones.add(task)
-        task.add_done_callback(open_ones.discard)
+        task = asyncio.create_task(send(number, chance.choices(range(cluster.size), weights)[0]))
+        pending.add(task)
+        task.add_done_callback(pending.discard)
         number += 1
-        await asyncio.sleep(chance.expovariate(per_s))
-    await asyncio.gather(*open_ones)
+        await asyncio.sleep(chance.expovariate(requests_per_s))
+    await asyncio.gather(*pending)
 
 
-async def in_a_hall(gateways: int) -> dict[str, Any]:
-    book: list[RequestResult] = []
+async def measure_cluster(gateways: int) -> dict[str, Any]:
+    """Starts a slowdown in a cluster of processes under load and measures it by step."""
+    results: list[RequestResult] = []
     with tempfile.TemporaryDirectory() as folder:
-        async with GatewayCluster(Path(folder), gateways, tenants=HALL_TENANTS) as cluster:
-            began = time.monotonic()
-            until = began + HALL_CALM + HALL_STEP * len(HALL_SHARES)
-            calling = [
-                asyncio.create_task(callers(cluster, name, rate, until, book))
-                for name, rate in HALL_ASKED.items()
+        async with GatewayCluster(Path(folder), gateways, tenants=CLUSTER_TENANTS) as cluster:
+            started_at = time.monotonic()
+            until = started_at + BASELINE_S + STEP_S * len(SLOWDOWN_SHARES)
+            clients = [
+                asyncio.create_task(send_requests(cluster, name, rate, until, results))
+                for name, rate in CLUSTER_REQUESTS_PER_S.items()
             ]
-            await asyncio.sleep(HALL_CALM)
-            ladder = [{"share": share, "lasts_s": HALL_STEP} for share in HALL_SHARES]
+            await asyncio.sleep(BASELINE_S)
+            ladder = [{"share": share, "lasts_s": STEP_S} for share in SLOWDOWN_SHARES]
             ordered_at = time.monotonic()
-            status, told = await cluster.control(
+            status, answer = await cluster.control(
                 gateways - 1,
                 "PUT",
                 "/api/lapses/lapsed",
                 {"action": "start", "by": "benchmark", "ladder": ladder},
             )
             if status != 200:
-                raise RuntimeError(f"the order was answered {status}: {told}")
-            await asyncio.gather(*calling)
+                raise RuntimeError(f"the slowdown was answered with status {status}: {answer}")
+            await asyncio.gather(*clients)
             _, report = await cluster.control(0, "GET", "/api/lapses/lapsed")
             return {
-                **cluster_figures(book, ordered_at, gateways),
+                **cluster_figures(results, ordered_at, gateways),
                 "doubled": sum(count > 1 for count in cluster.run_counts().values()),
                 "report": report,
             }
 
 
-def cluster_figures(book: list[RequestResult], ordered_at: float, gateways: int) -> dict[str, Any]:
-    found: dict[str, Any] = {"lost": sum(one.status in (0, 502, 504) for one in book)}
-    others = [one for one in book if one.tenant != "lapsed"]
-    for name, asked in (
-        ("before", [one for one in others if one.sent_at < ordered_at]),
-        ("during", [one for one in others if one.sent_at >= ordered_at]),
+def cluster_figures(results: list[RequestResult], ordered_at: float, gateways: int) -> dict[str, Any]:
+    """What other tenants noticed, and how exactly and evenly each step slowed the lapsed tenant."""
+    figures: dict[str, Any] = {"lost": sum(result.status in (0, 502, 504) for result in results)}
+    others = [result for result in results if result.tenant != "lapsed"]
+    for name, requests in (
+        ("before", [result for result in others if result.sent_at < ordered_at]),
+        ("during", [result for result in others if result.sent_at >= ordered_at]),
     ):
-        took = sorted(one.duration_s for one in asked if one.status == 200)
-        found[f"others_served_{name}"] = round(len(took) / max(len(asked), 1), 4)
-        found[f"others_p99_ms_{name}"] = round(1000 * quantile(took, 0.99), 1)
-    for step, share in enumerate(HALL_SHARES):
-        since = ordered_at + step * HALL_STEP + HALL_SETTLES
-        asked = [
-            one
-            for one in book
-            if one.tenant == "lapsed" and since <= one.sent_at < since + HALL_STEP - HALL_SETTLES - 0.5
+        durations = sorted(result.duration_s for result in requests if result.status == 200)
+        figures[f"others_served_{name}"] = round(len(durations) / max(len(requests), 1), 4)
+        figures[f"others_p99_ms_{name}"] = round(1000 * quantile(durations, 0.99), 1)
+    for step, share in enumerate(SLOWDOWN_SHARES):
+        since = ordered_at + step * STEP_S + SETTLING_S
+        requests = [
+            result
+            for result in results
+            if result.tenant == "lapsed" and since <= result.sent_at < since + STEP_S - SETTLING_S - 0.5
         ]
-        by_gateway = [[one for one in asked if one.gateway == number] for number in range(gateways)]
-        parts = [
-            (sum(one.status == 200 for one in part) / max(len(part), 1), len(part)) for part in by_gateway
+        by_gateway = [
+            [result for result in requests if result.gateway == number] for number in range(gateways)
         ]
-        whole = sum(one.status == 200 for one in asked) / max(len(asked), 1)
-        low, high = min(parts), max(parts)
-        chance = 2 * math.sqrt(whole * (1 - whole)) * sum(1 / math.sqrt(max(n, 1)) for _, n in (low, high))
-        found[f"step_{step}"] = {
-            "rate": HALL_TENANTS["lapsed"][0] * share,
-            "served": round(whole, 4),
-            "served_per_s": round(whole * len(asked) / (HALL_STEP - HALL_SETTLES - 0.5), 2),
+        served_shares = [
+            (sum(result.status == 200 for result in sent) / max(len(sent), 1), len(sent))
+            for sent in by_gateway
+        ]
+        served_share = sum(result.status == 200 for result in requests) / max(len(requests), 1)
+        low, high = min(served_shares), max(served_shares)
+        # the difference that chance allows: twice the sum of the standard deviations of both shares
+        noise = (
+            2
+            * math.sqrt(served_share * (1 - served_share))
+            * sum(1 / math.sqrt(max(n, 1)) for _, n in (low, high))
+        )
+        figures[f"step_{step}"] = {
+            "rate": CLUSTER_TENANTS["lapsed"][0] * share,
+            "served": round(served_share, 4),
+            "served_per_s": round(served_share * len(requests) / (STEP_S - SETTLING_S - 0.5), 2),
             "evenness_raw": round(high[0] - low[0], 4),
-            "evenness": round(max(high[0] - low[0] - chance, 0.0), 4),
+            "evenness": round(max(high[0] - low[0] - noise, 0.0), 4),
         }
-    return found
+    return figures
 
 
 def main() -> int:
+    """Measures the cluster, then simulates in parallel processes, and prints the result."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.lapse", description=__doc__)
     parser.add_argument("--gateways", type=int, nargs="*", default=[3, 14, 96])
     parser.add_argument("--troubles", nargs="*", default=list(FAULTS), choices=FAULTS)
     parser.add_argument("--seeds", type=int, default=1)
-    parser.add_argument("--ways", type=int, default=14, help="gateways for the ways weighed; 0: none")
-    parser.add_argument("--hall", type=int, default=5, help="gateways as processes; 0: none")
+    parser.add_argument("--ways", type=int, default=14, help="gateways in the comparison of methods; 0: none")
+    parser.add_argument("--hall", type=int, default=5, help="gateways in the cluster of processes; 0: none")
     parser.add_argument("--jobs", type=int, default=4)
-    chosen = parser.parse_args()
+    options = parser.parse_args()
     jobs = [
-        (count, trouble, SLOWDOWN_METHODS[0], seed)
-        for count in sorted(chosen.gateways, reverse=True)
-        for trouble in chosen.troubles
-        for seed in range(1, chosen.seeds + 1)
+        (count, fault, SLOWDOWN_METHODS[0], seed)
+        for count in sorted(options.gateways, reverse=True)
+        for fault in options.troubles
+        for seed in range(1, options.seeds + 1)
     ]
-    jobs += [(chosen.ways, "calm", way, 1) for way in SLOWDOWN_METHODS if chosen.ways]
-    found: dict[str, Any] = {}
-    if chosen.hall:
-        found["hall"] = asyncio.run(in_a_hall(chosen.hall))
-    with ProcessPoolExecutor(chosen.jobs) as pool:
-        rows = list(pool.map(one, jobs))
-    found["town"] = [row for row in rows if row["way"] == SLOWDOWN_METHODS[0]]
-    found["ways"] = [row for row in rows if row["gateways"] == chosen.ways and row["trouble"] == "calm"]
-    json.dump(found, sys.stdout, indent=1)
+    jobs += [(options.ways, "calm", method, 1) for method in SLOWDOWN_METHODS if options.ways]
+    figures: dict[str, Any] = {}
+    if options.hall:
+        figures["hall"] = asyncio.run(measure_cluster(options.hall))
+    with ProcessPoolExecutor(options.jobs) as pool:
+        rows = list(pool.map(compare_with_baseline, jobs))
+    figures["town"] = [row for row in rows if row["way"] == SLOWDOWN_METHODS[0]]
+    figures["ways"] = [row for row in rows if row["gateways"] == options.ways and row["trouble"] == "calm"]
+    json.dump(figures, sys.stdout, indent=1)
     print()
     return 0
 
