--- a/benchmarks/ratelimit.py
+++ b/benchmarks/ratelimit.py
@@ -1,9 +1,10 @@
-"""The rate limit service, measured: `python -m benchmarks.ratelimit`.
+"""Measures the rate limit service and its client: `python -m benchmarks.ratelimit`.
 
-- answering: our service next to a handler of the same library that always says OK, each held to one core, at
-  1, 64 and 512 streams; by turns in one run.
-- asking: what a gateway's question to a service adds to a request, and to its own processor time.
-- agreement: one sequence through the gateway's throttle, a service that it asks, a client that asks it.
+- answering: the service and, alternately in one run, a handler of the same library that always answers OK,
+  each pinned to one core, at 1, 64 and 512 streams.
+- asking: what a query to an external service adds to a request's latency and to the gateway's processor time.
+- agreement: compares the decisions on one sequence of requests by the gateway's throttle, by an external
+  service that the gateway queries, and by the gateway as the service of a client.
 """
 
 from __future__ import annotations
@@ -25,10 +26,11 @@
 from embersill.lab.limiter import Limiter
 from embersill.rig.standins import BackendBehaviour
 
-CLIENTS = 3  # processes that load a server
+MAX_LOAD_PROCESSES = 3  # load generators per server
 
 
-async def one_server(kind: str, streams: int, seconds: float) -> dict[str, float]:
+async def measure_server(kind: str, streams: int, seconds: float) -> dict[str, float]:
+    """Throughput, latency, processor time and memory of one server process under load."""
     server = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "benchmarks.ratelimit_server", kind, stdout=asyncio.subprocess.PIPE
     )
@@ -39,7 +41,7 @@
         os.sched_setaffinity(server.pid, cores[:1])
         for thread in os.listdir(f"/proc/{server.pid}/task"):
             os.sched_setaffinity(int(thread), cores[:1])
-        count = min(CLIENTS, streams)
+        count = min(MAX_LOAD_PROCESSES, streams)
         before = sum(processor_time(server.pid))
         clients = [
             await asyncio.create_subprocess_exec(
@@ -58,14 +60,14 @@
         answered, latencies = 0, list[float]()
         for client in clients:
             out, _ = await client.communicate()
-            told = json.loads(out)
-            answered += told["count"]
-            latencies += told["latencies"]
+            report = json.loads(out)
+            answered += report["count"]
+            latencies += report["latencies"]
         latencies.sort()
-        spent = sum(processor_time(server.pid)) - before
+        processor_time_s = sum(processor_time(server.pid)) - before
         return {
             "per_second": answered / seconds,
-            "cpu_us": 1e6 * spent / answered,
+            "cpu_us": 1e6 * processor_time_s / answered,
             "p50_ms": 1000 * latencies[len(latencies) // 2],
             "p99_ms": 1000 * latencies[int(0.99 * (len(latencies) - 1))],
             "memory_mb": resident_kb(server.pid) / 1024,
@@ -76,15 +78,16 @@
 
 
 async def answering(seconds: float) -> dict[str, Any]:
+    """Compares the service with the handler that always answers OK."""
     figures: dict[str, Any] = {}
     for streams in (1, 64, 512):
         runs: dict[str, list[dict[str, float]]] = {"bare": [], "ours": []}
         for _ in range(2):
             for kind in runs:
-                runs[kind].append(await one_server(kind, streams, seconds))
-        for kind, made in runs.items():
-            for figure in made[0]:
-                value = sum(run[figure] for run in made) / len(made)
+                runs[kind].append(await measure_server(kind, streams, seconds))
+        for kind, measured in runs.items():
+            for figure in measured[0]:
+                value = sum(run[figure] for run in measured) / len(measured)
                 figures[f"{kind}_{streams}_{figure}"] = round(value, 2)
         ratio = figures[f"ours_{streams}_per_second"] / figures[f"bare_{streams}_per_second"]
         figures[f"throughput_vs_bare_{streams}"] = round(ratio, 3)
@@ -92,9 +95,12 @@
     return say("answering", figures)
 
 
-async def loaded(text: str, connections: int, seconds: float) -> dict[str, float]:
+async def measure_gateway(operator_settings: str, connections: int, seconds: float) -> dict[str, float]:
+    """Latency and processor time of a gateway under a closed-loop load."""
     deployment = Deployment(
-        Shape(fronts=1, planners=0, backends=4, behaviour=BackendBehaviour(0.0, 0.0), operator=text)
+        Shape(
+            fronts=1, planners=0, backends=4, behaviour=BackendBehaviour(0.0, 0.0), operator=operator_settings
+        )
     )
     for backend in deployment.backends:
         backend.on_arrival = lambda arrival, runs: None
@@ -107,12 +113,12 @@
         front = deployment.members[deployment.fronts[0].name]
         before = front.cpu_seconds()
         await asyncio.sleep(seconds)
-        spent, served = front.cpu_seconds() - before, load.served
+        processor_time_s, served = front.cpu_seconds() - before, load.served
         load.stop()
     finally:
         deployment.close()
     return {
-        "cpu_us": 1e6 * spent / max(served, 1),
+        "cpu_us": 1e6 * processor_time_s / max(served, 1),
         "median_us": load.quantile_us(0.5),
         "p99_us": load.quantile_us(0.99),
         "served": served,
@@ -120,42 +126,47 @@
 
 
 async def asking(seconds: float) -> dict[str, Any]:
+    """Compares a gateway that queries an external service with one that does not."""
     limiter = Limiter({"free": (1e9, 1e9)}, asyncio.get_running_loop().time)
     limiter.keep_asked = False
     await limiter.start()
-    text = (
+    operator_settings = (
         f'[ratelimit.ask]\nservices = ["{limiter.address}"]\ndomain = "lookup"\nplans = ["free"]\n'
         "timeout = 1.0\nwithin = 1.0\nwithin_part = 0.5\n"
     )
     runs: dict[str, list[dict[str, float]]] = {"plain": [], "asking": []}
     for _ in range(2):
-        runs["plain"].append(await loaded("", 1, seconds))
-        runs["asking"].append(await loaded(text, 1, seconds))
+        runs["plain"].append(await measure_gateway("", 1, seconds))
+        runs["asking"].append(await measure_gateway(operator_settings, 1, seconds))
     await limiter.stop()
     figures: dict[str, Any] = {}
     for figure in ("median_us", "p99_us", "cpu_us"):
-        means = {kind: sum(run[figure] for run in made) / len(made) for kind, made in runs.items()}
+        means = {
+            kind: sum(run[figure] for run in measured) / len(measured) for kind, measured in runs.items()
+        }
         figures[f"asking_adds_{figure}"] = round(means["asking"] - means["plain"], 1)
     return say("asking", figures)
 
 
 async def run(options: argparse.Namespace) -> dict[str, Any]:
-    wanted = set(options.only.split(",")) if options.only else {"answering", "asking", "agreement"}
+    """Runs the selected measurements."""
+    selected = set(options.only.split(",")) if options.only else {"answering", "asking", "agreement"}
     figures: dict[str, Any] = {}
-    if "answering" in wanted:
+    if "answering" in selected:
         figures.update(await answering(options.seconds))
-    if "asking" in wanted:
+    if "asking" in selected:
         figures.update(await asking(options.seconds))
-    if "agreement" in wanted:
+    if "agreement" in selected:
         figures.update(say("agreement", await compare(options.tries)))
     return figures
 
 
 def main() -> int:
+    """Prints the figures; fails if the decisions of the agreement measurement differ."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.ratelimit", description=__doc__)
-    parser.add_argument("--seconds", type=float, default=3.0, help="of each measurement")
-    parser.add_argument("--tries", type=int, default=100_000, help="of the recorded sequence")
-    parser.add_argument("--only", default="", help="some of answering,asking,agreement")
+    parser.add_argument("--seconds", type=float, default=3.0, help="duration of each measurement")
+    parser.add_argument("--tries", type=int, default=100_000, help="length of the sequence compared")
+    parser.add_argument("--only", default="", help="comma-separated: answering,asking,agreement")
     figures = uvloop.run(run(parser.parse_args()))
     print(json.dumps(figures))
     return 1 if figures.get("asking_differs") or figures.get("asked_differs") else 0
