--- a/benchmarks/ordinary_path.py
+++ b/benchmarks/ordinary_path.py
@@ -1,9 +1,9 @@
-"""The ordinary path, measured: `python -m benchmarks.ordinary_path`.
+"""Measures the cost of ordinary requests: `python -m benchmarks.ordinary_path`.
 
-A gateway and a bare pass-through on the same libraries, as processes in one run, by turns, under the same
-closed load to backends that answer at once: processor time (user and system) and system calls a request,
-requests a second of one core, latency; by class, by body, by connections and by customers. The counts that
-repeat exactly are in `benchmarks.counts`, whose figures for an ordinary lookup are printed too.
+A gateway and a minimal proxy on the same libraries run as processes, alternately in one run, under the same
+closed-loop load with backends that answer at once. Measured are processor time (user and system) and system
+calls per request, requests/s on one core, and latency; by class, body size, connections and customers. The
+deterministic counts of `benchmarks.counts` for an ordinary lookup are printed too.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 from embersill.rig.processes import processor_time, resident_kb
 from embersill.rig.standins import BackendBehaviour
 
-ANSWER = 200  # bytes
+RESPONSE_BYTES = 200
 
 
 async def system_calls(pid: int, load: ClosedLoop, seconds: float) -> float:
-    """System calls a request, by strace; nought where there is none. It slows down what it watches."""
+    """System calls per request, by strace, which slows the process down; 0 if strace is not installed."""
     strace = shutil.which("strace")
     if strace is None:
         return 0.0
@@ -44,14 +44,14 @@
     await asyncio.sleep(seconds)
     served = load.served - before
     tracer.send_signal(signal.SIGINT)
-    _, told = await tracer.communicate()
-    total = re.search(r"^\s*100[.,]00\s+\S+\s+\S*\s*(\d+)\s+(?:\d+\s+)?total", told.decode(), re.MULTILINE)
-    # what came before and after the counted part is in the total too: at most a tenth
+    _, report = await tracer.communicate()
+    total = re.search(r"^\s*100[.,]00\s+\S+\s+\S*\s*(\d+)\s+(?:\d+\s+)?total", report.decode(), re.MULTILINE)
+    # the total includes calls before and after the counted interval, at most a tenth
     return round(int(total[1]) / max(served, 1) * seconds / (seconds + 0.3), 2) if total else 0.0
 
 
 class Target:
-    """One process under load."""
+    """The process under load: a gateway, or the pass-through."""
 
     def __init__(self, kind: str) -> None:
         self.kind = kind
@@ -67,11 +67,12 @@
         )
         for backend in self.deployment.backends:
             backend.on_arrival = lambda arrival, runs: None
-            backend.body_padding = b"a" * (ANSWER - 16)
+            backend.body_padding = b"a" * (RESPONSE_BYTES - 16)
         self.process: asyncio.subprocess.Process | None = None
         self.pid = self.port = 0
 
     async def start(self) -> None:
+        """Starts the process and its backends, and learns its port and process id."""
         if self.kind == "gateway":
             await self.deployment.start()
             front = self.deployment.fronts[0]
@@ -88,6 +89,7 @@
         self.port, self.pid = int(await self.process.stdout.readline()), self.process.pid
 
     def close(self) -> None:
+        """Ends the process and its backends."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
         self.deployment.close()
@@ -103,6 +105,7 @@
     body: int = 0,
     trace: bool = False,
 ) -> dict[str, float]:
+    """Measures one target after a second of warm-up; `trace`: also its system calls."""
     target = Target(kind)
     try:
         await target.start()
@@ -114,7 +117,7 @@
         await asyncio.sleep(seconds)
         after = processor_time(target.pid)
         served = max(load.served, 1)
-        told = {
+        figures = {
             "user_us": 1e6 * (after[0] - user) / served,
             "system_us": 1e6 * (after[1] - system) / served,
             "per_second": load.served / seconds,
@@ -123,60 +126,61 @@
             "memory_kb": float(resident_kb(target.pid)),
             "not_served": float(load.other),
         }
-        told["cpu_us"] = told["user_us"] + told["system_us"]
+        figures["cpu_us"] = figures["user_us"] + figures["system_us"]
         if trace:
-            told["system_calls"] = await system_calls(target.pid, load, 1.0)
+            figures["system_calls"] = await system_calls(target.pid, load, 1.0)
         load.stop()
     finally:
         target.close()
-    return told
+    return figures
 
 
-async def several(
-    times: int, seconds: float, kinds: tuple[str, ...], **how: Any
+async def best_of(
+    turns: int, seconds: float, kinds: tuple[str, ...], **load_options: Any
 ) -> dict[str, dict[str, float]]:
-    """The best of so many turns, each kind once a turn: whatever else the machine does only adds."""
+    """The best of several turns, with each kind once per turn: other load on the machine only adds time."""
     runs: dict[str, list[dict[str, float]]] = {kind: [] for kind in kinds}
-    for _ in range(times):
+    for _ in range(turns):
         for kind in kinds:
-            runs[kind].append(await measure(kind, seconds, **how))
+            runs[kind].append(await measure(kind, seconds, **load_options))
     return {
-        kind: {name: round(value, 2) for name, value in min(made, key=lambda r: r["cpu_us"]).items()}
-        for kind, made in runs.items()
+        kind: {name: round(value, 2) for name, value in min(measured, key=lambda r: r["cpu_us"]).items()}
+        for kind, measured in runs.items()
     }
 
 
 async def run(options: argparse.Namespace) -> dict[str, Any]:
+    """Runs all measurements."""
     seconds = options.seconds
-    told = await several(options.turns, seconds, ("passthrough", "gateway"), trace=True)
+    best = await best_of(options.turns, seconds, ("passthrough", "gateway"), trace=True)
     figures: dict[str, Any] = {}
-    for kind, means in told.items():
-        figures.update({f"{kind}_{name}": value for name, value in say(kind, means).items()})
-    figures["cpu_vs_passthrough"] = round(told["gateway"]["cpu_us"] / told["passthrough"]["cpu_us"], 2)
+    for kind, measured in best.items():
+        figures.update({f"{kind}_{name}": value for name, value in say(kind, measured).items()})
+    figures["cpu_vs_passthrough"] = round(best["gateway"]["cpu_us"] / best["passthrough"]["cpu_us"], 2)
     others: dict[str, dict[str, Any]] = {
         "report": {"klass": "report", "body": 200},
         "extract": {"klass": "extract", "body": 200},
         "extract_16k": {"klass": "extract", "body": 16_384},
     }
-    for name, how in others.items():
-        means = (await several(options.turns, seconds, ("gateway",), **how))["gateway"]
-        figures[f"{name}_cpu_us"] = say(name, means)["cpu_us"]
+    for name, load_options in others.items():
+        measured = (await best_of(options.turns, seconds, ("gateway",), **load_options))["gateway"]
+        figures[f"{name}_cpu_us"] = say(name, measured)["cpu_us"]
     for connections in options.connections:
-        means = (await several(options.turns, seconds, ("gateway",), connections=connections))["gateway"]
-        say(f"{connections} connections", means)
-        figures[f"connections_{connections}_cpu_us"] = means["cpu_us"]
-        figures[f"connections_{connections}_memory_kb"] = means["memory_kb"]
+        measured = (await best_of(options.turns, seconds, ("gateway",), connections=connections))["gateway"]
+        say(f"{connections} connections", measured)
+        figures[f"connections_{connections}_cpu_us"] = measured["cpu_us"]
+        figures[f"connections_{connections}_memory_kb"] = measured["memory_kb"]
     for customers in options.customers:
-        means = (await several(options.turns, seconds, ("gateway",), customers=customers))["gateway"]
-        say(f"{customers} customers", means)
-        figures[f"customers_{customers}_cpu_us"] = means["cpu_us"]
-        figures[f"customers_{customers}_memory_kb"] = means["memory_kb"]
-    figures["counts"] = say("counts a lookup", count("lookup"))
+        measured = (await best_of(options.turns, seconds, ("gateway",), customers=customers))["gateway"]
+        say(f"{customers} customers", measured)
+        figures[f"customers_{customers}_cpu_us"] = measured["cpu_us"]
+        figures[f"customers_{customers}_memory_kb"] = measured["memory_kb"]
+    figures["counts"] = say("counts per lookup", count("lookup"))
     return figures
 
 
 def chart(figures: dict[str, Any], path: Path) -> None:
-    """Bars of processor time a request, as SVG."""
+    """Writes a bar chart of processor time per request as SVG."""
     bars = [
         ("pass-through", figures["passthrough_cpu_us"]),
         ("lookup", figures["gateway_cpu_us"]),
@@ -189,35 +193,37 @@
         for k, v in figures.items()
         if k.endswith("_cpu_us") and k.startswith(("connections_", "customers_"))
     ]
-    widest = max(value for _, value in bars)
+    max_value = max(value for _, value in bars)
     rows = []
     for n, (name, value) in enumerate(bars):
-        y, wide = 30 + 24 * n, 360 * value / widest
+        y, width = 30 + 24 * n, 360 * value / max_value
         rows.append(
             f'<text x="150" y="{y + 13}" text-anchor="end">{name}</text>'
-            f'<rect x="160" y="{y}" width="{wide:.1f}" height="16" fill="#4878a8"/>'
-            f'<text x="{166 + wide:.1f}" y="{y + 13}">{value:.0f}</text>'
+            f'<rect x="160" y="{y}" width="{width:.1f}" height="16" fill="#4878a8"/>'
+            f'<text x="{166 + width:.1f}" y="{y + 13}">{value:.0f}</text>'
         )
-    high = 40 + 24 * len(bars)
+    height = 40 + 24 * len(bars)
     path.write_text(
-        f'<svg xmlns="http://www.w3.org/2000/svg" width="600" height="{high}" font-family="sans-serif" '
-        f'font-size="12"><text x="10" y="18">Processor time a request, microseconds</text>'
+        f'<svg xmlns="http://www.w3.org/2000/svg" width="600" height="{height}" font-family="sans-serif" '
+        f'font-size="12"><text x="10" y="18">Processor time per request, microseconds</text>'
         + "".join(rows)
         + "</svg>\n"
     )
 
 
-def numbers(text: str) -> list[int]:
+def parse_numbers(text: str) -> list[int]:
+    """Comma-separated integers."""
     return [int(part) for part in text.split(",") if part]
 
 
 def main() -> int:
+    """Prints the figures; fails if the gateway did not serve every lookup."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.ordinary_path", description=__doc__)
-    parser.add_argument("--seconds", type=float, default=3.0, help="of each measurement")
-    parser.add_argument("--turns", type=int, default=3, help="of which the best counts")
-    parser.add_argument("--connections", type=numbers, default=[10, 100, 1000])
-    parser.add_argument("--customers", type=numbers, default=[100, 10_000, 100_000])
-    parser.add_argument("--chart", type=Path, default=None, help="an SVG to write")
+    parser.add_argument("--seconds", type=float, default=3.0, help="duration of each measurement")
+    parser.add_argument("--turns", type=int, default=3, help="repetitions, of which the best counts")
+    parser.add_argument("--connections", type=parse_numbers, default=[10, 100, 1000])
+    parser.add_argument("--customers", type=parse_numbers, default=[100, 10_000, 100_000])
+    parser.add_argument("--chart", type=Path, default=None, help="path of an SVG file to write")
     options = parser.parse_args()
     figures = uvloop.run(run(options))
     if options.chart is not None:
