--- a/benchmarks/ordinary_path.py
+++ b/benchmarks/ordinary_path.py
@@ -23,7 +23,7 @@
 
 from benchmarks.closed_loop import ClosedLoop
 from benchmarks.counts import count
-from benchmarks.tiers import say
+from benchmarks.tiers import print_figures
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.processes import processor_time, resident_kb
 from embersill.rig.standins import BackendBehaviour
@@ -155,7 +155,7 @@
     best = await best_of(options.turns, seconds, ("passthrough", "gateway"), trace=True)
     figures: dict[str, Any] = {}
     for kind, measured in best.items():
-        figures.update({f"{kind}_{name}": value for name, value in say(kind, measured).items()})
+        figures.update({f"{kind}_{name}": value for name, value in print_figures(kind, measured).items()})
     figures["cpu_vs_passthrough"] = round(best["gateway"]["cpu_us"] / best["passthrough"]["cpu_us"], 2)
     others: dict[str, dict[str, Any]] = {
         "report": {"klass": "report", "body": 200},
@@ -164,18 +164,18 @@
     }
     for name, load_options in others.items():
         measured = (await best_of(options.turns, seconds, ("gateway",), **load_options))["gateway"]
-        figures[f"{name}_cpu_us"] = say(name, measured)["cpu_us"]
+        figures[f"{name}_cpu_us"] = print_figures(name, measured)["cpu_us"]
     for connections in options.connections:
         measured = (await best_of(options.turns, seconds, ("gateway",), connections=connections))["gateway"]
-        say(f"{connections} connections", measured)
+        print_figures(f"{connections} connections", measured)
         figures[f"connections_{connections}_cpu_us"] = measured["cpu_us"]
         figures[f"connections_{connections}_memory_kb"] = measured["memory_kb"]
     for customers in options.customers:
         measured = (await best_of(options.turns, seconds, ("gateway",), customers=customers))["gateway"]
-        say(f"{customers} customers", measured)
+        print_figures(f"{customers} customers", measured)
         figures[f"customers_{customers}_cpu_us"] = measured["cpu_us"]
         figures[f"customers_{customers}_memory_kb"] = measured["memory_kb"]
-    figures["counts"] = say("counts per lookup", count("lookup"))
+    figures["counts"] = print_figures("counts per lookup", count("lookup"))
     return figures
 
 
--- a/benchmarks/ratelimit.py
+++ b/benchmarks/ratelimit.py
@@ -19,7 +19,7 @@
 import uvloop
 
 from benchmarks.closed_loop import ClosedLoop
-from benchmarks.tiers import say
+from benchmarks.tiers import print_figures
 from embersill.lab.agreement import compare
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.processes import processor_time, resident_kb
@@ -92,7 +92,7 @@
         ratio = figures[f"ours_{streams}_per_second"] / figures[f"bare_{streams}_per_second"]
         figures[f"throughput_vs_bare_{streams}"] = round(ratio, 3)
     figures["throughput_vs_bare"] = min(figures[f"throughput_vs_bare_{n}"] for n in (1, 64, 512))
-    return say("answering", figures)
+    return print_figures("answering", figures)
 
 
 async def measure_gateway(operator_settings: str, connections: int, seconds: float) -> dict[str, float]:
@@ -145,7 +145,7 @@
             kind: sum(run[figure] for run in measured) / len(measured) for kind, measured in runs.items()
         }
         figures[f"asking_adds_{figure}"] = round(means["asking"] - means["plain"], 1)
-    return say("asking", figures)
+    return print_figures("asking", figures)
 
 
 async def run(options: argparse.Namespace) -> dict[str, Any]:
@@ -157,7 +157,7 @@
     if "asking" in selected:
         figures.update(await asking(options.seconds))
     if "agreement" in selected:
-        figures.update(say("agreement", await compare(options.tries)))
+        figures.update(print_figures("agreement", await compare(options.tries)))
     return figures
 
 
