--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -1,10 +1,10 @@
-"""Offices on processes in trouble: `python -m benchmarks.ownership [--seconds 75]`. Prints JSON.
+"""Measures the ownership of offices under process faults: `python -m benchmarks.ownership [--seconds 75]`.
 
-Five planners and three forwarders, 60 tries a second. One play calm, one in which the export's owner is
-killed every 5 s, one with at least 60 faults of all kinds; and probes of the fleet at 3, 10 and 30
-processes, with one backend of six dead. How long an office stood empty is read off what processes say 20
-times a second: from a kill of its owner on; a lease that was told of by one that lives is taken to be used
-to its end.
+Prints JSON. Five planners and three forwarders, 60 requests/s. One run without faults, one in which the owner
+of the export is killed every 5 s, and one with at least 60 faults of all kinds; also the rate of probes at 3,
+10 and 30 processes, with one backend of six dead. How long an office had no owner is derived from the status
+that processes report 20 times a second: from the moment its owner is killed; a lease reported by a live
+process counts as used until it ends.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 from embersill.world.oracles import Rules, first_violation
 
 RELAYED = ("@planner>@planner", "@planner>billing", "@forwarder>@planner")
-KILL_EVERY = 5.0
-MIX = [
+KILL_INTERVAL_S = 5.0
+MIXED_FAULTS = [
     DrawnTable(["kill", "stop", "starve"], (3.0, 5.0), (0.3, 1.5), who=["@planner"]),
     DrawnTable(
         ["cut", "refuse", "swallow", "half", "delay", "narrow", "dribble"],
@@ -50,48 +50,50 @@
 ]
 
 
-def scenario(seconds: float, drawn: list[DrawnTable], seed: int) -> Scenario:
+def draw_scenario(seconds: float, drawn_faults: list[DrawnTable], seed: int) -> Scenario:
+    """The scenario with faults drawn from the tables."""
     return Scenario(
-        "ownership", seed, seconds, 60.0, 0.0, ShapeTable(3, 5, 0, 6, 24, True, {}, RELAYED), [], drawn
+        "ownership", seed, seconds, 60.0, 0.0, ShapeTable(3, 5, 0, 6, 24, True, {}, RELAYED), [], drawn_faults
     )
 
 
 async def play(
     seconds: float,
-    drawn: list[DrawnTable],
+    drawn_faults: list[DrawnTable],
     seed: int,
-    kill_every: float = 0.0,
+    kill_interval_s: float = 0.0,
     billing: BillingBehaviour | None = None,
 ) -> dict[str, Any]:
-    made = scenario(seconds, drawn, seed)
-    deployment = Deployment(shape_of(made, status_every=0.05))
+    """One run: gaps without an owner, exports, broken rules and served share."""
+    scenario = draw_scenario(seconds, drawn_faults, seed)
+    deployment = Deployment(shape_of(scenario, status_every=0.05))
     if billing is not None:
         deployment.billing.behaviour = billing
-    player = ScenarioRun(made, deployment)
-    told: dict[str, Any] = {}
-    claims: list[OwnershipLog] = []
+    scenario_run = ScenarioRun(scenario, deployment)
+    report: dict[str, Any] = {}
+    ownership_logs: list[OwnershipLog] = []
 
-    async def meanwhile(deployment: Deployment) -> None:
+    async def kill_owners(deployment: Deployment) -> None:
         loop = asyncio.get_running_loop()
         await wait_owner(deployment, "export")
-        claims.append(record_ownership(deployment))
-        began = loop.time()
-        while kill_every and loop.time() < began + seconds - kill_every - 3.0:
-            await asyncio.sleep(kill_every)
+        ownership_logs.append(record_ownership(deployment))
+        started_at = loop.time()
+        while kill_interval_s and loop.time() < started_at + seconds - kill_interval_s - 3.0:
+            await asyncio.sleep(kill_interval_s)
             owner = owner_of(deployment, "export")
             if owner:
-                told["kills"] = told.get("kills", 0) + 1
+                report["kills"] = report.get("kills", 0) + 1
                 member = deployment.members[owner]
-                claims[0].kills.append((loop.time(), owner))
+                ownership_logs[0].kills.append((loop.time(), owner))
                 await member.kill()
                 await asyncio.sleep(1.0)
                 await member.start()
-        await asyncio.sleep(max(began + seconds - 1.0 - loop.time(), 0.0))
+        await asyncio.sleep(max(started_at + seconds - 1.0 - loop.time(), 0.0))
         ended = loop.time()
-        gaps = sorted(claims[0].gaps("export", began, ended))
-        told["unowned_share"] = round(sum(gaps) / (ended - began), 4)
-        told["gaps_ms"] = [round(1000 * gap) for gap in gaps]
-        told["changes"] = claims[0].changes("export")
+        gaps = sorted(ownership_logs[0].gaps("export", started_at, ended))
+        report["unowned_share"] = round(sum(gaps) / (ended - started_at), 4)
+        report["gaps_ms"] = [round(1000 * gap) for gap in gaps]
+        report["changes"] = ownership_logs[0].changes("export")
         deployment.billing.behaviour = BillingBehaviour()
 
     deployment_stop = deployment.stop
@@ -100,35 +102,35 @@
         try:
             await wait_exported(deployment, 30.0)
         except TimeoutError:
-            told["not_booked"] = {m.name: m.status.get("export") for m in deployment.planners()}
+            report["not_booked"] = {m.name: m.status.get("export") for m in deployment.planners()}
         statuses = {m.name: m.status for m in deployment.planners()}
-        told["write_ms"] = [
+        report["write_ms"] = [
             (s["council"]["write_ms_p50"], s["council"]["write_ms_p99"])
             for s in statuses.values()
             if s.get("council", {}).get("writes", 0) > 20
         ]
-        told["refused_effects"] = sum(s.get("refused_effects", 0) for s in statuses.values())
-        told["unreported"] = sum(s["export"]["unreported"] for s in statuses.values() if "export" in s)
+        report["refused_effects"] = sum(s.get("refused_effects", 0) for s in statuses.values())
+        report["unreported"] = sum(s["export"]["unreported"] for s in statuses.values() if "export" in s)
         return await deployment_stop()
 
     deployment.stop = stop  # type: ignore[method-assign]
-    figures = await player.run(meanwhile)
+    figures = await scenario_run.run(kill_owners)
     audit = deployment.audit
-    told |= judge_billing(deployment.billing)
-    told["served_share"] = figures["served_share"]
-    told["faults"] = player.counts.total() + told.get("kills", 0)
-    told["fault_kinds"] = dict(player.counts)
-    told["units_served"] = sum(asked.units for asked in audit.requests.values() if asked.sent)
-    broken = first_violation(
+    report |= judge_billing(deployment.billing)
+    report["served_share"] = figures["served_share"]
+    report["faults"] = scenario_run.counts.total() + report.get("kills", 0)
+    report["fault_kinds"] = dict(scenario_run.counts)
+    report["units_served"] = sum(request.units for request in audit.requests.values() if request.sent)
+    violation = first_violation(
         sorted(audit.records, key=lambda r: r[0]), Rules(audit.rule_terms(), lambda c: c)
     )
-    told["rule_breaches"] = sum(int(figures[rule]) for rule in RULES) + (broken is not None)
-    told["bad_ends"] = figures["bad_ends"]
-    return told
+    report["rule_breaches"] = sum(int(figures[rule]) for rule in RULES) + (violation is not None)
+    report["bad_ends"] = figures["bad_ends"]
+    return report
 
 
-async def probing(forwarders: int, planners: int, seconds: float) -> float:
-    """Probes a second of the whole fleet with one backend of six dead."""
+async def probe_rate(forwarders: int, planners: int, seconds: float) -> float:
+    """Probes per second of all processes together, with one backend of six dead."""
     deployment = Deployment(
         Shape(
             fronts=forwarders,
@@ -149,28 +151,30 @@
         for connection in list(deployment.backends[0].connections):
             connection.close()
         async with asyncio.timeout(30.0):
-            while not probes_of(deployment):
+            while not probes_sent(deployment):
                 await asyncio.sleep(0.05)
-        before = probes_of(deployment)
+        before = probes_sent(deployment)
         await asyncio.sleep(seconds)
-        made = probes_of(deployment) - before
+        count = probes_sent(deployment) - before
         traffic.cancel()
         await deployment.stop()
     finally:
         deployment.close()
-    return round(made / seconds, 2)
+    return round(count / seconds, 2)
 
 
-def probes_of(deployment: Deployment) -> int:
+def probes_sent(deployment: Deployment) -> int:
+    """Health probes that the planners report to have sent."""
     return sum(m.status.get("probes", {}).get("probes", 0) for m in deployment.planners())
 
 
 async def run(options: argparse.Namespace) -> dict[str, Any]:
+    """Performs the three runs and the probe measurements."""
     calm = await play(min(options.seconds, 30.0), [], options.seed)
-    killed = await play(options.seconds, [], options.seed, KILL_EVERY)
+    killed = await play(options.seconds, [], options.seed, KILL_INTERVAL_S)
     mixed = await play(
         options.seconds,
-        MIX,
+        MIXED_FAULTS,
         options.seed,
         0.0,
         BillingBehaviour(unanswered_share=0.05, late_share=0.05, duplicate_share=0.05, busy_share=0.05),
@@ -178,33 +182,34 @@
     gaps = sorted(killed["gaps_ms"])
     handovers = [gap for gap in gaps if gap > 20]
     writes = sorted(p50 for p50, _ in calm["write_ms"]), sorted(p99 for _, p99 in calm["write_ms"])
-    probes = {str(f + p): await probing(f, p, 8.0) for f, p in ((1, 2), (5, 5), (25, 5))}
-    plays = (calm, killed, mixed)
-    told: dict[str, Any] = {
-        "owners_at_once_most": max(p["owners_at_once_most"] for p in plays),
-        "late_effects_refused": sum(p["late_effects_refused"] + p["refused_effects"] for p in plays),
-        "late_effects_taken": sum(p["late_effects_taken"] for p in plays),
+    probes = {str(f + p): await probe_rate(f, p, 8.0) for f, p in ((1, 2), (5, 5), (25, 5))}
+    runs = (calm, killed, mixed)
+    report: dict[str, Any] = {
+        "owners_at_once_most": max(p["owners_at_once_most"] for p in runs),
+        "late_effects_refused": sum(p["late_effects_refused"] + p["refused_effects"] for p in runs),
+        "late_effects_taken": sum(p["late_effects_taken"] for p in runs),
         "unowned_share": killed["unowned_share"],
         "handover_ms_p50": handovers[len(handovers) // 2] if handovers else 0,
         "handover_ms_p99": handovers[-1] if handovers else 0,
-        "exported_twice": sum(p["exported_twice"] for p in plays),
-        "exported_never": sum(p["unreported"] + p["exported_out_of_order"] for p in plays),
-        "units_served": sum(p["units_served"] for p in plays),
-        "units_exported": sum(p["units_exported"] for p in plays),
+        "exported_twice": sum(p["exported_twice"] for p in runs),
+        "exported_never": sum(p["unreported"] + p["exported_out_of_order"] for p in runs),
+        "units_served": sum(p["units_served"] for p in runs),
+        "units_exported": sum(p["units_exported"] for p in runs),
         "probes_per_s_fleet": probes,
         "write_ms_p50": writes[0][len(writes[0]) // 2] if writes[0] else None,
         "write_ms_p99": writes[1][-1] if writes[1] else None,
-        "rule_breaches": sum(p["rule_breaches"] for p in plays),
+        "rule_breaches": sum(p["rule_breaches"] for p in runs),
         "served_share_vs_calm": round(
             min(p["served_share"] for p in (killed, mixed)) / calm["served_share"], 4
         ),
-        "faults": sum(p["faults"] for p in plays),
+        "faults": sum(p["faults"] for p in runs),
         "plays": {"calm": calm, "killed": killed, "mixed": mixed},
     }
-    return told
+    return report
 
 
 def main() -> None:
+    """Prints the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=75.0)
     parser.add_argument("--seed", type=int, default=1)
