--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -1,7 +1,7 @@
-"""Quotas while the shared counter is in trouble: four gateways as processes, with and without a keeper.
+"""Measures quotas while the shared counter is faulty: four gateways as processes, with and without a keeper.
 
-`python -m benchmarks.counting` runs two deployments side by side with the same customers and the same
-troubles at the same moments, and judges both by what came to their backends alone. The last line is JSON.
+`python -m benchmarks.counting` runs two deployments side by side with the same customers and the same faults
+at the same times, and judges both only by the requests that reached their backends. The last line is JSON.
 """
 
 from __future__ import annotations
@@ -30,61 +30,67 @@
 from embersill.settings import read_settings
 
 GATEWAYS = ["g0", "g1", "g2", "g3"]
-TOUCHES = 4.0  # seconds after a trouble in which refusals are laid to it, and for which it touches an epoch
-LARGEST = 3  # units of one request
-# plans: units a second, at once, ceiling a second and at once
+FAULT_EFFECT_S = 4.0  # after a fault: refusals are attributed to it, and epochs count as affected
+MAX_REQUEST_UNITS = 3
+# by plan: units/s, burst, ceiling in units/s, and the ceiling's burst
 PLANS = {"basis": (0.25, 6.0, 0.0, 0.0), "plus": (0.5, 9.0, 0.0, 0.0), "pro": (1.0, 12.0, 2.0, 24.0)}
-SLACK = float(LARGEST)  # units by which a ceiling may be passed: one of the largest requests, or a tenth
-ASKS = (0.3, 0.3, 0.5, 0.9, 0.9, 1.5, 4.0)  # of a quota, by turns
-NONE = "none"
+CEILING_SLACK_UNITS = float(MAX_REQUEST_UNITS)  # a ceiling may be exceeded by one largest request, or a tenth
+DEMAND_FACTORS = (0.3, 0.3, 0.5, 0.9, 0.9, 1.5, 4.0)  # relative to the quota, for customers in turn
+NO_FAULT = "none"
 
 
-def figures() -> dict[str, Any]:
-    told = settings_object(len(GATEWAYS))
-    for plan in told["packages"]:
+def settings_fields() -> dict[str, Any]:
+    """The settings of the gateways, with the plans above."""
+    fields = settings_object(len(GATEWAYS))
+    for plan in fields["packages"]:
         if plan["name"] == "free":
             plan["name"] = "plus"
         rate, burst, ceiling, depth = PLANS[plan["name"]]
         plan.update(units_per_s=rate, peak_units=burst, hard_rate=ceiling, cap_depth=depth)
-    told["domain"]["max_units"] = LARGEST
-    told["domain"]["post_paid"] = False
-    told["domain"]["count_limit"] = 100.0  # ms: clients, backends and counters share one process here
-    return told
+    fields["domain"]["max_units"] = MAX_REQUEST_UNITS
+    fields["domain"]["post_paid"] = False
+    fields["domain"]["count_limit"] = 100.0  # ms: clients, backends and counters share one process here
+    return fields
 
 
-class Side:
-    """One deployment, its counter, and the judge of what it sends on."""
+class JudgedDeployment:
+    """A deployment, its counter, and the judge of the requests that it forwards."""
 
     def __init__(self, keeper: bool, customers: int, seed: int) -> None:
         self.keeper, self.customers, self.seed = keeper, customers, seed
-        self.troubled: list[tuple[str, float, float]] = []
-        self.judge = Judge(Terms(), self.troubles_in, SLACK)
+        self.faults: list[tuple[str, float, float]] = []
+        self.judge = Judge(Terms(), self.faults_in, CEILING_SLACK_UNITS)
         self.counter: TroubledCounter
         self.deployment: Deployment
 
-    def troubles_in(self, epoch: int) -> list[str]:
+    def faults_in(self, epoch: int) -> list[str]:
+        """Kinds of the faults that affect an epoch."""
         return [
-            what
-            for what, begin, end in self.troubled
-            if begin <= (epoch + 1) * EPOCH and end + TOUCHES >= epoch * EPOCH
+            kind
+            for kind, begin, end in self.faults
+            if begin <= (epoch + 1) * EPOCH and end + FAULT_EFFECT_S >= epoch * EPOCH
         ]
 
-    def trouble_now(self) -> str:
+    def current_fault(self) -> str:
+        """Kind of the latest fault that still has an effect, or `NO_FAULT`."""
         now = time.time()
-        now_on = (what for what, begin, end in reversed(self.troubled) if begin <= now <= end + TOUCHES)
-        return next(now_on, NONE)
+        in_effect = (
+            kind for kind, begin, end in reversed(self.faults) if begin <= now <= end + FAULT_EFFECT_S
+        )
+        return next(in_effect, NO_FAULT)
 
     async def start(self) -> None:
+        """Starts the counter and the deployment, and draws the customers."""
         self.counter = TroubledCounter(GATEWAYS)
         await self.counter.start()
-        told = figures()
+        fields = settings_fields()
         shape = Shape(
             fronts=len(GATEWAYS),
             planners=0,
             backends=4,
             rate=1.0,
             seed=self.seed,
-            settings=told,
+            settings=fields,
             customers=0,
             behaviour=BackendBehaviour(0.005, 0.02),
             operator="[counting]\n" if self.keeper else "",
@@ -92,15 +98,15 @@
         self.deployment = Deployment(shape)
         self.deployment.counter_addresses = self.counter.address
         await self.deployment.start()
-        settings, audit = read_settings(told), self.deployment.audit
+        settings, audit = read_settings(fields), self.deployment.audit
         plans = {p.name: p for p in settings.plans}
         rng, clients, rate = random.Random(self.seed), [], 0.0
         for number in range(self.customers):
             plan, width = plans[list(PLANS)[number % 3]], 2 + number % 3
-            asks = ASKS[number % len(ASKS)] * plan.rate / ((1 + LARGEST) / 2)
-            clients.append(Client(0xC000 + number, plan.name, asks, rng.randrange(4), width))
-            rate += asks
-            case = Case(plan.rate, plan.burst, width, LARGEST, settings.counter_patience)
+            demand = DEMAND_FACTORS[number % len(DEMAND_FACTORS)] * plan.rate / ((1 + MAX_REQUEST_UNITS) / 2)
+            clients.append(Client(0xC000 + number, plan.name, demand, rng.randrange(4), width))
+            rate += demand
+            case = Case(plan.rate, plan.burst, width, MAX_REQUEST_UNITS, settings.counter_patience)
             name = f"{0xc000 + number:016x}"
             self.judge.add(name, Customer(case, plan.ceiling_rate, plan.ceiling_depth), time.time())
         self.deployment.traffic = traffic = Traffic(
@@ -113,38 +119,42 @@
             busiest_share=0.6,
             rotation_period_s=9.0,
         )
-        traffic.max_units = LARGEST
-        audit.on_first_attempt = self.sent
-        traffic.on_answer = self.answered
+        traffic.max_units = MAX_REQUEST_UNITS
+        audit.on_first_attempt = self.on_sent
+        traffic.on_answer = self.on_answer
 
-    def sent(self, asked: ClientRequest, now: float) -> None:
-        self.judge.passed(asked.customer, asked.units, time.time())
-        self.judge.asked(self.trouble_now())
+    def on_sent(self, request: ClientRequest, now: float) -> None:
+        """Passes a request that reached a backend to the judge."""
+        self.judge.passed(request.customer, request.units, time.time())
+        self.judge.asked(self.current_fault())
 
-    def answered(self, asked: ClientRequest, status: int) -> None:
-        if status == 429 and not asked.sent:
-            trouble = self.trouble_now()
-            self.judge.asked(trouble)
-            self.judge.refused(asked.customer, asked.units, time.time(), trouble)
+    def on_answer(self, request: ClientRequest, status: int) -> None:
+        """Passes a refusal by quota to the judge."""
+        if status == 429 and not request.sent:
+            fault = self.current_fault()
+            self.judge.asked(fault)
+            self.judge.refused(request.customer, request.units, time.time(), fault)
 
-    def trouble(self, what: str, seconds: float = 0.0) -> None:
+    def record_fault(self, kind: str, seconds: float = 0.0) -> None:
+        """Records a fault that begins now."""
         now = time.time()
-        self.troubled.append((what, now, now + seconds))
+        self.faults.append((kind, now, now + seconds))
 
-    def told(self) -> dict[str, Any]:
+    def figures(self) -> dict[str, Any]:
+        """Overspending and refusals, overall and by kind of fault."""
         judge = self.judge
         findings = judge.close_all()
         ratios = sorted(f.beyond / f.bound for f in findings)
-        over = [max(f.beyond - judge.customers[f.customer].case.burst, 0.0) for f in findings]
+        overspend = [max(f.beyond - judge.customers[f.customer].case.burst, 0.0) for f in findings]
         by_epoch: dict[str, float] = {}
-        for finding, units in zip(findings, over, strict=True):
-            key = "+".join(sorted(set(self.troubles_in(finding.epoch)))) or NONE
+        for finding, units in zip(findings, overspend, strict=True):
+            key = "+".join(sorted(set(self.faults_in(finding.epoch)))) or NO_FAULT
             by_epoch[key] = round(by_epoch.get(key, 0.0) + units, 1)
         worst = max(findings, key=lambda f: f.beyond / f.bound)
         kinds = sorted(key.partition(" ")[2] for key in judge.counts if key.startswith("asked "))
         return {
-            "overspend_units": round(sum(over), 1),
-            "most_overspend_units": round(max(over), 1),
+            "overspend_units": round(sum(overspend), 1),
+            "most_overspend_units": round(max(overspend), 1),
             "stated_bound_units": round(worst.bound, 1),
             "worst_ratio_to_bound": round(ratios[-1], 3),
             "median_ratio_to_bound": round(ratios[len(ratios) // 2], 3),
@@ -159,92 +169,100 @@
         }
 
 
-async def trouble_both(sides: list[Side], seed: int, seconds: float) -> None:
-    """The same troubles on both sides at the same moments, one kind after the other, for so long."""
-    rng, began = random.Random(seed), time.time()
+async def inject_faults(deployments: list[JudgedDeployment], seed: int, seconds: float) -> None:
+    """Injects the same faults into all deployments at the same times, one kind after the other."""
+    rng, started_at = random.Random(seed), time.time()
 
-    async def spell(
-        what: str, begin: Callable[[Side], None], end: Callable[[Side], None], long: float
+    async def inject(
+        kind: str,
+        begin: Callable[[JudgedDeployment], None],
+        end: Callable[[JudgedDeployment], None],
+        duration_s: float,
     ) -> None:
-        for side in sides:
-            side.trouble(what, long)
-            begin(side)
-        await asyncio.sleep(long)
-        for side in sides:
-            end(side)
+        for judged in deployments:
+            judged.record_fault(kind, duration_s)
+            begin(judged)
+        await asyncio.sleep(duration_s)
+        for judged in deployments:
+            end(judged)
 
-    def flag(name: str, value: Any) -> Callable[[Side], None]:
-        return lambda side: setattr(side.counter, name, value)
+    def set_flag(name: str, value: Any) -> Callable[[JudgedDeployment], None]:
+        return lambda judged: setattr(judged.counter, name, value)
 
-    def go_back(age: float) -> Callable[[Side], None]:
-        return lambda side: side.counter.machine.go_back(age)
+    def restore_snapshot(age_s: float) -> Callable[[JudgedDeployment], None]:
+        return lambda judged: judged.counter.machine.go_back(age_s)
 
-    def nothing(side: Side) -> None:
+    def do_nothing(judged: JudgedDeployment) -> None:
         pass
 
     others = frozenset({"g0", "g1"})
     kinds: list[Callable[[], Any]] = [
-        lambda: spell(
+        lambda: inject(
             "split",
             lambda s: s.counter.machine.split_off(others),
             lambda s: s.counter.machine.meet(False),
             rng.uniform(15.0, 25.0),
         ),
-        lambda: spell("silent", flag("lost", True), flag("lost", False), rng.uniform(4.0, 10.0)),
-        lambda: spell("empty", lambda s: s.counter.machine.forget_all(), nothing, 0.1),
-        lambda: spell("slow", flag("slow", 0.12), flag("slow", 0.0), rng.uniform(4.0, 8.0)),
-        lambda: spell("stale", go_back(rng.choice((5.0, 15.0, 30.0))), nothing, 0.1),
-        lambda: spell(
+        lambda: inject("silent", set_flag("lost", True), set_flag("lost", False), rng.uniform(4.0, 10.0)),
+        lambda: inject("empty", lambda s: s.counter.machine.forget_all(), do_nothing, 0.1),
+        lambda: inject("slow", set_flag("slow", 0.12), set_flag("slow", 0.0), rng.uniform(4.0, 8.0)),
+        lambda: inject("stale", restore_snapshot(rng.choice((5.0, 15.0, 30.0))), do_nothing, 0.1),
+        lambda: inject(
             "cut",
             lambda s: s.counter.cut.add("g2"),
             lambda s: s.counter.cut.discard("g2"),
             rng.uniform(5.0, 10.0),
         ),
-        lambda: spell("deaf", flag("deaf", True), flag("deaf", False), rng.uniform(2.0, 4.0)),
-        lambda: spell("silent", flag("refused", True), flag("refused", False), rng.uniform(4.0, 8.0)),
+        lambda: inject("deaf", set_flag("deaf", True), set_flag("deaf", False), rng.uniform(2.0, 4.0)),
+        lambda: inject(
+            "silent", set_flag("refused", True), set_flag("refused", False), rng.uniform(4.0, 8.0)
+        ),
     ]
     turn = 0
     await asyncio.sleep(8.0)
-    while time.time() - began < seconds - 30.0:
+    while time.time() - started_at < seconds - 30.0:
         await kinds[turn % len(kinds)]()
         turn += 1
         await asyncio.sleep(rng.uniform(9.0, 13.0))
     if seconds >= 60.0:
-        for side in sides:
-            side.trouble("killed", 1.0)
-        await asyncio.gather(*(s.deployment.restart_front(s.deployment.fronts[1], 1.0) for s in sides))
+        for judged in deployments:
+            judged.record_fault("killed", 1.0)
+        await asyncio.gather(*(s.deployment.restart_front(s.deployment.fronts[1], 1.0) for s in deployments))
 
 
 async def measure(seconds: float, customers: int, seed: int) -> dict[str, Any]:
-    sides = [Side(True, customers, seed), Side(False, customers, seed)]
+    """Runs both deployments under the same faults and compares them."""
+    deployments = [JudgedDeployment(True, customers, seed), JudgedDeployment(False, customers, seed)]
     try:
-        await asyncio.gather(*(side.start() for side in sides))
+        await asyncio.gather(*(judged.start() for judged in deployments))
         await asyncio.gather(
-            *(side.deployment.traffic.run(seconds) for side in sides), trouble_both(sides, seed, seconds)
+            *(judged.deployment.traffic.run(seconds) for judged in deployments),
+            inject_faults(deployments, seed, seconds),
         )
-        await asyncio.gather(*(side.deployment.traffic.wait_answered(13.0) for side in sides))
-        ends = [await side.deployment.stop() for side in sides]
+        await asyncio.gather(*(judged.deployment.traffic.wait_answered(13.0) for judged in deployments))
+        ends = [await judged.deployment.stop() for judged in deployments]
     finally:
-        for side in sides:
-            side.deployment.close()
-            side.counter.close()
-    kept, before = (side.told() for side in sides)
-    for line in sides[0].deployment.logs():
+        for judged in deployments:
+            judged.deployment.close()
+            judged.counter.close()
+    with_keeper, without_keeper = (judged.figures() for judged in deployments)
+    for line in deployments[0].deployment.logs():
         print(line, file=sys.stderr)
-    books = sides[0].deployment.audit.figures()
+    audit_figures = deployments[0].deployment.audit.figures()
     return {
-        **kept,
+        **with_keeper,
         "seconds": seconds,
         "customers": customers,
-        "troubles": len(sides[0].troubled),
-        "calls_to_before": round(kept["calls"] / max(before["calls"], 1), 2),
-        "lost": books["answers_none"],
+        "troubles": len(deployments[0].faults),
+        "calls_to_before": round(with_keeper["calls"] / max(without_keeper["calls"], 1), 2),
+        "lost": audit_figures["answers_none"],
         "bad_ends": ends,
-        "before": before,
+        "before": without_keeper,
     }
 
 
 def main() -> None:
+    """Prints the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=180.0)
     parser.add_argument("--customers", type=int, default=200)
