--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: `python -m benchmarks.NAME` prints its figures and, last, one line of JSON."""
+"""Benchmarks: `python -m benchmarks.NAME` prints its figures and, last, JSON."""
