--- a/embersill/lab/fuzzing/command.py
+++ b/embersill/lab/fuzzing/command.py
@@ -13,10 +13,10 @@
 from typing import Any
 
 from embersill.lab.fuzzing.corpus import SEEDS
-from embersill.lab.fuzzing.engine import Found, run_guided, run_seeded
+from embersill.lab.fuzzing.engine import Finding, run_guided, run_seeded
 
 
-def seeded(work: tuple[str, int, int, str]) -> tuple[str, int, Found | None]:
+def seeded(work: tuple[str, int, int, str]) -> tuple[str, int, Finding | None]:
     target, seed, inputs, corpus = work
     run, found = run_seeded(target, seed, inputs, Path(corpus) if corpus else None)
     return target, run, found
--- a/embersill/lab/fuzzing/engine.py
+++ b/embersill/lab/fuzzing/engine.py
@@ -1,9 +1,9 @@
-"""Mutated inputs from a seed, the same each time; or, where atheris is installed, inputs led by coverage.
+"""Fuzzing engines: mutated inputs from a seed, or coverage-guided ones where atheris is installed.
 
-The seeded engine is for CI: a count of inputs and one verdict. Atheris (libFuzzer for Python) is for
-finding: it instruments the product's modules and keeps each input that reaches something new. Hypothesis was
-weighed: it makes well-formed inputs from a description, where what reads bytes from outside must be given
-ill-formed ones.
+The seeded engine is for CI: it is deterministic and runs a fixed number of inputs. Atheris (libFuzzer for
+Python) is for finding faults: it instruments the product's modules and keeps inputs that reach new code.
+Hypothesis is not used: it generates well-formed inputs from a description, while code that reads bytes from
+outside must be tested with malformed ones.
 """
 
 from __future__ import annotations
@@ -16,89 +16,92 @@
 
 from embersill.lab.fuzzing.corpus import WORDS, read_corpus
 
-MOST_BYTES = 16 * 1024  # of an input
-MOST_CHANGES = 5
+MAX_INPUT_BYTES = 16 * 1024
+MAX_MUTATIONS = 5
 
 
 @dataclass
-class Found:
-    """An input that a target does not stand, with what it raised."""
+class Finding:
+    """An input on which a target raised an exception, and the exception as text."""
 
     target: str
     data: bytes
     error: str
 
 
-def mutated(chance: random.Random, inputs: list[bytes]) -> bytes:
-    """One of the inputs with a few changes."""
-    data = bytearray(chance.choice(inputs))
-    for _ in range(chance.randint(1, MOST_CHANGES)):
-        at = chance.randrange(len(data) + 1)
-        size = min(int(chance.expovariate(0.1)) + 1, len(data) - at)
-        kind = chance.randrange(8)
+def mutate(rng: random.Random, inputs: list[bytes]) -> bytes:
+    """Returns one of the inputs with a few random changes."""
+    data = bytearray(rng.choice(inputs))
+    for _ in range(rng.randint(1, MAX_MUTATIONS)):
+        position = rng.randrange(len(data) + 1)
+        size = min(int(rng.expovariate(0.1)) + 1, len(data) - position)
+        kind = rng.randrange(8)
         if kind == 0 and size > 0:
-            data[at] ^= 1 << chance.randrange(8)
+            data[position] ^= 1 << rng.randrange(8)
         elif kind == 1 and size > 0:
-            data[at] = chance.randrange(256)
+            data[position] = rng.randrange(256)
         elif kind == 2:
-            del data[at : at + size]
+            del data[position : position + size]
         elif kind == 3:
-            data[at:at] = data[at : at + size]
+            data[position:position] = data[position : position + size]
         elif kind == 4:
-            data[at:at] = chance.choice(WORDS)
+            data[position:position] = rng.choice(WORDS)
         elif kind == 5:
-            word = chance.choice(WORDS)
-            data[at : at + len(word)] = word
+            word = rng.choice(WORDS)
+            data[position : position + len(word)] = word
         elif kind == 6:
-            other = chance.choice(inputs)
-            cut = chance.randrange(len(other) + 1)
-            data[at:] = other[cut:]
+            other = rng.choice(inputs)
+            cut = rng.randrange(len(other) + 1)
+            data[position:] = other[cut:]
         else:
-            del data[at:]
-    return bytes(data[:MOST_BYTES])
+            del data[position:]
+    return bytes(data[:MAX_INPUT_BYTES])
 
 
-def run_one(target: str, data: bytes) -> Found | None:
+def run_input(target: str, data: bytes) -> Finding | None:
+    """Runs one input; returns a finding if the target raises."""
     from embersill.lab.fuzzing.targets import TARGETS
 
     try:
         TARGETS[target](data)
     except Exception as error:
         last = traceback.extract_tb(error.__traceback__)[-1]
-        return Found(
+        return Finding(
             target, data, f"{type(error).__name__}: {error} ({Path(last.filename).name}:{last.lineno})"
         )
     return None
 
 
-def run_seeded(target: str, seed: int, times: int, folder: Path | None = None) -> tuple[int, Found | None]:
-    """The corpus, then so many mutated inputs; how many were run, and the first finding."""
+def run_seeded(
+    target: str, seed: int, mutated_count: int, folder: Path | None = None
+) -> tuple[int, Finding | None]:
+    """Runs the corpus and mutated inputs; returns how many ran, and the first finding."""
     inputs = read_corpus(folder, target)
-    chance = random.Random(f"{seed}/{target}")
-    for number in range(len(inputs) + times):
-        data = inputs[number] if number < len(inputs) else mutated(chance, inputs)
-        found = run_one(target, data)
-        if found is not None:
-            return number + 1, found
-    return len(inputs) + times, None
+    rng = random.Random(f"{seed}/{target}")
+    for number in range(len(inputs) + mutated_count):
+        data = inputs[number] if number < len(inputs) else mutate(rng, inputs)
+        finding = run_input(target, data)
+        if finding is not None:
+            return number + 1, finding
+    return len(inputs) + mutated_count, None
 
 
 def run_guided(target: str, seconds: int, folder: Path) -> None:
-    """Atheris on one target, until the time is up; new inputs go to the folder. Does not return."""
-    import atheris  # an extra of its own: requirements-fuzz.txt
+    """Runs atheris on one target for a time; new inputs are stored in the folder. Does not return."""
+    import atheris  # an optional dependency: requirements-fuzz.txt
 
     with atheris.instrument_imports(include=["embersill"]):
         from embersill.lab.fuzzing.targets import TARGETS
-    kept = folder / target
-    kept.mkdir(parents=True, exist_ok=True)
+    target_folder = folder / target
+    target_folder.mkdir(parents=True, exist_ok=True)
     for number, data in enumerate(read_corpus(None, target)):
-        (kept / f"seed-{number}").write_bytes(data)
+        (target_folder / f"seed-{number}").write_bytes(data)
     atheris.Setup(
         [
             sys.argv[0],
-            str(kept),
+            str(target_folder),
             f"-max_total_time={seconds}",
-            f"-max_len={MOST_BYTES}",
+            f"-max_len={MAX_INPUT_BYTES}",
             f"-artifact_prefix={folder}/{target}-",
             "-print_final_stats=1",
         ],
--- a/tests/fuzzing/test_fuzzing.py
+++ b/tests/fuzzing/test_fuzzing.py
@@ -10,7 +10,7 @@
 import pytest
 
 from embersill.lab.fuzzing.corpus import SEEDS, read_corpus
-from embersill.lab.fuzzing.engine import run_one, run_seeded
+from embersill.lab.fuzzing.engine import run_input, run_seeded
 from embersill.lab.fuzzing.targets import TARGETS
 from embersill.net.calls import CallReader
 from embersill.net.discovery import BadList, read_listing
@@ -50,7 +50,7 @@
         return head(self, *args) + b"Transfer-Encoding: chunked\r\n"
 
     monkeypatch.setattr(CallReader, "head", passes)
-    found = run_one("heads", read_corpus(None, "heads")[1])
+    found = run_input("heads", read_corpus(None, "heads")[1])
     assert found is not None and "transfer encoding" in found.error
 
 
