--- a/embersill/lab/fuzzing/__init__.py
+++ b/embersill/lab/fuzzing/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes from outside, mutated: whatever comes gets a defined answer, and nothing falls over."""
+"""Fuzzing: mutated bytes from outside must get a defined answer, and must not crash anything."""
