--- a/embersill/lab/fuzzing/corpus.py
+++ b/embersill/lab/fuzzing/corpus.py
@@ -1,7 +1,7 @@
-"""What fuzzing starts from: a few good inputs of each kind, and the words that matter in them.
+"""Seed inputs of the fuzz targets, and the dictionary of tokens for mutations.
 
-More inputs, one a file, may stand in a folder named by the target: those that reached something new, and
-those that once were findings.
+Further inputs, one in a file, may be in a folder named after the target: those that reached new code, and
+those that were findings.
 """
 
 from __future__ import annotations
@@ -73,24 +73,26 @@
     b'role = "planner"\n[tiers]\nforwarders = ["f1", "f2"]\nsecret_file = "s"\nparts = 8\n'
     b'[tiers.planners]\np1 = "127.0.0.1:7101"\n[tiers.terms]\nlease = 0.9\n'
 )
-SAID = [
+FORWARDER_MESSAGES = [
     [Echo(1), Spent([("c", "pro", [(0.5, 2.0)])]), Lend([0], 5.0, 0.0)],
     [Ask(1, "extract", "pro", "c", 3.0, 2.0, False), Ended(1, 0, "b0", "served", 0.1, True, 2.0)],
     [Open(2, "report", "pro", "c", 3.0, 2.0, False, 0.4, [("b0", 0.2, None), ("b1", 0.3, "broken")])],
     [Left(1), Recall([0], 7), Bequeath()],
 ]
-HEARD = [
+PLANNER_MESSAGES = [
     [Beat(1, True, 2), Grant(1, 0, "b0", 1.0), Grant(2, 0, "b1", 1.0)],
     [Refused(2, 0.5), Cancelled(1, 0), Withdrawn(["b0"]), Taken("c", "pro", 1.0)],
     [Returned(1), Failed(1), Leaving()],
 ]
 
 
-def batches(said: list[list[object]]) -> bytes:
-    return b"".join(pack(Batch(n, 1, 2, messages)) for n, messages in enumerate(said, 1))  # type: ignore[arg-type]
+def encode_batches(batches: list[list[object]]) -> bytes:
+    """Returns the frames of batches with these messages."""
+    return b"".join(pack(Batch(n, 1, 2, messages)) for n, messages in enumerate(batches, 1))  # type: ignore[arg-type]
 
 
-def handshakes() -> list[bytes]:
+def handshake_frames() -> list[bytes]:
+    """Returns the frames of a valid handshake between a planner and a forwarder."""
     secret = Secret(b"another secret!!", "d")
     planner, forwarder = (
         PlannerSide(secret, "p0", "1", b"n" * 32),
@@ -102,8 +104,9 @@
     return [challenge, proof, challenge + planner.welcome(planner.check(proof[4:], frozenset({"f0"})))]
 
 
-def questions() -> list[bytes]:
-    # written by hand: domain 1, descriptor 2 {entry 1 {key 1, value 2}, limit 2, hits 3}, hits_addend 3
+def rate_limit_requests() -> list[bytes]:
+    """Returns encoded requests of the rate limit service."""
+    # hand-encoded: domain 1, descriptor 2 {entry 1 {key 1, value 2}, limit 2, hits 3}, hits_addend 3
     entry = b"\n\x0b\n\x03api\x12\x04look\n\r\n\x07account\x12\x02c1"
     return [b"\n\x06lookup\x12" + bytes([len(entry)]) + entry + b"\x18\x02", b"\n\x06lookup"]
 
@@ -125,15 +128,15 @@
     ],
     "listing": [LIST],
     "discovery": [b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(LIST), LIST)],
-    "frames-to-planner": [batches(SAID), batches(SAID[:1])],  # type: ignore[arg-type]
-    "frames-to-forwarder": [batches(HEARD), batches(HEARD[:1])],  # type: ignore[arg-type]
-    "handshake": handshakes(),
+    "frames-to-planner": [encode_batches(FORWARDER_MESSAGES), encode_batches(FORWARDER_MESSAGES[:1])],  # type: ignore[arg-type]
+    "frames-to-forwarder": [encode_batches(PLANNER_MESSAGES), encode_batches(PLANNER_MESSAGES[:1])],  # type: ignore[arg-type]
+    "handshake": handshake_frames(),
     "operator-file": [OPERATOR],
     "platform-file": [PLATFORM],
     "kept-schedule": [b'{"schedule":{"seed":1,"steps":[{"what":"kill","at":1.0,"who":"p0"}]}}'],
-    "question": questions(),
+    "question": rate_limit_requests(),
 }
-WORDS = (
+TOKENS = (
     b"0",
     b"-1",
     b"1e309",
@@ -168,7 +171,7 @@
 
 
 def read_corpus(folder: Path | None, target: str) -> list[bytes]:
-    """A target's inputs: those above, and the files of its folder in the order of their names."""
+    """Returns a target's inputs: its seeds, then the files of its folder in the order of their names."""
     inputs = list(SEEDS[target])
     if folder is not None and (folder / target).is_dir():
         inputs += [path.read_bytes() for path in sorted((folder / target).iterdir())]
--- a/embersill/lab/fuzzing/engine.py
+++ b/embersill/lab/fuzzing/engine.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from embersill.lab.fuzzing.corpus import WORDS, read_corpus
+from embersill.lab.fuzzing.corpus import TOKENS, read_corpus
 
 MAX_INPUT_BYTES = 16 * 1024
 MAX_MUTATIONS = 5
@@ -45,10 +45,10 @@
         elif kind == 3:
             data[position:position] = data[position : position + size]
         elif kind == 4:
-            data[position:position] = rng.choice(WORDS)
+            data[position:position] = rng.choice(TOKENS)
         elif kind == 5:
-            word = rng.choice(WORDS)
-            data[position : position + len(word)] = word
+            token = rng.choice(TOKENS)
+            data[position : position + len(token)] = token
         elif kind == 6:
             other = rng.choice(inputs)
             cut = rng.randrange(len(other) + 1)
