--- a/embersill/council/seat.py
+++ b/embersill/council/core.py
@@ -15,12 +15,12 @@
 from embersill.council.member import Member
 from embersill.council.messages import (
     Answer,
-    Request,
     Confirmed,
     Entry,
     Offer,
-    Suspect,
     OfficeReply,
+    Request,
+    Suspect,
     Verdicts,
 )
 from embersill.council.offices import KEY_PREFIX, NotHeld, OfficeLease
--- a/embersill/council/desk.py
+++ b/embersill/council/group_commit.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
+from embersill.council.core import CouncilCore
 from embersill.council.journal import Journal
 from embersill.council.messages import Answer, Request
-from embersill.council.seat import CouncilCore
 
 MAX_WAITING_ANSWERS = 4096  # for the disk; beyond it requests are dropped, and their senders retry
 
--- a/embersill/council/chair.py
+++ b/embersill/council/service.py
@@ -16,14 +16,14 @@
 
 import aiohttp
 
-from embersill.council.desk import Batch, GroupCommit
+from embersill.council.core import CouncilCore
 from embersill.council.export import BillingAnswer, BillingCall, meta_from
+from embersill.council.group_commit import Batch, GroupCommit
 from embersill.council.journal import Damaged, Folder, Journal
 from embersill.council.links import MemberConnection, MemberServer, council_digest
 from embersill.council.messages import Answer, Question, Reply
 from embersill.council.probes import PROBE_TIMEOUT_S
 from embersill.council.register import Register
-from embersill.council.seat import CouncilCore
 from embersill.council.settings import Council
 from embersill.council.usage import Tally, UsageJournal
 from embersill.interface import Outcome
--- a/embersill/lab/council/fences.py
+++ b/embersill/lab/council/fences.py
@@ -5,8 +5,9 @@
 from embersill.world.fences import Fence
 
 REGISTER, MEMBER, OFFICES = (f"embersill.council.{name}" for name in ("register", "member", "offices"))
-FENCES_OF, JOURNAL, DESK = (f"embersill.council.{name}" for name in ("fences", "journal", "desk"))
-EXPORT, USAGE, TERMS, SEAT = (f"embersill.council.{name}" for name in ("export", "usage", "terms", "seat"))
+FENCES_OF, JOURNAL = (f"embersill.council.{name}" for name in ("fences", "journal"))
+GROUP_COMMIT, CORE = (f"embersill.council.{name}" for name in ("group_commit", "core"))
+EXPORT, USAGE, TERMS = (f"embersill.council.{name}" for name in ("export", "usage", "terms"))
 
 FENCES = (
     # the register
@@ -105,7 +106,7 @@
                 "            False and known.boot > mine.boot\n",
             ),
             (MEMBER, "            or mark > self.register.mark", ""),
-            (DESK, "self.compact = not core.register.memory_complete", "self.compact = True"),
+            (GROUP_COMMIT, "self.compact = not core.register.memory_complete", "self.compact = True"),
             (
                 REGISTER,
                 "if known is not None and (\n            origin.life.boot < known.boot",
@@ -174,7 +175,7 @@
     # the disk
     Fence(
         "written-first",
-        DESK,
+        GROUP_COMMIT,
         "an answer goes out before what it says is on disk",
         "            self.waiting.append((self.core.handle(request, now), send))",
         "            send(self.core.handle(request, now))",
--- a/embersill/lab/council/world.py
+++ b/embersill/lab/council/world.py
@@ -18,18 +18,17 @@
 from collections.abc import Callable
 from typing import Any
 
-
 import msgspec
 
-from embersill.council.desk import Batch, GroupCommit
+from embersill.council.core import CouncilCore
 from embersill.council.export import BillingAnswer, BillingCall, meta_from
+from embersill.council.group_commit import Batch, GroupCommit
 from embersill.council.journal import Damaged, Journal
 from embersill.council.member import How, Result
-from embersill.council.messages import Act, Answer, Request, Entry, OfficeReply, Verdicts
+from embersill.council.messages import Act, Answer, Entry, OfficeReply, Request, Verdicts
 from embersill.council.offices import KEY_PREFIX, NotHeld, OfficeLease, read_office
 from embersill.council.probes import ProbeSettings
 from embersill.council.register import Register
-from embersill.council.seat import CouncilCore
 from embersill.council.terms import CouncilTerms, majority
 from embersill.council.usage import Tally, UsageJournal
 from embersill.lab.council.model import Books, Effect, Receiver, WorldFiles
--- a/embersill/operated.py
+++ b/embersill/operated.py
@@ -153,14 +153,14 @@
         self.core.gateway = self.limits.decider_for(self.core.gateway, self.clock)
         if operator.council is not None:
             # imports libraries that other planners don't need
-            from embersill.council.chair import CouncilService
+            from embersill.council.service import CouncilService
 
-            self.chair = chair = CouncilService(
+            self.chair = service = CouncilService(
                 operator.council, config.name, operator.tiers.secret, self.clock
             )
-            chair.backend_addresses, chair.leave_out = lambda: self.places, self.leave_out
-            self.core.on_use, self.core.on_outcome = chair.on_use, chair.on_outcome
-            self.server.before_said = chair.note_usage
+            service.backend_addresses, service.leave_out = lambda: self.places, self.leave_out
+            self.core.on_use, self.core.on_outcome = service.on_use, service.on_outcome
+            self.server.before_said = service.note_usage
 
     def leave_out(self, backend: str, out: bool) -> None:
         """Takes a backend out of use, or puts it back."""
--- a/embersill/rig/clerks.py
+++ b/embersill/rig/clerks.py
@@ -19,9 +19,9 @@
 import msgspec
 import uvloop
 
-from embersill.council.chair import CouncilService
 from embersill.council.member import How, Result
 from embersill.council.messages import Entry
+from embersill.council.service import CouncilService
 from embersill.council.settings import Council
 from embersill.council.terms import CouncilTerms
 from embersill.rig.processes import Member, free_ports
