--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -21,7 +21,7 @@
 from embersill.counting.terms import Terms
 from embersill.lab.counting.judge import EPOCH_S, Customer, QuotaOracle
 from embersill.lab.counting.standin import FaultyCounter
-from embersill.rig.books import ClientRequest
+from embersill.rig.audit import ClientRequest
 from embersill.rig.deployment import Deployment, Shape
 from embersill.rig.settings import settings_object
 from embersill.rig.standins import BackendBehaviour
--- a/benchmarks/lapse.py
+++ b/benchmarks/lapse.py
@@ -22,7 +22,7 @@
 
 from embersill.lab.edge.lapsing import FAULTS, SLOWDOWN_METHODS, compare_runs, simulate
 from embersill.lab.edge.town import quantile
-from embersill.rig.hall import RequestResult, GatewayCluster
+from embersill.rig.gateway_cluster import GatewayCluster, RequestResult
 
 CLUSTER_TENANTS = {"lapsed": (60.0, 60.0), "dispatch": (60.0, 60.0)}  # requests/s, burst
 CLUSTER_REQUESTS_PER_S = {"lapsed": 90.0, "dispatch": 40.0}
--- a/benchmarks/linked.py
+++ b/benchmarks/linked.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from benchmarks.linked_gateways import Report
-from embersill.rig.hall import CORE_GATEWAYS, GatewayCluster
+from embersill.rig.gateway_cluster import CORE_GATEWAYS, GatewayCluster
 from embersill.rig.processes import processor_time, resident_kb
 
 SIZES = (30, 100, 300, 1000)
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -27,7 +27,7 @@
     wait_exported,
     wait_owner,
 )
-from embersill.rig.playing import COUNCIL_TABLES, RULES, ScenarioRun, shape_of
+from embersill.rig.scenario_run import COUNCIL_TABLES, RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, Scenario, ShapeTable
 from embersill.rig.standins import BackendBehaviour
 from embersill.world.oracles import Rules, first_violation
--- a/benchmarks/two_builds.py
+++ b/benchmarks/two_builds.py
@@ -32,10 +32,10 @@
 import uvloop
 
 from embersill.rig.deployment import Deployment, Shape
-from embersill.rig.hall import CORE_GATEWAYS, Backend, GatewayCluster
+from embersill.rig.gateway_cluster import CORE_GATEWAYS, Backend, GatewayCluster
 from embersill.rig.ownership import judge_billing, wait_exported, wait_owner, wait_writer
-from embersill.rig.playing import COUNCIL_TABLES, RULES
 from embersill.rig.processes import Member
+from embersill.rig.scenario_run import COUNCIL_TABLES, RULES
 from embersill.rig.standins import BackendBehaviour
 
 GATEWAYS = 5
--- a/embersill/lab/__main__.py
+++ b/embersill/lab/__main__.py
@@ -16,8 +16,8 @@
 
 from embersill.lab import commands, faults
 from embersill.lab.edge import control_command, days, plots, sites, soak_command, totals, trying
-from embersill.rig.deployment import Deployment, Shape, run_with_faults
 from embersill.lab.fuzzing import command as fuzzing
+from embersill.rig.deployment import Deployment, Shape, run_with_faults
 
 REFRESH_INTERVAL_S = 0.5  # of the displayed figures
 RULES = (
@@ -34,8 +34,8 @@
 
 def status_table(deployment: Deployment, began: float, before: dict[str, float]) -> Table:
     """A table of the processes, the clients' results so far, and violated rules."""
-    books = deployment.audit
-    figures, elapsed_s = books.figures(), time.monotonic() - began
+    audit = deployment.audit
+    figures, elapsed_s = audit.figures(), time.monotonic() - began
     table = Table(title=f"embersill lab, {elapsed_s:.0f} s", title_justify="left")
     for column in ("process", "role", "state", "cpu s"):
         table.add_column(column, justify="right" if column == "cpu s" else "left")
--- a/embersill/lab/edge/soak_command.py
+++ b/embersill/lab/edge/soak_command.py
@@ -15,10 +15,10 @@
 
 from embersill.rig.soak.fences import FENCES, cut_copy
 from embersill.rig.soak.judge import Finding, Rule, judge
-from embersill.rig.soak.play import SoakRun
 from embersill.rig.soak.record import Record
 from embersill.rig.soak.schedule import Schedule, generate
 from embersill.rig.soak.shrink import shrink
+from embersill.rig.soak.soak_run import SoakRun
 
 MAX_PRINTED_FINDINGS = 8  # per run
 
--- a/embersill/lab/faults.py
+++ b/embersill/lab/faults.py
@@ -18,17 +18,17 @@
 from rich.table import Table
 
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import RULES, ScenarioRun, office_holders, scenario_text, shape_of
+from embersill.rig.scenario_run import RULES, ScenarioRun, office_holders, scenario_text, shape_of
 from embersill.rig.scenarios import InvalidScenario, Scenario, read_scenario
 
 REFRESH_INTERVAL_S = 0.25  # of the displayed state
 
 
-def status_table(play: ScenarioRun, began: float) -> Table:
+def status_table(scenario_run: ScenarioRun, began: float) -> Table:
     """A table of the processes, office_holders offices, active faults, and violated rules."""
-    deployment = play.deployment
+    deployment = scenario_run.deployment
     figures = deployment.audit.figures()
-    title = f"{play.scenario.name or 'scenario'}, {time.monotonic() - began:.0f} s"
+    title = f"{scenario_run.scenario.name or 'scenario'}, {time.monotonic() - began:.0f} s"
     table = Table(title=title, title_justify="left")
     for column in ("process", "role", "state"):
         table.add_column(column)
@@ -39,7 +39,7 @@
         table.add_row(member.name, member.role, state)
     for office, holder in sorted(office_holders(deployment).items()):
         table.add_row(office, "office", holder)
-    for fault in play.active_faults:
+    for fault in scenario_run.active_faults:
         table.add_row("", "fault", fault.describe())
     violations = {rule: int(figures[rule]) for rule in RULES if figures[rule]}
     asked, served, refused, failed = (int(figures[k]) for k in ("tries", "served", "refused", "failed"))
@@ -53,19 +53,19 @@
 
 async def run(scenario: Scenario) -> tuple[ScenarioRun, dict[str, Any]]:
     """Runs a scenario and displays its state; returns the run and its final figures."""
-    play = ScenarioRun(scenario, Deployment(shape_of(scenario)))
-    run_task = asyncio.create_task(play.run())
+    scenario_run = ScenarioRun(scenario, Deployment(shape_of(scenario)))
+    run_task = asyncio.create_task(scenario_run.run())
     began, console = time.monotonic(), Console(stderr=True)
     with Live(console=console, auto_refresh=False, transient=False) as live:
         while not run_task.done():
             await asyncio.wait([run_task], timeout=REFRESH_INTERVAL_S)
             if console.is_terminal:
-                live.update(status_table(play, began), refresh=True)
+                live.update(status_table(scenario_run, began), refresh=True)
     if not console.is_terminal:
-        console.print(status_table(play, began))
-    for line in play.deployment.logs():
+        console.print(status_table(scenario_run, began))
+    for line in scenario_run.deployment.logs():
         print(line, file=sys.stderr)
-    return play, await run_task
+    return scenario_run, await run_task
 
 
 def command(options: argparse.Namespace) -> int:
@@ -74,7 +74,7 @@
         scenario = read_scenario(Path(options.file).read_text(encoding="utf-8"))
         if options.seed is not None:
             scenario = msgspec.structs.replace(scenario, seed=options.seed)
-        play, result = uvloop.run(run(scenario))
+        scenario_run, result = uvloop.run(run(scenario))
     except (OSError, UnicodeDecodeError, InvalidScenario) as error:
         print(f"{options.file}: {error}", file=sys.stderr)
         return 2
@@ -82,7 +82,7 @@
     if failed or options.keep:
         saved_path = Path(options.keep or f"found/{Path(options.file).stem}-{scenario.seed}.toml")
         saved_path.parent.mkdir(parents=True, exist_ok=True)
-        saved_path.write_text(scenario_text(scenario, play.faults))
+        saved_path.write_text(scenario_text(scenario, scenario_run.faults))
         result["kept"] = str(saved_path)
     print(json.dumps(result))
     return 1 if failed else 0
--- a/embersill/rig/books.py
+++ b/embersill/rig/audit.py
@@ -14,12 +14,12 @@
 from embersill.rig.standins import Arrival
 from embersill.world.oracles import Ceiling, ClassTerms, RuleTerms
 from embersill.world.records import (
-    RequestAnswered,
-    RequestReceived,
-    RequestDropped,
     AttemptFinished,
-    Record,
     BackendNotified,
+    Record,
+    RequestAnswered,
+    RequestDropped,
+    RequestReceived,
     Written,
 )
 
--- a/embersill/rig/causes.py
+++ b/embersill/rig/causes.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from embersill.interface import Plan
-from embersill.rig.books import ClientRequest, TokenBucket, TrafficAudit
+from embersill.rig.audit import ClientRequest, TokenBucket, TrafficAudit
 from embersill.rig.deployment import Deployment
 from embersill.rig.processes import Member
 
--- a/embersill/rig/deployment.py
+++ b/embersill/rig/deployment.py
@@ -17,8 +17,8 @@
 from typing import Any
 
 from embersill.interface import Settings
+from embersill.rig.audit import TrafficAudit
 from embersill.rig.billing import StandInBilling
-from embersill.rig.books import TrafficAudit
 from embersill.rig.processes import Member, free_ports
 from embersill.rig.relay import Relay
 from embersill.rig.scenarios import Topology
--- a/embersill/rig/clerks.py
+++ b/embersill/rig/register_workers.py
@@ -1,8 +1,8 @@
 """Council members as processes that only read and write the replicated register and print what they read.
 
-`python -m embersill.rig.clerks FILE` runs one of them. It prints a line when an operation begins and one when
-it ends, with the machine's monotonic clock, which all processes share. Their lines together are a history to
-check for linearizability; a process that is killed leaves an operation of unknown effect.
+`python -m embersill.rig.register_workers FILE` runs one of them. It prints a line when an operation begins
+and one when it ends, with the machine's monotonic clock, which all processes share. Their lines together are
+a history to check for linearizability; a process that is killed leaves an operation of unknown effect.
 """
 
 from __future__ import annotations
@@ -139,7 +139,9 @@
             }
             path = Path(self.folder.name) / f"{name}.json"
             path.write_text(json.dumps(config))
-            member = Member(name, "clerk", [sys.executable, "-m", "embersill.rig.clerks", str(path)], {})
+            member = Member(
+                name, "clerk", [sys.executable, "-m", "embersill.rig.register_workers", str(path)], {}
+            )
             member.environ = {"PYTHONPATH": str(Path(__file__).parents[2]), "PATH": "/usr/bin:/bin"}
             member.on_status = lambda member: self.lines.append(member.status)
             self.members[name] = member
--- a/embersill/rig/soak/backends.py
+++ b/embersill/rig/soak/backends.py
@@ -6,7 +6,7 @@
 import contextlib
 from collections.abc import Callable
 
-from embersill.rig.hall import BACKEND_SLOTS, Backend, GatewayCluster
+from embersill.rig.gateway_cluster import BACKEND_SLOTS, Backend, GatewayCluster
 from embersill.rig.soak.record import Drain, Run, RunEnd
 from embersill.rig.soak.schedule import BackendKind
 
--- a/embersill/rig/soak/clients.py
+++ b/embersill/rig/soak/clients.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from embersill.rig.hall import GatewayCluster
+from embersill.rig.gateway_cluster import GatewayCluster
 from embersill.rig.soak.record import Answer, ClientRequest
 from embersill.rig.soak.schedule import BODY_BYTES, Action, Disconnect, Phase, Route
 
--- a/embersill/rig/soak/lives.py
+++ b/embersill/rig/soak/lives.py
@@ -10,7 +10,7 @@
 import socket
 from collections.abc import Callable
 
-from embersill.rig.hall import GatewayCluster
+from embersill.rig.gateway_cluster import GatewayCluster
 from embersill.rig.soak.record import Exit
 
 START_AGAIN = 0.2  # seconds from a process's end to its next start
@@ -24,10 +24,10 @@
     """One gateway: whatever ends its process, it is started again."""
 
     def __init__(
-        self, hall: GatewayCluster, number: int, exits: list[Exit], clock: Callable[[], float]
+        self, gateway_cluster: GatewayCluster, number: int, exits: list[Exit], clock: Callable[[], float]
     ) -> None:
-        self.hall, self.number, self.exits, self.clock = hall, number, exits, clock
-        self.member = hall.gateways[number]
+        self.gateway_cluster, self.number, self.exits, self.clock = gateway_cluster, number, exits, clock
+        self.member = gateway_cluster.gateways[number]
         self.started_at = -STARTING
         self.told_to_end = self.wipes = self.overdue = self.closing = False
         self.watching = asyncio.create_task(self.watch())
@@ -41,7 +41,7 @@
             wanted = self.told_to_end and code in self.codes_of_an_end()
             self.exits.append(Exit(self.number, self.clock(), code, wanted, self.overdue))
             if self.wipes:
-                shutil.rmtree(self.hall.folder / f"g{self.number}", ignore_errors=True)
+                shutil.rmtree(self.gateway_cluster.folder / f"g{self.number}", ignore_errors=True)
             self.told_to_end = self.wipes = self.overdue = False
             await asyncio.sleep(START_AGAIN)
             self.started_at = self.clock()
@@ -80,7 +80,7 @@
     async def hold_port(self, seconds: float) -> None:
         """Ends the process, and listens at its port for so long: it can't start again until that is over."""
         self.kill()  # a start meanwhile waits for the address
-        address = self.hall.ip(self.number), self.hall.ports[0]
+        address = self.gateway_cluster.ip(self.number), self.gateway_cluster.ports[0]
         with socket.socket() as held:
             held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             while not bound(held, address):
@@ -114,7 +114,7 @@
         """Waits until a life after this one is ready."""
         end = self.clock() + READY_WITHIN
         while self.clock() < end:
-            if self.member.start_count > life and await self.hall.is_ready(self.number):
+            if self.member.start_count > life and await self.gateway_cluster.is_ready(self.number):
                 return
             await asyncio.sleep(LOOK_EVERY)
 
--- a/embersill/rig/soak/operator.py
+++ b/embersill/rig/soak/operator.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from embersill.rig.hall import GatewayCluster
+from embersill.rig.gateway_cluster import GatewayCluster
 from embersill.rig.soak.record import Change
 
 MAX_SENDS = 12  # of one change
--- a/embersill/rig/soak/play.py
+++ b/embersill/rig/soak/soak_run.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from embersill.rig.hall import ZONES, GatewayCluster
+from embersill.rig.gateway_cluster import ZONES, GatewayCluster
 from embersill.rig.soak.backends import SoakBackend
 from embersill.rig.soak.clients import Clients
 from embersill.rig.soak.judge import GAUGES, GRACE_PERIOD_S
--- a/embersill/rig/traffic.py
+++ b/embersill/rig/traffic.py
@@ -11,7 +11,7 @@
 import httptools
 
 from embersill.interface import Repeats, Settings
-from embersill.rig.books import ClientRequest, TrafficAudit
+from embersill.rig.audit import ClientRequest, TrafficAudit
 from embersill.rig.standins import HOST
 
 ANSWER_GRACE_S = 0.25  # after a request's deadline, for its answer to arrive
--- a/tests/council/test_processes.py
+++ b/tests/council/test_processes.py
@@ -19,8 +19,8 @@
     wait_owner,
     wait_writer,
 )
-from embersill.rig.playing import COUNCIL_TABLES, RULES
 from embersill.rig.relay import Direction, LinkFault, LinkFaultKind
+from embersill.rig.scenario_run import COUNCIL_TABLES, RULES
 from embersill.rig.standins import BackendBehaviour
 
 RELAYED = ("@planner>@planner", "@planner>billing", "@forwarder>@planner")
--- a/tests/council/test_register_processes.py
+++ b/tests/council/test_register_processes.py
@@ -7,7 +7,7 @@
 
 import uvloop
 
-from embersill.rig.clerks import RegisterCluster
+from embersill.rig.register_workers import RegisterCluster
 from embersill.rig.relay import Direction, LinkFault, LinkFaultKind
 from embersill.world.histories import is_linearizable
 
--- a/tests/rig/test_causes.py
+++ b/tests/rig/test_causes.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from embersill.rig.books import ClientRequest, TrafficAudit
+from embersill.rig.audit import ClientRequest, TrafficAudit
 from embersill.rig.causes import UNREPORTED, RefusalCauses, global_grants
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import ScenarioRun, shape_of
+from embersill.rig.scenario_run import ScenarioRun, shape_of
 from embersill.rig.scenarios import FaultTable, Scenario, ShapeTable
 from embersill.rig.settings import lab_settings
 from embersill.throttle import Throttle
--- a/tests/rig/test_hall.py
+++ b/tests/rig/test_hall.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from embersill.rig.hall import GatewayCluster
+from embersill.rig.gateway_cluster import GatewayCluster
 
 
 async def run_cluster(folder: Path) -> None:
--- a/tests/rig/test_playing.py
+++ b/tests/rig/test_playing.py
@@ -7,7 +7,7 @@
 import uvloop
 
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import ScenarioRun, shape_of
+from embersill.rig.scenario_run import ScenarioRun, shape_of
 from embersill.rig.scenarios import Scenario, read_scenario
 from embersill.world.records import Fault
 
--- a/tests/rig/test_scenarios.py
+++ b/tests/rig/test_scenarios.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from embersill.rig.playing import scenario_text, shape_of
+from embersill.rig.scenario_run import scenario_text, shape_of
 from embersill.rig.scenarios import (
     FaultTable,
     InvalidScenario,
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -140,10 +140,10 @@
 def test_a_process_gets_sighup_once_its_program_takes_it_or_in_the_end(program: str, code: int) -> None:
     async def test() -> None:
         member = Member("g0", "gateway", [sys.executable, "-c", program], dict(os.environ))
-        hall: Any = SimpleNamespace(gateways=[member])
+        gateway_cluster: Any = SimpleNamespace(gateways=[member])
         await member.start()
         exits = list[Exit]()
-        life = Life(hall, 0, exits, asyncio.get_running_loop().time)
+        life = Life(gateway_cluster, 0, exits, asyncio.get_running_loop().time)
         await life.hang_up()
         while not exits:
             await asyncio.sleep(0.01)
--- a/tests/tiers/test_links.py
+++ b/tests/tiers/test_links.py
@@ -8,8 +8,8 @@
 import pytest
 
 from embersill.rig.deployment import Deployment, Shape, run_with_faults
-from embersill.rig.playing import RULES
 from embersill.rig.processes import free_ports
+from embersill.rig.scenario_run import RULES
 from embersill.rig.settings import lab_settings
 from embersill.rig.standins import HOST, BackendBehaviour
 from embersill.tiers.forwarder import Forwarder
--- a/tests/tiers/test_partition.py
+++ b/tests/tiers/test_partition.py
@@ -10,7 +10,7 @@
 
 from embersill.rig.causes import RefusalCauses
 from embersill.rig.deployment import Deployment
-from embersill.rig.playing import RULES, ScenarioRun, shape_of
+from embersill.rig.scenario_run import RULES, ScenarioRun, shape_of
 from embersill.rig.scenarios import DrawnTable, FaultTable, Scenario, ShapeTable
 from embersill.rig.standins import BackendBehaviour
 from tests.bed import run
