--- a/benchmarks/counts.py
+++ b/benchmarks/counts.py
@@ -21,8 +21,8 @@
 from types import FrameType
 from typing import Any
 
-from embersill.lab import still
-from embersill.lab.still import Harness, backend_response
+from embersill.lab import counting_harness
+from embersill.lab.counting_harness import Harness, backend_response
 
 CEILINGS = Path(__file__).with_name("ceilings.json")
 WARMUP_REQUESTS, MEASURED_REQUESTS = 500, 1000
@@ -48,7 +48,7 @@
     calls: Counter[str] = Counter()
 
     def profile(frame: FrameType, event: str, argument: Any) -> None:
-        if frame.f_code.co_filename in (__file__, still.__file__):
+        if frame.f_code.co_filename in (__file__, counting_harness.__file__):
             return
         if event == "call":
             calls["python_calls"] += 1
--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -25,7 +25,7 @@
 from pathlib import Path
 from typing import Any
 
-from embersill.lab.edge.news import Shape, measure
+from embersill.lab.edge.traffic_figures import Shape, measure
 
 SECONDS = 5.0  # of the cluster's time, once all have joined
 BASE = Shape(gateways=60, backends=60, tenants=20, asked=4.0)
--- a/benchmarks/lapse.py
+++ b/benchmarks/lapse.py
@@ -20,8 +20,8 @@
 from pathlib import Path
 from typing import Any
 
-from embersill.lab.edge.lapsing import FAULTS, SLOWDOWN_METHODS, compare_runs, simulate
-from embersill.lab.edge.town import quantile
+from embersill.lab.edge.lapse_experiment import FAULTS, SLOWDOWN_METHODS, compare_runs, simulate
+from embersill.lab.edge.system_simulation import quantile
 from embersill.rig.gateway_cluster import GatewayCluster, RequestResult
 
 CLUSTER_TENANTS = {"lapsed": (60.0, 60.0), "dispatch": (60.0, 60.0)}  # requests/s, burst
--- a/benchmarks/news.py
+++ b/benchmarks/news.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from embersill.lab.edge.news import measure
+from embersill.lab.edge.traffic_figures import measure
 
 
 def growth_exponents(rows: list[dict[str, Any]]) -> list[float]:
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -15,8 +15,8 @@
 
 from embersill.edge.configuration.policy import Policy
 from embersill.edge.configuration.rollouts import rollouts_of
-from embersill.lab.edge.rolling import HARMS, MARKED_TENANT, RolloutSimulation, rollout_simulation
-from embersill.lab.edge.town import quantile, worth
+from embersill.lab.edge.rollout_simulation import HARMS, MARKED_TENANT, RolloutSimulation, rollout_simulation
+from embersill.lab.edge.system_simulation import quantile, worth
 
 ROLLOUT_TIMEOUT_S = 200.0  # simulated
 BASELINE_S = 6.0  # traffic before the rollout starts
--- a/embersill/lab/__main__.py
+++ b/embersill/lab/__main__.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from embersill.lab import commands, faults
-from embersill.lab.edge import control_command, days, plots, sites, soak_command, totals, trying
+from embersill.lab.edge import control_command, days, plots, sites, soak_command, totals, town_command
 from embersill.lab.fuzzing import command as fuzzing
 from embersill.rig.deployment import Deployment, Shape, run_with_faults
 
@@ -140,7 +140,7 @@
     sites.add_to(subparsers)
     days.add_to(subparsers)
     plots.add_to(subparsers)
-    trying.add_to(subparsers)
+    town_command.add_to(subparsers)
     soak_command.add_to(subparsers)
     return parser.parse_args()
 
@@ -167,7 +167,7 @@
     if options.what == "soak":
         return soak_command.main(options)
     if options.what == "town":
-        return trying.main(options)
+        return town_command.main(options)
     result = uvloop.run(run_deployment(options))
     print(json.dumps(result))
     return 1 if result["breaches"] else 0
--- a/embersill/lab/still.py
+++ b/embersill/lab/counting_harness.py
@@ -15,11 +15,11 @@
 
 from embersill.control import Gateway
 from embersill.interface import Backend, ListKind, Status
-from embersill.rig.settings import lab_settings
 from embersill.net.backends import BackendConnection, Pool
 from embersill.net.clients import ClientConnection, Front
 from embersill.net.discovery import Entry, Listing
 from embersill.net.driver import Driver
+from embersill.rig.settings import lab_settings
 
 STEP_S = 0.001  # the clock advances by this with each request
 BACKEND_COUNT, CONNECTIONS_PER_BACKEND = 4, 16  # enough that a rested connection is always available
--- a/embersill/lab/edge/control_command.py
+++ b/embersill/lab/edge/control_command.py
@@ -13,16 +13,16 @@
     Report,
     caught_up,
     cut_member,
+    last_copy,
+    late_resend,
+    paused_member,
     previous_process_answer,
     previous_process_update,
-    last_copy,
     racing_changes,
     refused_epoch,
     restarted_alone,
     second_loss,
     second_loss_of_five,
-    late_resend,
-    paused_member,
     wiped_caught_up,
 )
 from embersill.lab.edge.first_start import (
@@ -32,7 +32,7 @@
     founder_lost_as_elected,
     killed_before_the_first_save,
 )
-from embersill.lab.edge.worst_days import random_day, random_day_of_five, random_day_of_six
+from embersill.lab.edge.random_days import random_day, random_day_of_five, random_day_of_six
 
 Scenario = Callable[[int], Report]
 GROUPS: dict[str, tuple[Scenario, ...]] = {
--- a/embersill/lab/edge/control_fences.py
+++ b/embersill/lab/edge/control_fences.py
@@ -18,7 +18,7 @@
 DETECTED_STATUS = 3  # exit status if the mutation was detected; 1 would be that of any crash
 PROCESS_TIMEOUT_S = 300.0
 CONTROL_SCENARIOS = "embersill.lab.edge.control"
-RANDOM_DAY_SCENARIOS = "embersill.lab.edge.worst_days"
+RANDOM_DAY_SCENARIOS = "embersill.lab.edge.random_days"
 PROCESS_CODE = "import sys; from embersill.lab.edge.control_fences import main; sys.exit(main(sys.argv[1]))"
 
 
--- a/embersill/lab/edge/days.py
+++ b/embersill/lab/edge/days.py
@@ -17,15 +17,15 @@
 
 import tomli_w
 
-from embersill.lab.edge.troubles import (
+from embersill.lab.edge.fault_kinds import (
     EARLIEST_S,
     FAULTS,
     FIRST_START_S,
     LATEST_S,
     PLANNED,
     DayEvent,
-    supported_kinds,
     random_time,
+    supported_kinds,
 )
 
 PlanAndFaults = tuple[list[DayEvent], list[DayEvent]]  # planned operations, faults
--- a/embersill/lab/edge/lapsing.py
+++ b/embersill/lab/edge/lapse_experiment.py
@@ -14,15 +14,15 @@
 
 from embersill.edge.configuration.lapses import Slowed, lapses_of
 from embersill.lab.edge.fleet import Machine, change
-from embersill.lab.edge.town import (
+from embersill.lab.edge.system_simulation import (
     CLIENT_TIMEOUT_S,
     QUOTA_WINDOW_S,
     Gateway,
     RequestRecord,
     SystemSimulation,
     quantile,
-    served_share,
     served_durations,
+    served_share,
     system_with_tenants,
     worth,
 )
--- a/embersill/lab/edge/rolling.py
+++ b/embersill/lab/edge/rollout_simulation.py
@@ -5,14 +5,14 @@
 from dataclasses import replace
 from typing import Any
 
-from embersill.edge.dataplane.attempts import EdgeAttempts
 from embersill.edge.configuration.document import Run, State
 from embersill.edge.configuration.policy import Policy
 from embersill.edge.configuration.rollouts import rollouts_of
 from embersill.edge.configuration.stages import Site
+from embersill.edge.dataplane.attempts import EdgeAttempts
 from embersill.interface import Outcome, Repeats, Send
 from embersill.lab.edge.fleet import change
-from embersill.lab.edge.town import Gateway, SystemSimulation
+from embersill.lab.edge.system_simulation import Gateway, SystemSimulation
 from embersill.work import Job, Server
 
 # slows: all answers are late; tail: one in twenty is late; refuses: one in four is refused; doubles: one in
--- a/embersill/lab/edge/town.py
+++ b/embersill/lab/edge/system_simulation.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from embersill.edge.dataplane.gateway import EdgeGateway
-from embersill.edge.dataplane.in_flight import InFlight
 from embersill.edge.configuration.policy import Policy
 from embersill.edge.configuration.routes import Table, settings_for
+from embersill.edge.dataplane.gateway import EdgeGateway
+from embersill.edge.dataplane.in_flight import InFlight
 from embersill.edge.dataplane.quota_client import QuotaClient
 from embersill.interface import (
     AttemptEnded,
--- a/embersill/lab/edge/totals.py
+++ b/embersill/lab/edge/totals.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from embersill.lab.edge.fleet import Machine
-from embersill.lab.edge.town import RequestRecord, system_with_quota
+from embersill.lab.edge.system_simulation import RequestRecord, system_with_quota
 
 QUOTA_PER_S = 60.0  # the burst is as large
 BASE_RATE_PER_S, PEAK_RATE_PER_S = 30.0, 90.0  # request rates
--- a/embersill/lab/edge/trying.py
+++ b/embersill/lab/edge/town_command.py
@@ -24,7 +24,7 @@
 
 from embersill.edge.configuration.check import checked
 from embersill.lab.edge.fleet import Machine
-from embersill.lab.edge.town import (
+from embersill.lab.edge.system_simulation import (
     CLIENT_TIMEOUT_S,
     RequestRecord,
     SystemSimulation,
--- a/embersill/lab/edge/news.py
+++ b/embersill/lab/edge/traffic_figures.py
@@ -16,7 +16,7 @@
 
 from embersill.edge.peers.links import HEARTBEAT_INTERVAL_S
 from embersill.lab.edge.fleet import Machine
-from embersill.lab.edge.town import Gateway, SystemSimulation, system_with_tenants
+from embersill.lab.edge.system_simulation import Gateway, SystemSimulation, system_with_tenants
 
 REQUESTS_PER_S = 8.0  # per gateway
 TENANTS_PER_GATEWAY = 0.9
--- a/embersill/lab/fuzzing/targets.py
+++ b/embersill/lab/fuzzing/targets.py
@@ -22,22 +22,22 @@
 from embersill.configuration.operator import read_operator
 from embersill.configuration.platform import BadConfiguration, build_configuration
 from embersill.interface import Backend, BackendList, ListKind, Outcome, Request, Send, Status
-from embersill.rig.settings import lab_settings, settings_object
-from embersill.lab.still import Harness
+from embersill.lab.counting_harness import Harness
 from embersill.net.backends import Answer, Attempt, BackendConnection
 from embersill.net.counter import CounterCall, CounterConnection
 from embersill.net.discovery import BadList, DiscoveryConnection, read_listing
+from embersill.rig.settings import lab_settings, settings_object
 from embersill.tiers.forwarder import Forwarder
 from embersill.tiers.messages import BadFrame
 from embersill.tiers.planner import Planner
 from embersill.tiers.terms import Terms
 from embersill.tiers.wire import (
+    BatchSequence,
     ForwarderSide,
     FrameReader,
-    BatchSequence,
+    HandshakeError,
     PlannerSide,
     Secret,
-    HandshakeError,
 )
 from embersill.world.schedules import decode_saved
 
--- a/tests/edge/test_control.py
+++ b/tests/edge/test_control.py
@@ -10,12 +10,12 @@
 from embersill.edge.configuration.document import EMPTY, MAX_KEPT_DIGESTS, apply_change, digest
 from embersill.edge.consensus.lease import LEASE_MARGIN_S, Lease
 from embersill.edge.consensus.membership import Candidate, Requirements, next_members
-from embersill.edge.records import Roster, Seat
 from embersill.edge.consensus.serial import Finished, SerialQueue
+from embersill.edge.records import Roster, Seat
 from embersill.lab.edge import control, days, sites
+from embersill.lab.edge.fault_kinds import FAULTS, PLANNED
 from embersill.lab.edge.fleet import change
-from embersill.lab.edge.troubles import FAULTS, PLANNED
-from embersill.lab.edge.worst_days import random_day
+from embersill.lab.edge.random_days import random_day
 from embersill.world.version_history import Order, Outcome, Read, violations
 
 
--- a/tests/edge/test_lapses.py
+++ b/tests/edge/test_lapses.py
@@ -12,24 +12,24 @@
 
 from embersill.edge.command import parser, read_ladder
 from embersill.edge.configuration.document import State, apply_change
-from embersill.edge.dataplane.handlers import ClientHandler
-from embersill.edge.throttling.slowdown_counts import MAX_LABELS, SlowdownCounts
 from embersill.edge.configuration.lapses import (
     MAX_ORDERS,
     STOPPED,
     activate_step,
+    announce_step,
+    apply_order,
     finish_ladder,
-    with_holder,
     lapses_of,
-    apply_order,
     slowed_tenants,
-    announce_step,
+    with_holder,
 )
 from embersill.edge.configuration.routes import Table
-from embersill.lab.edge.control import founded_fleet
+from embersill.edge.dataplane.handlers import ClientHandler
+from embersill.edge.throttling.slowdown_counts import MAX_LABELS, SlowdownCounts
 from embersill.lab.edge import plots
+from embersill.lab.edge.control import founded_fleet
 from embersill.lab.edge.fleet import Fleet, change, document
-from embersill.lab.edge.town import Gateway, SystemSimulation, system_with_tenants
+from embersill.lab.edge.system_simulation import Gateway, SystemSimulation, system_with_tenants
 from tests.edge.test_parts import FakeExchange, RecordingDriver
 from tests.edge.test_system import put_until_answered
 
--- a/tests/edge/test_quotas.py
+++ b/tests/edge/test_quotas.py
@@ -12,94 +12,97 @@
 import pytest
 
 from embersill.lab.edge.fleet import Machine
+from embersill.lab.edge.system_simulation import SystemSimulation, system_with_quota
 from embersill.lab.edge.totals import FAULTS, measure
-from embersill.lab.edge.town import SystemSimulation, system_with_quota
 
 
-def press(town: SystemSimulation, per_s: float, seconds: float, at: Sequence[Machine]) -> None:
+def press(system: SystemSimulation, per_s: float, seconds: float, at: Sequence[Machine]) -> None:
     """Sends a tenant's requests to those of these machines that are up."""
-    chance = town.kernel.stream(f"where {town.kernel.now}")
+    chance = system.kernel.stream(f"where {system.kernel.now}")
 
     def where() -> Machine:
-        return chance.choice([m for m in at if m.node is not None] or list(town.machines))
+        return chance.choice([m for m in at if m.node is not None] or list(system.machines))
 
-    town.generate_traffic("t", per_s, where, town.kernel.now + seconds)
+    system.generate_traffic("t", per_s, where, system.kernel.now + seconds)
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 5, 14])
 def test_a_tenant_that_was_idle_and_presses_has_one_burst_and_not_two(gateways: int) -> None:
     # part of the burst is in the gateways' own buckets, and the reserve has to hold exactly that much less
-    town = system_with_quota(1, gateways, 60.0, 60.0)
-    press(town, 5.0, 2.0, town.machines)
-    town.run(12.0)
-    press(town, 360.0, 8.0, town.machines)
-    town.run(8.0)
-    assert 0.8 < town.peak_quota_usage["t"] <= 1.0
+    system = system_with_quota(1, gateways, 60.0, 60.0)
+    press(system, 5.0, 2.0, system.machines)
+    system.run(12.0)
+    press(system, 360.0, 8.0, system.machines)
+    system.run(8.0)
+    assert 0.8 < system.peak_quota_usage["t"] <= 1.0
 
 
 @pytest.mark.parametrize("rate", [2.0, 5.0])
 def test_a_thin_tenant_that_presses_at_many_gateways_has_no_request_from_each(rate: float) -> None:
     # a full bucket of less than a token would admit one request at each of forty gateways at once
-    town = system_with_quota(6, 40, rate, rate)
-    press(town, 80.0, 6.0, town.machines)
-    town.run(6.0)
-    assert 0.3 < town.peak_quota_usage["t"] <= 1.0
+    system = system_with_quota(6, 40, rate, rate)
+    press(system, 80.0, 6.0, system.machines)
+    system.run(6.0)
+    assert 0.3 < system.peak_quota_usage["t"] <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_the_member_that_sums_is_cut_off_with_callers_of_its_own(seed: int) -> None:
     # the others use the even slice without being heard: the member must not count them as idle
-    town = system_with_quota(seed, 5, 200.0, 200.0)
-    node = town.machines[0].node
+    system = system_with_quota(seed, 5, 200.0, 200.0)
+    node = system.machines[0].node
     assert node is not None
-    summing = town.by_name[node.demand.summing("t")]
-    press(town, 800.0, 6.0, town.machines)
-    town.cut({summing.name})
-    town.run(3.3)
-    town.heal()
-    town.run(3.0)
-    assert town.peak_quota_usage["t"] > 0.7
+    summing = system.by_name[node.demand.summing("t")]
+    press(system, 800.0, 6.0, system.machines)
+    system.cut({summing.name})
+    system.run(3.3)
+    system.heal()
+    system.run(3.0)
+    assert system.peak_quota_usage["t"] > 0.7
 
 
 def test_callers_that_move_from_one_gateway_to_all_others_take_no_second_burst() -> None:
-    town = system_with_quota(4, 8, 60.0, 60.0)
-    press(town, 480.0, 6.0, town.machines[4:5])
-    town.run(6.0)
-    press(town, 480.0, 6.0, [m for m in town.machines if m is not town.machines[4]])
-    town.run(6.0)
-    assert 0.7 < town.peak_quota_usage["t"] <= 1.0
+    system = system_with_quota(4, 8, 60.0, 60.0)
+    press(system, 480.0, 6.0, system.machines[4:5])
+    system.run(6.0)
+    press(system, 480.0, 6.0, [m for m in system.machines if m is not system.machines[4]])
+    system.run(6.0)
+    assert 0.7 < system.peak_quota_usage["t"] <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(16))
 def test_no_mix_of_loads_moves_and_troubles_passes_a_quota(seed: int) -> None:
     chance = random.Random(seed)
     gateways, rate = chance.choice([1, 2, 3, 5, 8, 14]), chance.choice([5.0, 20.0, 60.0, 200.0])
-    town = system_with_quota(seed, gateways, rate, rate * chance.choice([0.5, 1.0, 2.0]))
-    town.run(chance.choice([0.0, 3.0, 8.0]))
+    system = system_with_quota(seed, gateways, rate, rate * chance.choice([0.5, 1.0, 2.0]))
+    system.run(chance.choice([0.0, 3.0, 8.0]))
     for _ in range(5):
         seconds, width = chance.uniform(1.0, 5.0), chance.choice([1, max(1, gateways // 2), gateways])
         press(
-            town,
+            system,
             rate * chance.choice([0.3, 0.9, 1.5, 4.0, 8.0]),
             seconds,
-            chance.sample(town.machines, width),
+            chance.sample(system.machines, width),
+        )
+        victim, trouble = (
+            chance.choice(system.machines),
+            chance.choice(["", "", "cut", "kill", "all", "slow"]),
         )
-        victim, trouble = chance.choice(town.machines), chance.choice(["", "", "cut", "kill", "all", "slow"])
         if trouble == "cut":
-            town.cut({victim.name})
+            system.cut({victim.name})
         elif trouble == "slow":
-            town.added_delay_s[victim.name] = 0.2
+            system.added_delay_s[victim.name] = 0.2
         elif trouble in ("kill", "all"):
-            dead = [victim] if trouble == "kill" else list(town.machines)
+            dead = [victim] if trouble == "kill" else list(system.machines)
             for machine in dead:
                 machine.kill()
-            town.run(0.4)
+            system.run(0.4)
             for machine in dead:
                 machine.start()
-        town.run(seconds)
-        town.heal()
-        town.added_delay_s.clear()
-    assert town.requests
+        system.run(seconds)
+        system.heal()
+        system.added_delay_s.clear()
+    assert system.requests
 
 
 @pytest.mark.parametrize("gateways, trouble", [(3, "none"), (14, "none"), *((5, t) for t in FAULTS[1:])])
--- a/tests/edge/test_rollout.py
+++ b/tests/edge/test_rollout.py
@@ -11,24 +11,24 @@
 
 from embersill.edge.__main__ import main
 from embersill.edge.configuration.document import State, apply_change, revision
-from embersill.edge.rollout.judging import FALSE_ALARM, MISSED, compared, judged
 from embersill.edge.configuration.policy import BUILT_IN_POLICY, RANGES, Policy, differences, read_policy
 from embersill.edge.configuration.rollouts import (
     activate_step,
+    announce_step,
+    apply_request,
+    complete_run,
     end_run,
-    roll_back,
     in_force,
     label,
-    apply_request,
-    complete_run,
     resume_after_rest,
+    roll_back,
     rollouts_of,
-    announce_step,
 )
 from embersill.edge.configuration.stages import Site, steps_of
+from embersill.edge.rollout.judging import FALSE_ALARM, MISSED, compared, judged
 from embersill.edge.rollout.watch import BOUNDS_S, MAX_STAGES, Seen, Watch, total_by_kind
 from embersill.lab.edge.fleet import change, document
-from embersill.lab.edge.rolling import (
+from embersill.lab.edge.rollout_simulation import (
     HARMS,
     SITES,
     FaultyGateway,
@@ -37,7 +37,7 @@
     rollout_request,
     rollout_simulation,
 )
-from embersill.lab.edge.town import Gateway
+from embersill.lab.edge.system_simulation import Gateway
 
 HARMLESS_POLICY: Policy = {"name": "sooner far away", "far_share": 0.2}
 
--- a/tests/edge/test_slowed.py
+++ b/tests/edge/test_slowed.py
@@ -6,7 +6,7 @@
 
 from embersill.edge.configuration.lapses import Slowed
 from embersill.interface import Borrow, BorrowResult, Outcome, PeerLoad, Refuse, Send, TimerDue
-from embersill.lab.edge.lapsing import FAULTS, SLOWDOWN_METHODS, STEP_SHARES, compare_runs, simulate
+from embersill.lab.edge.lapse_experiment import FAULTS, SLOWDOWN_METHODS, STEP_SHARES, compare_runs, simulate
 from tests.edge.test_parts import actions_of, attempt_ended, make_gateway, make_request
 
 HALF = {"t": Slowed(100.0, 100.0, 0.5)}
--- a/tests/edge/test_trying.py
+++ b/tests/edge/test_trying.py
@@ -9,7 +9,7 @@
 import pytest
 
 from embersill.edge.dataplane.admission import EdgeAdmission
-from embersill.lab.edge.trying import experiment, main, play, read_scenario
+from embersill.lab.edge.town_command import experiment, main, play, read_scenario
 
 SCENARIO = """
 gateways = 5
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -13,8 +13,8 @@
 import pytest
 
 from benchmarks.counts import CASES, CEILINGS, count, count_all, over
+from embersill.lab.counting_harness import Harness, backend_response
 from embersill.net.backends import BackendConnection
-from embersill.lab.still import Harness, backend_response
 from embersill.net.clients import ClientConnection, Exchange
 
 CORPUS = pathlib.Path(__file__).with_name("corpus.json")
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks.hollow import BASE, FIGURES, Growth, Law, at_target, fit, growths, table
-from embersill.lab.edge.news import Shape, measure
+from embersill.lab.edge.traffic_figures import Shape, measure
 
 DOCS = Path(__file__).parents[1] / "docs"
 SIZES = (10, 20, 40, 80, 160)
