--- a/embersill/lab/__main__.py
+++ b/embersill/lab/__main__.py
@@ -15,9 +15,9 @@
 from rich.table import Table
 
 from embersill.lab import commands, faults
-from embersill.lab.edge import control_command, days, plots, sites, soak_command, totals, trying
-from embersill.rig.deployment import Deployment, Shape, run_with_faults
+from embersill.lab.edge import control_command, days, plots, sites, soak_command, totals, town_command
 from embersill.lab.fuzzing import command as fuzzing
+from embersill.rig.deployment import Deployment, Shape, run_with_faults
 
 REFRESH_INTERVAL_S = 0.5  # of the displayed figures
 RULES = (
@@ -34,8 +34,8 @@
 
 def status_table(deployment: Deployment, began: float, before: dict[str, float]) -> Table:
     """A table of the processes, the clients' results so far, and violated rules."""
-    books = deployment.audit
-    figures, elapsed_s = books.figures(), time.monotonic() - began
+    audit = deployment.audit
+    figures, elapsed_s = audit.figures(), time.monotonic() - began
     table = Table(title=f"embersill lab, {elapsed_s:.0f} s", title_justify="left")
     for column in ("process", "role", "state", "cpu s"):
         table.add_column(column, justify="right" if column == "cpu s" else "left")
@@ -140,7 +140,7 @@
     sites.add_to(subparsers)
     days.add_to(subparsers)
     plots.add_to(subparsers)
-    trying.add_to(subparsers)
+    town_command.add_to(subparsers)
     soak_command.add_to(subparsers)
     return parser.parse_args()
 
@@ -167,7 +167,7 @@
     if options.what == "soak":
         return soak_command.main(options)
     if options.what == "town":
-        return trying.main(options)
+        return town_command.main(options)
     result = uvloop.run(run_deployment(options))
     print(json.dumps(result))
     return 1 if result["breaches"] else 0
