--- a/tests/test_start_signals.py
+++ b/tests/test_start_signals.py
@@ -82,7 +82,7 @@
     async def test() -> None:
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
         for _ in range(3):
-            os.kill(os.getpid(), signal.SIGHUP)
+            signal.raise_signal(signal.SIGHUP)  # to this thread: threads of earlier tests don't block it
         await run_until_signal(program)
         await asyncio.sleep(0)
 
