--- a/embersill/lab/trace_report.py
+++ b/embersill/lab/losses.py
@@ -1,4 +1,4 @@
-"""`python -m embersill.lab.trace_report FILE...`: how a fleet lost worth, from the log of `lab.tracing`.
+"""`python -m embersill.lab.losses FILE...`: how a fleet lost worth, from the log of `lab.tracing`.
 
 One table for all gateways together: by time, class and plan, the outcomes of requests weighted by worth; by
 age and kind of backend, how long answers took and how sends ended.
--- a/embersill/lab/tracing.py
+++ b/embersill/lab/tracing.py
@@ -1,7 +1,7 @@
 """`python -m embersill.lab.tracing`: the platform's gateway, logging events and actions of its decision code.
 
 It is used only when started instead of the gateway. One tab-separated line for each event or action, with the
-time first; `embersill.lab.trace_report` reads the lines of a whole fleet. The output is bounded: past the
+time first; `embersill.lab.losses` reads the lines of a whole fleet. The output is bounded: past the
 bound one line says so, and the gateway continues without tracing.
 """
 
